--- a/internal/batch/schedule/end.go
+++ b/internal/batch/schedule/end.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Ending is what is expected of the groups of a step that are not whole yet.
+// Ending describes the unfinished groups of a step, to estimate when the step ends.
 type Ending struct {
-	// Groups are the times until each of them is expected to be whole.
+	// Groups has the expected time until each group is whole, without those in Again.
 	Groups []time.Duration
-	// Again are those times of groups that come again from an earlier step; the
+	// Again has the same for groups that are carried over from an earlier step; the
 	// trainer waits for each of them.
 	Again []time.Duration
-	// Missing is how many groups more the trainer waits for, those included.
+	// Missing is the number of further whole groups that the trainer waits for,
+	// including those in Again.
 	Missing int
 }
 
-// Left returns the time until the groups that the trainer waits for are expected
-// to be whole, 0 if that can't be told.
+// Left returns the expected time until all groups that the trainer waits for are whole,
+// 0 if that is unknown or they are whole already.
 func (e Ending) Left() time.Duration {
 	left := time.Duration(0)
 	for _, g := range e.Again {
@@ -30,7 +31,7 @@
 	if others > len(e.Groups) {
 		return 0
 	}
-	// The first ones end the step; the others need not be made.
+	// The groups that are whole first end the step; the remaining ones are not needed.
 	sorted := slices.Sorted(slices.Values(e.Groups))
 	return max(left, sorted[others-1])
 }
--- a/internal/batch/schedule/lengths.go
+++ b/internal/batch/schedule/lengths.go
@@ -4,83 +4,84 @@
 	"sync"
 )
 
-// The limits of what is learnt of lengths.
+// Limits of the sums that Lengths keeps.
 const (
-	// lengthsLeast is how many events must be known before an estimate in
-	// tokens is turned into events.
-	lengthsLeast = 100
-	// lengthsMost is when what is known counts for half from then on: some
-	// steps of a few hundred items.
-	lengthsMost = 20000
+	// minKnownEvents is the number of events that must be known before an estimate in
+	// tokens is converted into events.
+	minKnownEvents = 100
+	// halvingEvents is the number of events above which the sums are halved, so that
+	// newer items count more. It corresponds to some steps of a few hundred items.
+	halvingEvents = 20000
 )
 
-// Lengths learns from finished items how many tokens of an estimate make an
-// event. Its zero value knows nothing.
+// Lengths learns from finished items how many tokens of an estimate correspond to one
+// event. The zero value is empty and ready to use.
 type Lengths struct {
 	mu     sync.Mutex
 	tokens float64
 	events float64
-	// share is the most events that an item had for each token that it was
-	// allowed.
-	share float64
+	// maxEventsPerToken is the largest number of events that an item had for each token
+	// that it was allowed.
+	maxEventsPerToken float64
 }
 
-// Finished notes an item that was estimated at some tokens and had some events.
+// Finished records a finished item with its estimate in tokens and its number of events.
 func (l *Lengths) Finished(tokens, events int) {
 	if tokens <= 0 || events <= 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.events > lengthsMost {
+	if l.events > halvingEvents {
 		l.tokens, l.events = l.tokens/2, l.events/2
 	}
 	l.tokens += float64(tokens)
 	l.events += float64(events)
 }
 
-// Capped notes how many events an item had that was allowed some tokens.
+// Capped records the number of events of an item that was allowed the given number of
+// tokens.
 func (l *Lengths) Capped(allowed, events int) {
 	if allowed <= 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.share = max(l.share, float64(events)/float64(allowed))
+	l.maxEventsPerToken = max(l.maxEventsPerToken, float64(events)/float64(allowed))
 }
 
-// Most returns the most events of an item that is allowed some tokens, 0 if that
-// is not known. It is reached where items end at what they are allowed.
+// Most returns the largest number of events of an item that is allowed the given number
+// of tokens, 0 if unknown. Items that end at their token limit reach it.
 func (l *Lengths) Most(allowed int) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.share * float64(allowed)
+	return l.maxEventsPerToken * float64(allowed)
 }
 
-// Known reports whether estimates in tokens can be turned into events.
+// Known reports whether estimates in tokens can be converted into events.
 func (l *Lengths) Known() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.events >= lengthsLeast
+	return l.events >= minKnownEvents
 }
 
-// Tokens returns how many tokens of an estimate some events stand for, 0 if that
-// is not known.
+// Tokens converts a number of events into tokens of an estimate; it returns 0 if the
+// ratio is unknown.
 func (l *Lengths) Tokens(events int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.events < lengthsLeast {
+	if l.events < minKnownEvents {
 		return 0
 	}
 	return int(float64(events) * l.tokens / l.events)
 }
 
-// Events returns how many events an estimate in tokens stands for, 0 if that is
-// not known.
+// Events converts an estimate in tokens into events; it returns 0 if the ratio is
+// unknown.
 func (l *Lengths) Events(tokens int) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.events < lengthsLeast {
+	if l.events < minKnownEvents {
 		return 0
 	}
 	return float64(tokens) * l.events / l.tokens
--- a/internal/batch/schedule/place_test.go
+++ b/internal/batch/schedule/place_test.go
@@ -12,95 +12,96 @@
 	"github.com/egretbend/egretbend/internal/batch/submission"
 )
 
-// A stream at an engine of an older kind, which takes 1.3 times as long, can go
-// on at a faster one. That is worth while for long items only, and only as far
-// as paces differ by more than their noise.
+// Guards against moves that cost more than they save. A stream at an engine of an older
+// kind, which takes 1.3 times as long, can go on at a faster one; that only pays for
+// long items, and only if the paces differ by more than their noise.
 func TestGain(t *testing.T) {
 	is := is.New(t)
-	usual := 50 * time.Millisecond
+	interval := 50 * time.Millisecond
 	long := Progress{Events: 10, Made: 10, Expected: 110, Pace: 1.3}
-	is.Equal(Gain(long, usual, 1).Round(time.Millisecond), 1500*time.Millisecond)
-	is.Equal(Gain(long, usual, 1.2), time.Duration(0)) // within the noise
+	is.Equal(Gain(long, interval, 1).Round(time.Millisecond), 1500*time.Millisecond)
+	is.Equal(Gain(long, interval, 1.2), time.Duration(0)) // within the noise
 	short := Progress{Events: 10, Made: 10, Expected: 14, Pace: 1.3}
-	is.Equal(Gain(short, usual, 1), time.Duration(0))
+	is.Equal(Gain(short, interval, 1), time.Duration(0))
 	beyond := Progress{Events: 60, Made: 60, Expected: 20, Pace: 1.3}
-	is.True(Gain(beyond, usual, 1) > 0) // a long tail goes on
-	young := long
-	young.Events = paceEvents - 1
-	is.Equal(Gain(young, usual, 1), time.Duration(0))
-	restless := long
-	restless.Moves = mostFaster
-	is.Equal(Gain(restless, usual, 1), time.Duration(0))
+	is.True(Gain(beyond, interval, 1) > 0) // an item beyond its estimate is expected to go on
+	justBegun := long
+	justBegun.Events = minPaceEvents - 1
+	is.Equal(Gain(justBegun, interval, 1), time.Duration(0))
+	movedOften := long
+	movedOften.Moves = maxOptionalMoves
+	is.Equal(Gain(movedOften, interval, 1), time.Duration(0))
 }
 
-// Callers estimate tokens, engines make events.
+// Guards against using estimates, which are in tokens, as numbers of events.
 func TestLengths(t *testing.T) {
 	is := is.New(t)
 	var l Lengths
 	is.Equal(l.Events(800), 0.0)
-	l.Finished(0, 50) // no estimate
+	l.Finished(0, 50) // an item without an estimate is ignored
 	for range 20 {
 		l.Finished(800, 10)
 	}
 	is.Equal(l.Events(1600), 20.0)
 	for range 10000 {
-		l.Finished(400, 10) // the estimates mean something else now
+		l.Finished(400, 10) // the ratio of tokens to events changes
 	}
 	is.True(math.Abs(l.Events(400)-10) < 0.2)
 }
 
-// Short items end long before their step does. They go to the older engines, and
-// leave half of the fast ones' slots to the long ones, whose events take longer
-// with each stream beside them; but no item waits for long.
+// Guards against short items that slow down long ones: short items end long before their
+// step does, but at a fast engine they make the events of the long ones take longer.
+// They go to the older engines, and leave half of the fast ones' slots free; but no item
+// waits for long.
 func TestShortItemsGoToOlderEngines(t *testing.T) {
 	is := is.New(t)
 	engines := []Engine{
 		{Room: 8, Slots: 8, Pace: 1},
 		{Room: 3, Slots: 8, Pace: 1.3},
 		{Room: 8, Slots: 8, Pace: 4},
-		{Room: 8, Slots: 8, Pace: 1.6}, // it has just turned slow
+		{Room: 8, Slots: 8, Pace: 1.6}, // has just become slow
 	}
 	short := Need{Lasts: 500 * time.Millisecond}
 	is.Equal(Pick(engines, short), 1)
 	is.Equal(Pick(engines, Need{Lasts: 5 * time.Second}), 0)
-	is.Equal(Pick(engines, Need{}), 0) // a length that is not known may be long
+	is.Equal(Pick(engines, Need{}), 0) // an item of unknown length may be long
 	engines[1].Room = 0
 	is.Equal(Pick(engines, short), 0)
 	engines[0].Room, engines[2].Room, engines[3].Room = 4, 0, 0
 	is.Equal(Pick(engines, short), -1)
 	is.Equal(Pick(engines, Need{Lasts: 5 * time.Second}), 0)
-	short.Waited = shortWait
+	short.Waited = maxShortItemWait
 	is.Equal(Pick(engines, short), 0)
 }
 
-// An engine that is short of memory puts streams off. The longest texts of a step
-// then stood still at the fast engines for a second and more, while older ones had
-// memory to spare.
-func TestLongItemsFindMemory(t *testing.T) {
+// Guards against long items at fast engines that are short of memory. Such an engine
+// suspends streams, so that the longest texts of a step stall there for a second and
+// more while older engines have memory to spare.
+func TestLongItemsGoWhereMemoryIsFree(t *testing.T) {
 	is := is.New(t)
 	engines := []Engine{
 		{Room: 8, Slots: 12, Pace: 1, Memory: 41_000, Reserved: 36_000},
 		{Room: 12, Slots: 12, Pace: 1.3, Memory: 41_000, Reserved: 4_000},
 	}
 	long := Need{Lasts: 6 * time.Second, Memory: 11_000}
-	is.Equal(Pick(engines, long), 0) // a little over is what estimates are off by
+	is.Equal(Pick(engines, long), 0) // a small excess is within the error of estimates
 	engines[0].Reserved = 60_000
 	is.Equal(Pick(engines, long), 1)
 	engines[1].Reserved = 60_000
-	is.Equal(Pick(engines, long), 0) // none has memory: the faster one
+	is.Equal(Pick(engines, long), 0) // none has enough memory: the faster one
 	engines[0].Memory, engines[1].Memory = 0, 0
-	is.Equal(Pick(engines, long), 0) // nobody told
+	is.Equal(Pick(engines, long), 0) // the memory is unknown
 }
 
-// Four engines of one kind were measured at slightly different moments. The one
-// that seemed the fastest got four long texts of a step, which then lasted half a
-// second longer there.
+// Guards against noise in measured paces that decides between equal engines. Four
+// engines of one kind are measured at slightly different moments; if the seemingly
+// fastest one gets four long texts of a step, the step lasts half a second longer there.
 func TestLongItemsSpreadOverEqualEngines(t *testing.T) {
 	is := is.New(t)
 	engines := []Engine{
 		{Room: 8, Slots: 8, Pace: 0.95, Memory: 74_000},
 		{Room: 8, Slots: 8, Pace: 1, Memory: 74_000},
-		{Room: 5, Slots: 8, Pace: 1.02, Memory: 74_000, Reserved: 3_000}, // short ones
+		{Room: 5, Slots: 8, Pace: 1.02, Memory: 74_000, Reserved: 3_000}, // has short items
 		{Room: 8, Slots: 8, Pace: 1.06, Memory: 74_000},
 	}
 	got := make([]int, len(engines))
@@ -113,10 +114,10 @@
 	is.Equal(got, []int{2, 2, 2, 2})
 }
 
-// running is an item of the simulated step.
-type running struct {
+// simulatedItem is an item of the step that simulateStep runs.
+type simulatedItem struct {
 	length, made float64
-	hint         int
+	estimate     int
 	group        int
 	moves        int
 	engine       int
@@ -124,18 +125,18 @@
 	done         time.Duration
 }
 
-// step plays a step of a trainer: 18 groups of eight items with a long tail of
-// lengths, whose estimates are right within a factor of two, at sixteen engines
-// of eight slots, a third of which takes 1.3 times as long. It returns when 17
+// simulateStep simulates a step of a trainer: 18 groups of eight items with a long tail
+// of lengths, whose estimates are right within a factor of two, at sixteen engines of
+// eight slots, a third of which takes 1.3 times as long. It returns the time at which 17
 // groups are whole.
-func step(seed uint64, pick func([]Engine, Need) int, faster bool) time.Duration {
+func simulateStep(seed uint64, pick func([]Engine, Need) int, moveToFaster bool) time.Duration {
 	const (
-		tick   = 50 * time.Millisecond
-		usual  = 49 * time.Millisecond
-		tokens = 81
-		groups = 18
-		size   = 8
-		wanted = 17
+		tick     = 50 * time.Millisecond
+		interval = 49 * time.Millisecond
+		tokens   = 81
+		groups   = 18
+		size     = 8
+		wanted   = 17
 	)
 	random := rand.New(rand.NewPCG(seed, 1))
 	engines := make([]Engine, 16)
@@ -150,8 +151,8 @@
 		}
 	}
 	var lengths Lengths
-	lengths.Finished(tokens*lengthsLeast, lengthsLeast)
-	all := make([]*running, groups*size)
+	lengths.Finished(tokens*minKnownEvents, minKnownEvents)
+	all := make([]*simulatedItem, groups*size)
 	items := make([]submission.Item, len(all))
 	for i := range all {
 		length := 15 * math.Exp(0.6*random.NormFloat64())
@@ -159,14 +160,14 @@
 			length *= 5
 		}
 		length = min(max(1, length), 132)
-		hint := int(length * tokens * math.Exp(0.5*random.NormFloat64()))
-		all[i] = &running{
-			length: length,
-			hint:   hint,
-			group:  i / size,
-			engine: -1,
+		estimate := int(length * tokens * math.Exp(0.5*random.NormFloat64()))
+		all[i] = &simulatedItem{
+			length:   length,
+			estimate: estimate,
+			group:    i / size,
+			engine:   -1,
 		}
-		items[i].ExpectedTokens = hint
+		items[i].ExpectedTokens = estimate
 	}
 	queue := Order(items, nil)
 	left := make([]int, groups)
@@ -177,7 +178,7 @@
 	for now := time.Duration(0); ; now += tick {
 		for len(queue) > 0 {
 			at := pick(engines, Need{
-				Lasts:  time.Duration(lengths.Events(all[queue[0]].hint) * float64(usual)),
+				Lasts:  time.Duration(lengths.Events(all[queue[0]].estimate) * float64(interval)),
 				Waited: now,
 			})
 			if at < 0 {
@@ -193,7 +194,7 @@
 				continue
 			}
 			e := engines[r.engine]
-			r.made += float64(tick) / (float64(usual) * e.Pace * (1 + (slotsSlow+textsSlow)*(1-e.Room/8)))
+			r.made += float64(tick) / (float64(interval) * e.Pace * (1 + (slotsSlowdown+memorySlowdown)*(1-e.Room/8)))
 			if r.made < r.length {
 				continue
 			}
@@ -205,7 +206,7 @@
 				}
 			}
 		}
-		if !faster || len(queue) > 0 {
+		if !moveToFaster || len(queue) > 0 {
 			continue
 		}
 		for _, r := range all {
@@ -217,10 +218,10 @@
 				Events:   int(r.made),
 				Made:     int(r.made),
 				Moves:    r.moves,
-				Expected: lengths.Events(r.hint),
+				Expected: lengths.Events(r.estimate),
 				Pace:     engines[r.engine].Pace,
 			}
-			if Gain(p, usual, engines[to].Pace) == 0 {
+			if Gain(p, interval, engines[to].Pace) == 0 {
 				continue
 			}
 			engines[r.engine].Room++
@@ -231,8 +232,8 @@
 	}
 }
 
-// emptiest chooses by free slots alone, whatever the pace.
-func emptiest(engines []Engine, _ Need) int {
+// pickMostFreeSlots picks the engine with the most free slots, whatever its pace.
+func pickMostFreeSlots(engines []Engine, _ Need) int {
 	best := -1
 	for i, e := range engines {
 		if e.Room >= 1 && (best < 0 || e.Room > engines[best].Room) {
@@ -242,15 +243,15 @@
 	return best
 }
 
-// A third of the engines is of an older kind. Where free slots alone decided, a
-// step lasted as long as its longest item took there, 8.5 seconds of the 7 that
-// its trainer has, and the trainer fell behind step by step.
-func TestStepsLastAsLongAsFastEnginesNeed(t *testing.T) {
+// Guards against picking by free slots alone. A third of the engines is of an older
+// kind; picked by free slots, a step lasts as long as its longest item takes there, 8.5
+// seconds of the 7 that its trainer has, and the trainer falls behind step by step.
+func TestPickByPaceShortensSteps(t *testing.T) {
 	is := is.New(t)
 	var before, after []time.Duration
 	for seed := range uint64(60) {
-		before = append(before, step(seed, emptiest, false))
-		after = append(after, step(seed, Pick, true))
+		before = append(before, simulateStep(seed, pickMostFreeSlots, false))
+		after = append(after, simulateStep(seed, Pick, true))
 	}
 	for _, list := range [][]time.Duration{before, after} {
 		sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
@@ -259,23 +260,25 @@
 	t.Logf("by pace:       half within %s, nine tenths within %s, all within %s", after[30], after[54], after[59])
 	is.True(after[54] < 6900*time.Millisecond)
 	is.True(after[59] < 7300*time.Millisecond)
-	is.True(before[54] > 7500*time.Millisecond) // the load does bring the fault about
+	is.True(before[54] > 7500*time.Millisecond) // the simulated load reproduces the failure
 }
 
-// Guards against an item at an engine of another model that has not just reported a free slot.
-func TestLentEnginesAreOpenWhereTheyTellRoom(t *testing.T) {
+// Guards against an item that is sent to an engine of another model which has not
+// recently reported a free slot.
+func TestLentEnginesNeedRecentReportOfFreeSlot(t *testing.T) {
 	is := is.New(t)
 	is.True(Engine{}.Open())
 	is.Equal(Engine{Lent: true, Room: 3, Told: time.Hour}.Open(), false)
 	is.Equal(Engine{Lent: true, Room: 0.5, Told: 0}.Open(), false)
-	is.True(Engine{Lent: true, Room: 1, Told: lentTold}.Open())
+	is.True(Engine{Lent: true, Room: 1, Told: maxLentReportAge}.Open())
 }
 
-// Guards against a step with few items that keeps to older engines while fast ones of others are free.
+// Guards against a step with few items that stays at older engines while fast ones of
+// other models are free.
 func TestSmallStepsUseAllEngines(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Crowds(90, 128), false)
 	is.Equal(Crowds(2*128, 128), false)
 	is.True(Crowds(2*128+1, 128))
-	is.Equal(Crowds(1000, 0), false) // its model has none
+	is.Equal(Crowds(1000, 0), false) // no engine is assigned to its model
 }
--- a/internal/batch/schedule/rank.go
+++ b/internal/batch/schedule/rank.go
@@ -5,77 +5,79 @@
 	"time"
 )
 
-// Work is what is left to do of a group of a step.
+// Work is the remaining work of an unfinished group of a step.
 type Work struct {
-	// Total is the time that its unfinished items take together, one after the
-	// other, and Longest that of the longest of them.
+	// Total is the sum of the expected remaining run times of its unfinished items, and
+	// Longest the largest of them.
 	Total, Longest time.Duration
-	// Again says that the group comes again from an earlier step: the trainer
-	// waits for it in any case.
+	// Again reports whether the group is carried over from an earlier step. The trainer
+	// waits for such a group in any case.
 	Again bool
 }
 
-// Load is the work of a step against what there is for it.
+// Load is the remaining work of a step and the capacity that is available for it.
 type Load struct {
 	Groups []Work
-	// Missing is how many groups more the trainer waits for.
+	// Missing is the number of further whole groups that the trainer waits for.
 	Missing int
-	// Slots is how many items run at once, and Others the work of earlier steps
-	// that runs there as well.
+	// Slots is the number of items that run at once, and Others the remaining work of
+	// earlier steps that shares those slots.
 	Slots  int
 	Others time.Duration
 	// Left is the time until the results of the step are due.
 	Left time.Duration
 }
 
+// Limits of Rank. The capacity of a step is the time of all slots until its results are
+// due, less the work of earlier steps.
 const (
-	// fullShare is the part of the time of all slots that a step may count on. The
-	// last items of a step leave slots empty, and estimates are off.
-	fullShare = 0.85
-	// crowdedShare is the part of that time from which on the work of all groups leaves
-	// none for groups that the trainer does not wait for. Below it they are made as
-	// well, since some of them are whole before others whose length was
-	// underestimated.
+	// plannableShare is the share of the capacity that a step may count on. The last
+	// items of a step leave slots empty, and estimates are inaccurate.
+	plannableShare = 0.85
+	// crowdedShare is the share of the capacity above which groups that the trainer does
+	// not wait for are run last. Below it they run along with the others, since some of
+	// them are whole before groups whose length was underestimated.
 	crowdedShare = 0.8
-	// overloadShare is the part of it from which on the groups that the trainer waits for
-	// can't all be whole in time. Up to it the step ends a little late in the worst case,
-	// and sooner than with its longest items begun last.
+	// overloadShare is the share of the capacity above which the groups that the trainer
+	// waits for can't all be whole in time. Up to it the step ends a little late in the
+	// worst case, but sooner than with its longest items begun last.
 	overloadShare = 1.1
-	// lateHorizon is how far ahead a step plans that is due already.
-	lateHorizon = 2 * time.Second
+	// minHorizon is the least time ahead that is planned for, also if the step is
+	// due sooner or is overdue.
+	minHorizon = 2 * time.Second
 )
 
-// Ranking is the order in which the groups of a step are made: by Places, and all
-// items of groups with the same place longest first.
+// Ranking is the order in which the groups of a step are run.
 type Ranking struct {
-	// Places has one number for each group, lower ones go first.
+	// Places has one number for each group; groups with lower numbers go first. Items of
+	// groups with the same number begin longest first.
 	Places []int
-	// Overloaded says that the step can't be whole in time.
+	// Overloaded reports that the step can't complete in time.
 	Overloaded bool
 }
 
-// Rank returns the order in which the groups are made.
+// Rank returns the order in which the groups are run.
 //
-// With time for all of them there is one place: the longest items begin first, as
-// they alone take as long as the step has.
+// If there is time for all groups, they share one place: the longest items begin first,
+// as they alone take as long as the step has.
 //
-// Where the engines are crowded, groups that the trainer does not wait for, those with
-// the most work, go last. A tenth of the work would else go into groups that are not
-// whole when the step ends, and come again.
+// If the engines are crowded, groups that the trainer does not wait for, those with the
+// most work, go last. Otherwise a tenth of the work would go into groups that are not
+// whole when the step ends and have to be carried over.
 //
-// Under overload, items that begin longest first leave each group with an item that has
-// not begun, and no group is whole when the results are due. Groups are made one after
-// the other then, those with the least work first, as far as there is time: a group
-// that is whole in time is of use to its trainer. The others follow longest first, so
-// that the step ends as soon as it can.
+// If the step is overloaded, beginning the longest items first would leave each group
+// with an item that has not begun, and no group would be whole when the results are due.
+// Instead, groups are run one after the other, those with the least work first, as far
+// as there is time: a group that is whole in time is useful to its trainer. The items of
+// the other groups follow longest first, so that the step ends as soon as possible.
 func (l Load) Rank() Ranking {
-	order := l.order()
-	capacity := float64(time.Duration(l.Slots)*max(l.Left, lateHorizon) - l.Others)
+	order := l.overloadOrder()
+	capacity := float64(time.Duration(l.Slots)*max(l.Left, minHorizon) - l.Others)
 	r := Ranking{
 		Places:     make([]int, len(order)),
-		Overloaded: float64(l.total(order, l.Missing)) > overloadShare*capacity,
+		Overloaded: float64(l.totalWork(order, l.Missing)) > overloadShare*capacity,
 	}
-	crowded := float64(l.total(order, len(order))) > crowdedShare*capacity
+	crowded := float64(l.totalWork(order, len(order))) > crowdedShare*capacity
 	sum := time.Duration(0)
 	for at, i := range order {
 		sum += l.Groups[i].Total
@@ -83,7 +85,7 @@
 		case crowded && at >= l.Missing:
 			r.Places[i] = len(order) + 1
 		case !r.Overloaded:
-		case float64(sum) <= fullShare*capacity:
+		case float64(sum) <= plannableShare*capacity:
 			r.Places[i] = at
 		default:
 			r.Places[i] = len(order)
@@ -92,40 +94,40 @@
 	return r
 }
 
-// order returns the places of groups in the order in which they are made under
-// overload.
-func (l Load) order() []int {
+// overloadOrder returns the indexes of the groups in the order in which they run under
+// overload: by priority class, then the least work first.
+func (l Load) overloadOrder() []int {
 	order := make([]int, len(l.Groups))
 	for i := range order {
 		order[i] = i
 	}
 	sort.SliceStable(order, func(a, b int) bool {
 		x, y := l.Groups[order[a]], l.Groups[order[b]]
-		if l.class(x) != l.class(y) {
-			return l.class(x) < l.class(y)
+		if l.priorityClass(x) != l.priorityClass(y) {
+			return l.priorityClass(x) < l.priorityClass(y)
 		}
 		return x.Total < y.Total
 	})
 	return order
 }
 
-// class puts the groups first that come again, and those last that can't be whole
-// in time.
-func (l Load) class(g Work) int {
+// priorityClass returns 0 for a group that is carried over, 2 for one that can't be
+// whole in time, and 1 for any other. Lower classes go first.
+func (l Load) priorityClass(g Work) int {
 	switch {
 	case g.Again:
 		return 0
-	case l.Left >= lateHorizon && g.Longest > l.Left:
+	case l.Left >= minHorizon && g.Longest > l.Left:
 		return 2
 	}
 	return 1
 }
 
-// Needed returns the work of the groups that the trainer waits for.
-func (l Load) Needed() time.Duration { return l.total(l.order(), l.Missing) }
+// Needed returns the remaining work of the groups that the trainer waits for.
+func (l Load) Needed() time.Duration { return l.totalWork(l.overloadOrder(), l.Missing) }
 
-// total returns the work of the first n groups in an order.
-func (l Load) total(order []int, n int) time.Duration {
+// totalWork returns the remaining work of the first n groups of an order.
+func (l Load) totalWork(order []int, n int) time.Duration {
 	work := time.Duration(0)
 	for _, i := range order[:min(max(0, n), len(order))] {
 		work += l.Groups[i].Total
--- a/internal/batch/schedule/rank_test.go
+++ b/internal/batch/schedule/rank_test.go
@@ -13,31 +13,32 @@
 	"github.com/egretbend/egretbend/internal/batch/submission"
 )
 
-// queued is one step of groups of eight items at some slots. Lengths have a long tail
-// and are known within a factor of two. Item i is of group i / playSize.
-type queued struct {
-	length, hint, ends []time.Duration
-	queue              []int
-	due                time.Duration
-	slots              int
+// simulatedStep is one step with groups of eight items at a number of slots. The lengths
+// have a long tail and are known within a factor of two. Item i is in group i /
+// simGroupSize.
+type simulatedStep struct {
+	length, estimate, ends []time.Duration
+	queue                  []int
+	due                    time.Duration
+	slots                  int
 }
 
 const (
-	playSize = 8
-	playTick = 20 * time.Millisecond
-	playPace = 40 * time.Millisecond
-	// playRead is how long after they are due the results still count as in time.
-	playRead = 700 * time.Millisecond
+	simGroupSize     = 8
+	simTick          = 20 * time.Millisecond
+	simEventInterval = 40 * time.Millisecond
+	// simReadGrace is how long after the due time results still count as in time.
+	simReadGrace = 700 * time.Millisecond
 )
 
-func newQueued(seed uint64, groups, slots int, due time.Duration) *queued {
+func newSimulatedStep(seed uint64, groups, slots int, due time.Duration) *simulatedStep {
 	random := rand.New(rand.NewPCG(seed, 7))
-	p := &queued{
-		length: make([]time.Duration, groups*playSize),
-		hint:   make([]time.Duration, groups*playSize),
-		ends:   make([]time.Duration, groups*playSize),
-		due:    due,
-		slots:  slots,
+	p := &simulatedStep{
+		length:   make([]time.Duration, groups*simGroupSize),
+		estimate: make([]time.Duration, groups*simGroupSize),
+		ends:     make([]time.Duration, groups*simGroupSize),
+		due:      due,
+		slots:    slots,
 	}
 	items := make([]submission.Item, len(p.length))
 	for i := range p.length {
@@ -46,32 +47,32 @@
 			events *= 5
 		}
 		events = min(max(1, events), 178)
-		p.length[i] = time.Duration(events * float64(playPace))
-		p.hint[i] = time.Duration(float64(p.length[i]) * math.Exp(0.5*random.NormFloat64()))
-		items[i].ExpectedTokens = int(p.hint[i])
+		p.length[i] = time.Duration(events * float64(simEventInterval))
+		p.estimate[i] = time.Duration(float64(p.length[i]) * math.Exp(0.5*random.NormFloat64()))
+		items[i].ExpectedTokens = int(p.estimate[i])
 	}
 	p.queue = Order(items, nil)
 	return p
 }
 
-// whole returns how many groups are whole at a time.
-func (p *queued) whole(at time.Duration) int {
+// wholeGroups returns how many groups are whole at the given time.
+func (p *simulatedStep) wholeGroups(at time.Duration) int {
 	n := 0
-	for g := 0; g < len(p.ends); g += playSize {
-		if !slices.ContainsFunc(p.ends[g:g+playSize], func(end time.Duration) bool { return end == 0 || end > at }) {
+	for g := 0; g < len(p.ends); g += simGroupSize {
+		if !slices.ContainsFunc(p.ends[g:g+simGroupSize], func(end time.Duration) bool { return end == 0 || end > at }) {
 			n++
 		}
 	}
 	return n
 }
 
-func (p *queued) wanted() int { return len(p.length) / playSize * 9 / 10 }
+func (p *simulatedStep) wantedGroups() int { return len(p.length) / simGroupSize * 9 / 10 }
 
-// run plays the step until the groups that its trainer waits for are whole. It
-// returns how many were whole when they were read in time, and when the step ended.
-func (p *queued) run(ranked bool) (inTime int, ended time.Duration) {
+// run simulates the step until the groups that its trainer waits for are whole. It
+// returns how many of them were whole in time, and when the step ended.
+func (p *simulatedStep) run(ranked bool) (inTime int, ended time.Duration) {
 	now := time.Duration(0)
-	for ; p.whole(now) < p.wanted(); now += playTick {
+	for ; p.wholeGroups(now) < p.wantedGroups(); now += simTick {
 		if ranked {
 			p.rank(now)
 		}
@@ -80,10 +81,10 @@
 			p.queue = p.queue[1:]
 		}
 	}
-	return min(p.wanted(), p.whole(min(now, p.due+playRead))), now
+	return min(p.wantedGroups(), p.wholeGroups(min(now, p.due+simReadGrace))), now
 }
 
-func (p *queued) running(now time.Duration) int {
+func (p *simulatedStep) running(now time.Duration) int {
 	n := 0
 	for _, end := range p.ends {
 		if end > now {
@@ -93,16 +94,16 @@
 	return n
 }
 
-// rank orders the queue as the product does.
-func (p *queued) rank(now time.Duration) {
+// rank orders the queue by Load.Rank, as the batch runner does.
+func (p *simulatedStep) rank(now time.Duration) {
 	l := Load{
-		Missing: p.wanted() - p.whole(now),
+		Missing: p.wantedGroups() - p.wholeGroups(now),
 		Slots:   p.slots,
 		Left:    p.due - now,
 	}
 	at := make(map[int]int)
 	for i := range p.length {
-		left := p.hint[i]
+		left := p.estimate[i]
 		if end := p.ends[i]; end > 0 {
 			if end <= now {
 				continue
@@ -110,7 +111,7 @@
 			ran := now - (end - p.length[i])
 			left = max(left-ran, ran/2)
 		}
-		g := i / playSize
+		g := i / simGroupSize
 		if _, ok := at[g]; !ok {
 			at[g] = len(l.Groups)
 			l.Groups = append(l.Groups, Work{})
@@ -120,65 +121,68 @@
 		w.Longest = max(w.Longest, left)
 	}
 	places := l.Rank().Places
-	place := func(i int) int { return places[at[i/playSize]] }
+	place := func(i int) int { return places[at[i/simGroupSize]] }
 	sort.SliceStable(p.queue, func(a, b int) bool {
 		x, y := p.queue[a], p.queue[b]
 		if place(x) != place(y) {
 			return place(x) < place(y)
 		}
-		return p.hint[x] > p.hint[y]
+		return p.estimate[x] > p.estimate[y]
 	})
 }
 
-// queuedPlays returns the means of some plays, longest first and as ranked.
-func queuedPlays(groups, slots int) (inTime, ranked, ended, rankedEnded float64) {
+// meansOfRuns returns the means over several simulated steps, with items longest first
+// and in ranked order.
+func meansOfRuns(groups, slots int) (inTime, ranked, ended, rankedEnded float64) {
 	const n = 40
 	for seed := range uint64(n) {
-		w, e := newQueued(seed, groups, slots, 7500*time.Millisecond).run(false)
-		rw, re := newQueued(seed, groups, slots, 7500*time.Millisecond).run(true)
+		w, e := newSimulatedStep(seed, groups, slots, 7500*time.Millisecond).run(false)
+		rw, re := newSimulatedStep(seed, groups, slots, 7500*time.Millisecond).run(true)
 		inTime, ranked = inTime+float64(w)/n, ranked+float64(rw)/n
 		ended, rankedEnded = ended+e.Seconds()/n, rankedEnded+re.Seconds()/n
 	}
 	return inTime, ranked, ended, rankedEnded
 }
 
-// Steps of three times the work that there is time for. Begun longest first over
-// all groups, almost every group still lacks an item when the results are due, and
-// the trainer has waited for nothing.
-func TestGroupsAreWholeUnderOverload(t *testing.T) {
+// Guards against an overloaded step in which no group is whole in time. The steps have
+// three times the work that there is time for; begun longest first over all groups,
+// almost every group still lacks an item when the results are due.
+func TestOverloadedStepCompletesGroupsInTime(t *testing.T) {
 	is := is.New(t)
-	before, after, _, _ := queuedPlays(27, 12)
+	before, after, _, _ := meansOfRuns(27, 12)
 	t.Logf("groups whole in time: %.1f longest first, %.1f as ranked", before, after)
 	is.True(after > 3*before)
 	is.True(after >= 5)
 }
 
-// Guards against a crowded step that ends late with groups made for nobody.
-func TestCrowdedStepMakesWhatIsWaitedFor(t *testing.T) {
+// Guards against a crowded step that ends late because it runs groups that the trainer
+// does not wait for.
+func TestCrowdedStepPostponesSurplusGroups(t *testing.T) {
 	is := is.New(t)
 	for _, slots := range []int{56, 52, 48} {
-		before, after, ended, rankedEnded := queuedPlays(53, slots)
+		before, after, ended, rankedEnded := meansOfRuns(53, slots)
 		t.Logf("%d slots: in time %.1f, ended %.2f s longest first; in time %.1f, ended %.2f s as ranked", slots, before, ended, after, rankedEnded)
 		is.True(after >= before)
 		is.True(rankedEnded < ended)
 	}
 }
 
-// Guards against a step with time enough whose short groups were put last.
-func TestStepWithTimeIsNotRanked(t *testing.T) {
+// Guards against a step with enough time that ends late because its short groups were
+// put last.
+func TestUncrowdedStepKeepsLongestFirst(t *testing.T) {
 	is := is.New(t)
 	for _, slots := range []int{120, 90} {
-		before, after, ended, rankedEnded := queuedPlays(53, slots)
+		before, after, ended, rankedEnded := meansOfRuns(53, slots)
 		t.Logf("%d slots: in time %.1f, ended %.2f s longest first; in time %.1f, ended %.2f s as ranked", slots, before, ended, after, rankedEnded)
 		is.True(after >= before)
 		is.True(rankedEnded <= ended)
 	}
 }
 
-// Where there is time for all, nothing changes: the longest items begin first, as
-// they alone take as long as the step has. Groups that come again go before the
-// others, as the trainer waits for them in any case, and those that can't be whole
-// in time go last.
+// Guards against a changed order of groups. With time for all groups the longest items
+// begin first, as they alone take as long as the step has. Otherwise carried-over groups
+// go first, as the trainer waits for them in any case, and groups that can't be whole in
+// time go last.
 func TestRank(t *testing.T) {
 	is := is.New(t)
 	l := Load{
@@ -192,13 +196,13 @@
 		Left:    7 * time.Second,
 	}
 	is.Equal(l.Rank(), Ranking{Places: []int{0, 0, 0}})
-	l.Others = 11 * time.Second // an earlier step needs the engines as well
+	l.Others = 11 * time.Second // an earlier step uses the engines as well
 	is.Equal(l.Rank(), Ranking{Places: []int{3, 0, 1}, Overloaded: true})
 	l.Groups[2].Again = true
 	is.Equal(l.Rank(), Ranking{Places: []int{3, 1, 0}, Overloaded: true})
 	l.Groups[1].Longest = 8 * time.Second
 	is.Equal(l.Rank(), Ranking{Places: []int{3, 3, 0}, Overloaded: true})
-	l.Missing = 2 // the last one is for nobody
+	l.Missing = 2 // the trainer does not wait for the last group
 	l.Others = 10 * time.Second
 	is.Equal(l.Rank().Places, []int{0, 4, 0})
 }
--- a/internal/batch/schedule/read.go
+++ b/internal/batch/schedule/read.go
@@ -4,39 +4,42 @@
 	"time"
 )
 
-// The times of reads. A trainer begins a read half a second after the one before
-// began, or at once after one that waited longer, and looks at what it has read
-// just then. The end of a step that meets a read in its first half second is so
-// seen late.
+// Times of a trainer's reads. A trainer begins a read half a second after the previous
+// one began, or at once if that one waited longer, and processes the results of the
+// previous read only then. So it notices the end of a step late if that falls into the
+// first half second of a read.
 const (
-	// readPause is the least wait after which a trainer reads again at once.
-	readPause = 550 * time.Millisecond
-	// readLongest is how long a read waits for results at the most.
-	readLongest = time.Second
-	// readBest is how long the read before the end should still have to go when
-	// it is answered: the estimate of the end may be off to both sides.
-	readBest = 800 * time.Millisecond
+	// minReadWait is the least wait of a read after which the trainer begins the next
+	// one at once.
+	minReadWait = 550 * time.Millisecond
+	// maxReadWait is how long a read waits for results at most.
+	maxReadWait = time.Second
+	// earlyAnswerLead is how long before the expected end of the step the last read
+	// before it is answered at the earliest. The next read has then waited that long at
+	// the end, between minReadWait and maxReadWait, since the estimate of the end may be
+	// off in both directions.
+	earlyAnswerLead = 800 * time.Millisecond
 )
 
-// Reading is a read of a trainer that waits for results.
+// Reading describes a read of a trainer that waits for results.
 type Reading struct {
-	// Waited is how long it has waited.
+	// Waited is how long the read has waited.
 	Waited time.Duration
-	// Left is the time until the step is expected to end; 0 if unknown.
+	// Left is the expected time until the step ends; 0 if unknown.
 	Left time.Duration
 }
 
-// Turn reports whether the read is answered now with what there is, so that the
-// next one has waited long enough when the step ends. A read that runs into its
-// longest wait just before the end is followed by one whose answer the trainer
-// looks at only half a second later, and it stands still for that time.
+// Turn reports whether the read is answered now with the results that there are, so that
+// the next read has waited at least minReadWait when the step ends. If the read reached
+// its longest wait just before the end instead, the trainer would process the answer of
+// the next one only half a second after that began, and would be idle meanwhile.
 func (r Reading) Turn() bool {
-	if r.Waited < readPause || r.Left <= 0 {
+	if r.Waited < minReadWait || r.Left <= 0 {
 		return false
 	}
-	rest := readLongest - r.Waited
-	if r.Left <= rest {
+	waitLeft := maxReadWait - r.Waited
+	if r.Left <= waitLeft {
 		return false
 	}
-	return r.Left-rest < readPause && r.Left <= readBest
+	return r.Left-waitLeft < minReadWait && r.Left <= earlyAnswerLead
 }
--- a/internal/batch/schedule/read_test.go
+++ b/internal/batch/schedule/read_test.go
@@ -7,9 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// trainer reads a step whose end comes at some time, with an estimate of it that
-// is off by an error. It returns how long after the end it sees it.
-func trainer(end, off time.Duration, turns bool) time.Duration {
+// simulateReads simulates a trainer that reads the results of a step with the given end,
+// whose estimated end is off by estimateError. It returns how long after the end the
+// trainer sees it.
+func simulateReads(end, estimateError time.Duration, earlyAnswers bool) time.Duration {
 	const (
 		tick  = 10 * time.Millisecond
 		every = 500 * time.Millisecond
@@ -17,46 +18,47 @@
 	)
 	for began := time.Duration(0); ; {
 		answered := began
-		for ; answered < end && answered-began < readLongest; answered += tick {
+		for ; answered < end && answered-began < maxReadWait; answered += tick {
 			r := Reading{
 				Waited: answered - began,
-				Left:   end + off - answered,
+				Left:   end + estimateError - answered,
 			}
-			// The owner looks after its batches ten times a second.
-			if turns && answered%(100*time.Millisecond) == 0 && r.Turn() {
+			// The owner of a batch checks it ten times a second.
+			if earlyAnswers && answered%(100*time.Millisecond) == 0 && r.Turn() {
 				break
 			}
 		}
-		looks := max(answered, began+every)
+		seenAt := max(answered, began+every)
 		if answered >= end {
-			return looks - end
+			return seenAt - end
 		}
-		began = looks + gap
+		began = seenAt + gap
 	}
 }
 
-// A step ends in the first half second of a trainer's read. The answer is there at
-// once, but the trainer looks at it half a second after it began to read, stands
-// still meanwhile, and is behind with its next step.
-func TestTrainerLooksWhenItsStepEnds(t *testing.T) {
+// Guards against a step whose end falls into the first half second of a read. The read
+// is answered at once, but the trainer processes the answer only half a second after it
+// began to read, is idle meanwhile, and is late with its next step.
+func TestEarlyAnswerLetsNextReadSeeStepEnd(t *testing.T) {
 	is := is.New(t)
 	var before, after time.Duration
-	const plays = 400
-	for i := range plays {
+	const runs = 400
+	for i := range runs {
 		end := 4*time.Second + time.Duration(i)*10*time.Millisecond
-		off := time.Duration(i%5-2) * 60 * time.Millisecond
-		before += trainer(end, off, false)
-		after += trainer(end, off, true)
+		estimateError := time.Duration(i%5-2) * 60 * time.Millisecond
+		before += simulateReads(end, estimateError, false)
+		after += simulateReads(end, estimateError, true)
 	}
-	t.Logf("seen after the end: %s as reads run out, %s with turns", before/plays, after/plays)
-	is.True(before/plays > 100*time.Millisecond) // the load does bring the fault about
-	is.True(after/plays < 50*time.Millisecond)
+	t.Logf("seen after the end: %s if reads wait their full time, %s with early answers", before/runs, after/runs)
+	is.True(before/runs > 100*time.Millisecond) // the simulated reads reproduce the failure
+	is.True(after/runs < 50*time.Millisecond)
 }
 
-// Without an estimate, or with one that is past, reads run their time.
-func TestReadsRunTheirTimeWithoutEstimate(t *testing.T) {
+// Guards against reads that are answered early without an estimate of the end, or with
+// one that is past.
+func TestNoEarlyAnswerWithoutEstimate(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Reading{Waited: 900 * time.Millisecond}.Turn(), false)
 	is.Equal(Reading{Waited: 900 * time.Millisecond, Left: -time.Second}.Turn(), false)
-	is.Equal(Reading{Waited: 300 * time.Millisecond, Left: 800 * time.Millisecond}.Turn(), false) // it would look away as long
+	is.Equal(Reading{Waited: 300 * time.Millisecond, Left: 800 * time.Millisecond}.Turn(), false) // the trainer would pause for as long
 }
--- a/internal/batch/schedule/schedule.go
+++ b/internal/batch/schedule/schedule.go
@@ -6,11 +6,12 @@
 	"github.com/egretbend/egretbend/internal/batch/submission"
 )
 
-// Order returns the places of items in the order in which they begin: the
-// longest first, by the caller's estimate, or by what the item is known to have
-// at least. A long item alone takes as long as the whole step has; begun last,
-// it would make the step late. Items that come again from an earlier step are
-// known for their length: they held that step up.
+// Order returns the indexes of items in the order in which they begin, longest first.
+// The length of an item is the caller's estimate or, if that is larger, the number of
+// tokens in least, which has by item ID what items are known to have at least. A long
+// item alone takes as long as the whole step has; begun last, it would make the step
+// late. Items that are carried over from an earlier step are known to be long, since
+// they held that step up.
 func Order(items []submission.Item, least map[string]int) []int {
 	order := make([]int, len(items))
 	tokens := make([]int, len(items))
--- a/internal/batch/schedule/schedule_test.go
+++ b/internal/batch/schedule/schedule_test.go
@@ -9,8 +9,8 @@
 	"github.com/egretbend/egretbend/internal/batch/submission"
 )
 
-// A step waits for its longest items, which alone take as long as the step has.
-// Begun last they would make it late.
+// Guards against a late step: it waits for its longest items, which alone take as long
+// as the step has, so they must not begin last.
 func TestLongItemsBeginFirst(t *testing.T) {
 	is := is.New(t)
 	items := []submission.Item{
@@ -20,13 +20,14 @@
 		{ID: "middle", ExpectedTokens: 100},
 	}
 	is.Equal(Order(items, nil), []int{2, 3, 0, 1})
-	// The short one was long in an earlier step.
+	// The item "short" was long in an earlier step.
 	is.Equal(Order(items, map[string]int{"short": 800}), []int{2, 0, 3, 1})
 }
 
-// Two of nine engines are four times slower than usual. A stream that left one
-// of them met the other, which had just been emptied, five times in two seconds.
-func TestSlowEnginesGetTheLeftovers(t *testing.T) {
+// Guards against streams that move from one slow engine to another. Two of nine engines
+// are four times slower than usual; a stream that left one of them was sent to the
+// other, which had just been emptied, five times in two seconds.
+func TestPickPrefersEnginesThatAreNotSlow(t *testing.T) {
 	is := is.New(t)
 	engines := []Engine{
 		{Room: 12, Slots: 12, Pace: 4},
@@ -36,25 +37,25 @@
 	}
 	is.Equal(Pick(engines, Need{}), 2) // the emptier one of those that are not slow
 	engines[2].Pace = 1.3
-	is.Equal(Pick(engines, Need{}), 1) // one slot more does not make up for an older kind
+	is.Equal(Pick(engines, Need{}), 1) // one more free slot does not outweigh an older kind
 	engines[1].Room, engines[2].Room = 0, 0.5
-	is.Equal(Pick(engines, Need{}), 3) // both slow ones are free: the near one
+	is.Equal(Pick(engines, Need{}), 3) // only slow engines have a slot: the one in the own failure domain
 	engines[1].Room = 6
 	short := Need{Lasts: time.Second}
 	is.Equal(Pick(engines[1:2], short), -1) // half of a fast engine's slots stay free
 	short.Hurried = true
-	is.Equal(Pick(engines[1:2], short), 0) // but not where the step can't be whole in time
+	is.Equal(Pick(engines[1:2], short), 0) // but not if the step can't complete in time
 	for i := range engines {
 		engines[i].Room = 0
 	}
 	is.Equal(Pick(engines, Need{}), -1)
 }
 
-// An engine goes dark, or turns four times slower, while a step runs. Reading a
-// prompt again costs milliseconds, waiting costs seconds; but a stream that met
-// trouble everywhere stays where it is.
+// Guards against streams that stay at an engine that becomes unreachable or four times
+// slower while a step runs. Reading a prompt again costs milliseconds, waiting costs
+// seconds; but an item that failed at every engine stays where it is.
 func TestMove(t *testing.T) {
-	usual := 40 * time.Millisecond
+	interval := 40 * time.Millisecond
 	for name, c := range map[string]struct {
 		p    Progress
 		room bool
@@ -65,13 +66,13 @@
 		"silent, no room":         {Progress{Waited: 310 * time.Millisecond, Ran: time.Second, Events: 10}, false, false},
 		"four times slower":       {Progress{Waited: 50 * time.Millisecond, Ran: 800 * time.Millisecond, Events: 5}, true, true},
 		"slow, but just begun":    {Progress{Waited: 50 * time.Millisecond, Ran: 300 * time.Millisecond, Events: 2}, true, false},
-		"trouble everywhere":      {Progress{Waited: time.Second, Events: 1, Moves: mostMoves}, true, false},
+		"failed at every engine":  {Progress{Waited: time.Second, Events: 1, Moves: maxMoves}, true, false},
 		"before the first pace":   {Progress{Waited: 350 * time.Millisecond}, true, false},
 		"silent, no pace known":   {Progress{Waited: 400 * time.Millisecond}, true, true},
 		"reads prompts of others": {Progress{Waited: 200 * time.Millisecond, Ran: 800 * time.Millisecond, Events: 12}, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			pace := usual
+			pace := interval
 			if c.p.Events == 0 {
 				pace = 0
 			}
--- a/internal/batch/schedule/scoring.go
+++ b/internal/batch/schedule/scoring.go
@@ -5,35 +5,37 @@
 	"time"
 )
 
+// Parameters of Scoring.
 const (
-	// scoringWeight is the part of a new reward call in what is usual.
+	// scoringWeight is the weight of a new reward call in the moving average.
 	scoringWeight = 1.0 / 16
-	// scoringRest is the part of the usual time that a call which has taken as long
-	// already is expected to need still: few take much longer.
-	scoringRest = 1.0 / 3
+	// scoringTailShare is the least share of the average duration that an unanswered
+	// call is expected to need still, even if it has taken that long already: few calls
+	// take much longer.
+	scoringTailShare = 1.0 / 3
 )
 
-// Scoring learns how long reward calls take. Its zero value knows nothing.
+// Scoring learns how long reward calls take. The zero value is empty and ready to use.
 type Scoring struct {
-	mu    sync.Mutex
-	usual time.Duration
+	mu      sync.Mutex
+	average time.Duration
 }
 
-// Took notes a reward call that was answered.
+// Took records the duration of an answered reward call.
 func (s *Scoring) Took(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.usual == 0 {
-		s.usual = d
+	if s.average == 0 {
+		s.average = d
 		return
 	}
-	s.usual += time.Duration(scoringWeight * float64(d-s.usual))
+	s.average += time.Duration(scoringWeight * float64(d-s.average))
 }
 
-// Left returns how much longer a call is expected to take that was sent some time ago, 0
-// if nothing is known.
+// Left returns how much longer a reward call is expected to take that was sent the given
+// time ago, 0 if no call is known.
 func (s *Scoring) Left(elapsed time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(s.usual-elapsed, time.Duration(scoringRest*float64(s.usual)))
+	return max(s.average-elapsed, time.Duration(scoringTailShare*float64(s.average)))
 }
