--- a/internal/batch/ledger/append.go
+++ b/internal/batch/ledger/append.go
@@ -9,12 +9,12 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// Append writes the next chunk of results, and the progress of long items beside
-// it, and returns the claim with it. It returns ErrFenced when the batch has
-// another owner or is ended. Any other error leaves the chunk to be written
-// again with the very same results.
+// Append writes the next chunk of results together with the progress of long items, and
+// returns the updated claim. It returns ErrFenced if the batch has another owner or is
+// ended. After any other error the caller must write the chunk again with exactly the
+// same results.
 func (l *Ledger) Append(ctx context.Context, c Claim, results []submission.Result, progress []submission.Progress) (Claim, error) {
-	tx, err := c.write(progress)
+	tx, err := c.newTransaction(progress)
 	if err != nil {
 		return c, err
 	}
@@ -23,21 +23,22 @@
 		return c, err
 	}
 	_, err = l.Space.Commit(ctx, tx)
-	if err = stood(err, chunk); err != nil {
+	if err = checkAppended(err, chunk); err != nil {
 		return c, err
 	}
 	c.Chunks++
 	return c, nil
 }
 
-// write returns a transaction that writes progress if the claim still stands.
-func (c Claim) write(progress []submission.Progress) (keyvalue.Transaction, error) {
+// newTransaction returns a transaction that writes progress on condition that the claim
+// is unchanged.
+func (c Claim) newTransaction(progress []submission.Progress) (keyvalue.Transaction, error) {
 	tx := keyvalue.Transaction{
 		Expects: []keyvalue.Expect{
 			{Key: openPrefix + c.Batch, Revision: c.Revision},
 		},
 	}
-	progress = fitting(progress)
+	progress = fittingProgress(progress)
 	if len(progress) == 0 {
 		return tx, nil
 	}
@@ -49,7 +50,7 @@
 	return tx, err
 }
 
-// addChunk adds the next chunk to a transaction and returns it.
+// addChunk adds the next chunk of results to a transaction and returns its write.
 func (c Claim) addChunk(tx *keyvalue.Transaction, results []submission.Result) (keyvalue.Write, error) {
 	data, err := json.Marshal(results)
 	chunk := keyvalue.Write{
@@ -63,45 +64,46 @@
 	return chunk, err
 }
 
-// resultOverhead is what a result takes beside its text in the stored form: its
-// names, versions and score.
-const resultOverhead = 256
+// resultOverheadBytes is the size of a stored result without its text: its names,
+// versions and score.
+const resultOverheadBytes = 256
 
-// Fitting returns how many of the first of some results make one chunk: as many
-// as fit one value, and one at least.
+// Fitting returns how many of the leading results make one chunk: as many as fit into
+// one value, and at least one.
 func Fitting(results []submission.Result) int {
 	size := 0
 	for i, r := range results {
-		size += len(r.Text) + resultOverhead
-		if size > partBytes && i > 0 {
+		size += len(r.Text) + resultOverheadBytes
+		if size > maxValueBytes && i > 0 {
 			return i
 		}
 	}
 	return len(results)
 }
 
-// eventOverhead is what an event takes beside its text in the stored form.
-const eventOverhead = 4
+// eventOverheadBytes is the size of a stored event without its text.
+const eventOverheadBytes = 4
 
-// fitting returns the first of some texts that fit one value together. What does
-// not fit is made again after the loss of the batch's instance; the longest come
+// fittingProgress returns the leading entries that fit into one value together. The
+// others are made again if the instance that owns the batch is lost; the longest come
 // first, as the step waits for them.
-func fitting(progress []submission.Progress) []submission.Progress {
+func fittingProgress(progress []submission.Progress) []submission.Progress {
 	size := 0
 	for i, p := range progress {
 		for _, e := range p.Events {
-			size += len(e) + eventOverhead
+			size += len(e) + eventOverheadBytes
 		}
-		if size > partBytes {
+		if size > maxValueBytes {
 			return progress[:i]
 		}
 	}
 	return progress
 }
 
-// stood returns the outcome of writing a chunk: it may stand from an earlier
-// try whose answer was lost.
-func stood(err error, chunk keyvalue.Write) error {
+// checkAppended returns the outcome of writing a chunk whose transaction returned err. A
+// conflict is no error if the stored chunk is the same: an earlier attempt whose answer
+// was lost has written it.
+func checkAppended(err error, chunk keyvalue.Write) error {
 	var conflict *keyvalue.ConflictError
 	if !errors.As(err, &conflict) {
 		return err
@@ -112,11 +114,11 @@
 	return nil
 }
 
-// HandOver makes another process the owner of a batch, with the last results
-// and the progress of this one. It returns ErrFenced when the batch has another
-// owner already or is ended.
+// HandOver makes another process the owner of a batch and writes the last results and
+// the progress of this process. It returns ErrFenced if the batch has another owner
+// already or is ended.
 func (l *Ledger) HandOver(ctx context.Context, c Claim, to Owner, results []submission.Result, progress []submission.Progress) error {
-	tx, err := c.write(progress)
+	tx, err := c.newTransaction(progress)
 	if err == nil && len(results) > 0 {
 		_, err = c.addChunk(&tx, results)
 	}
--- a/internal/batch/ledger/append_test.go
+++ b/internal/batch/ledger/append_test.go
@@ -13,10 +13,10 @@
 	"github.com/egretbend/egretbend/internal/standin/space"
 )
 
-// The key-value service is away for seconds while a step ends: a megabyte and more
-// of results waits for its return. In one value they were refused again and
-// again, and the step never ended.
-func TestResultsAreCutIntoValues(t *testing.T) {
+// Guards against results that are too large for one value. While the key-value service
+// is unavailable for seconds at the end of a step, a megabyte and more of results wait
+// to be written; in one value they are refused again and again, and the step never ends.
+func TestFittingSplitsResultsIntoValues(t *testing.T) {
 	is := is.New(t)
 	long := submission.Result{Text: strings.Repeat("x", 60<<10)}
 	var results []submission.Result
@@ -26,21 +26,21 @@
 	chunks := 0
 	for len(results) > 0 {
 		n := Fitting(results)
-		is.True(n > 0 && n*len(long.Text) <= partBytes)
+		is.True(n > 0 && n*len(long.Text) <= maxValueBytes)
 		results = results[n:]
 		chunks++
 	}
 	is.Equal(chunks, 5)
-	huge := submission.Result{Text: strings.Repeat("x", 2*partBytes)}
-	is.Equal(Fitting([]submission.Result{huge, huge}), 1) // never none
+	huge := submission.Result{Text: strings.Repeat("x", 2*maxValueBytes)}
+	is.Equal(Fitting([]submission.Result{huge, huge}), 1) // at least one, whatever its size
 	is.Equal(Fitting(nil), 0)
 }
 
-// A step of two hundred texts is under way when the power of all instances
-// fails. Together the texts were larger than one value, and none of them was
-// kept: the step began anew and its trainer stood still for seven seconds. As
-// many as fit are kept, beginning with the longest.
-func TestProgressIsKeptAsFarAsItFits(t *testing.T) {
+// Guards against losing all progress when it is too large for one value. A step of two
+// hundred texts is under way when the power of all instances fails; without stored
+// progress the step begins anew and its trainer is idle for seven seconds. As many texts
+// as fit are kept, beginning with the longest.
+func TestAppendKeepsProgressThatFits(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	l := &Ledger{
--- a/internal/batch/ledger/ledger.go
+++ b/internal/batch/ledger/ledger.go
@@ -13,70 +13,72 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// The keys of the ledger.
+// Key prefixes of the ledger.
 const (
 	openPrefix  = "egretbend/open/"
 	batchPrefix = "egretbend/batch/"
 	endedPrefix = "egretbend/ended/"
 )
 
-// partBytes is the largest part of a submission in one value. The service
-// takes a megabyte, and its answers to a listing are cut at about as much.
-const partBytes = 512 << 10
+// maxValueBytes is the largest amount of data written into one value. The service takes
+// a megabyte, and its answers to a listing are cut at about as much.
+const maxValueBytes = 512 << 10
 
-// maxParts leaves room in a transaction for the claim.
+// maxParts is the largest number of parts of a submission; it leaves room in the
+// transaction for the claim.
 const maxParts = keyvalue.MaxEntries/2 - 2
 
-// How often a write without an answer is looked for, and how long to wait
-// between two looks.
+// How often the outcome of a write without an answer is looked up, and the pause between
+// two lookups.
 const (
-	settleTries = 4
-	settlePause = 150 * time.Millisecond
+	resolveAttempts = 4
+	resolvePause    = 150 * time.Millisecond
 )
 
-// The ways in which an operation can fail.
+// Errors of the operations.
 var (
-	// ErrExists means that the batch was accepted before.
+	// ErrExists means that the batch was accepted before: another process owns it, or it
+	// is ended.
 	ErrExists = errors.New("the batch was accepted before")
 	// ErrUnknown means that there is no such batch.
 	ErrUnknown = errors.New("no such batch")
-	// ErrUnsettled means that the write may or may not be done, or may still
-	// be done.
+	// ErrUnsettled means that the outcome of a write is unknown: it may be done, or may
+	// still be done later.
 	ErrUnsettled = errors.New("it is not known whether the write was done")
-	// ErrFenced means that another instance owns the batch now, or that the
-	// batch is ended.
+	// ErrFenced means that another process owns the batch now, or that the batch is
+	// ended.
 	ErrFenced = errors.New("the batch has another owner or is ended")
-	// ErrTooLarge means that the batch does not fit the service.
+	// ErrTooLarge means that the batch does not fit into one transaction of the service.
 	ErrTooLarge = errors.New("the batch is larger than the key-value service takes")
 )
 
-// Owner names a process that runs batches.
+// Owner identifies a process that runs batches.
 type Owner struct {
 	Instance    string `json:"instance"`
 	Incarnation string `json:"incarnation"`
 	Address     string `json:"address"`
 }
 
-// Claim is an open batch and who runs it.
+// Claim is an open batch and its owner, as of a revision of the stored owner.
 type Claim struct {
 	Batch    string
 	Owner    Owner
 	Revision uint64
-	// Chunks is how many chunks of results the holder of the claim has
-	// written or read.
+	// Chunks is the number of chunks of results that the holder of the claim has written
+	// or read.
 	Chunks int
-	// Found says that the claim was found in the ledger rather than made just
-	// now: results may stand there already.
+	// Found reports that Accept found the batch in the ledger, accepted by this process
+	// before, so that results may be stored already.
 	Found bool
 }
 
-// Record is all that is stored of a batch.
+// Record is everything that is stored of a batch.
 type Record struct {
 	Submission *submission.Submission
 	Results    []submission.Result
 	Progress   []submission.Progress
 	Chunks     int
-	// Ended says that nothing of the batch changes any more.
+	// Ended reports that nothing of the batch changes any more.
 	Ended bool
 }
 
@@ -84,7 +86,7 @@
 type Ledger struct {
 	Space keyvalue.Space
 	Self  Owner
-	// Pause waits between two looks at an unsettled write.
+	// Pause waits between two lookups of a write without an answer.
 	Pause func(time.Duration)
 }
 
@@ -93,7 +95,7 @@
 func progressKey(id string) string     { return batchPrefix + id + "/progress" }
 func chunkKey(id string, n int) string { return fmt.Sprintf("%s%s/result/%06d", batchPrefix, id, n) }
 
-// Accept stores a batch whole, with this process as its owner.
+// Accept stores a complete batch with this process as its owner.
 func (l *Ledger) Accept(ctx context.Context, sub *submission.Submission) (Claim, error) {
 	data, err := sub.Encode()
 	if err != nil {
@@ -116,7 +118,7 @@
 		if n >= maxParts {
 			return Claim{}, ErrTooLarge
 		}
-		part := data[:min(len(data), partBytes)]
+		part := data[:min(len(data), maxValueBytes)]
 		data = data[len(part):]
 		tx.Writes = append(tx.Writes, keyvalue.Write{
 			Key:   partKey(sub.ID, n),
@@ -133,15 +135,16 @@
 			Revision: rev,
 		}, nil
 	case errors.As(err, &conflict):
-		return l.settled(conflict.Item(openPrefix+sub.ID), sub.ID)
+		return l.claimIfOurs(conflict.Item(openPrefix+sub.ID), sub.ID)
 	case errors.Is(err, keyvalue.ErrLost):
-		return l.settle(ctx, sub.ID)
+		return l.resolveAccept(ctx, sub.ID)
 	}
 	return Claim{}, err
 }
 
-// settled tells from the stored owner who accepted a batch that exists.
-func (l *Ledger) settled(item keyvalue.Item, id string) (Claim, error) {
+// claimIfOurs returns the claim on a stored batch if its owner is this process, and
+// ErrExists otherwise. item is the stored owner.
+func (l *Ledger) claimIfOurs(item keyvalue.Item, id string) (Claim, error) {
 	var owner Owner
 	if item.Revision == 0 || json.Unmarshal(item.Value, &owner) != nil || owner != l.Self {
 		return Claim{}, ErrExists
@@ -154,13 +157,14 @@
 	}, nil
 }
 
-// settle looks for a batch whose acceptance had no answer. Only finding it
-// settles the matter: what is absent now may still be written.
-func (l *Ledger) settle(ctx context.Context, id string) (Claim, error) {
-	for range settleTries {
+// resolveAccept looks up a batch after the write that accepts it had no answer. Only
+// finding the batch proves the outcome: if it is absent now, the write may still be done
+// later.
+func (l *Ledger) resolveAccept(ctx context.Context, id string) (Claim, error) {
+	for range resolveAttempts {
 		item, err := l.Space.Get(ctx, openPrefix+id)
 		if err == nil {
-			return l.settled(item, id)
+			return l.claimIfOurs(item, id)
 		}
 		if errors.Is(err, keyvalue.ErrNotFound) {
 			if _, err := l.Space.Get(ctx, partKey(id, 0)); err == nil {
@@ -170,7 +174,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		l.Pause(settlePause)
+		l.Pause(resolvePause)
 	}
 	return Claim{}, ErrUnsettled
 }
@@ -179,24 +183,27 @@
 func (l *Ledger) End(ctx context.Context, id string, now time.Time) error {
 	item, err := l.Space.Get(ctx, openPrefix+id)
 	if errors.Is(err, keyvalue.ErrNotFound) {
-		return l.ended(ctx, id)
+		return l.checkEnded(ctx, id)
 	}
 	if err != nil {
 		return err
 	}
-	return l.endAt(ctx, id, item.Revision, now)
+	return l.endAtRevision(ctx, id, item.Revision, now)
 }
 
-// EndClaimed ends a batch that this process holds, with one call.
+// EndClaimed ends a batch that this process owns, normally with a single call of the
+// service.
 func (l *Ledger) EndClaimed(ctx context.Context, c Claim, now time.Time) error {
-	err := l.endAt(ctx, c.Batch, c.Revision, now)
+	err := l.endAtRevision(ctx, c.Batch, c.Revision, now)
 	if errors.Is(err, ErrFenced) || errors.Is(err, keyvalue.ErrLost) {
 		return l.End(ctx, c.Batch, now)
 	}
 	return err
 }
 
-func (l *Ledger) endAt(ctx context.Context, id string, revision uint64, now time.Time) error {
+// endAtRevision ends a batch if its claim has the given revision, and returns ErrFenced
+// otherwise.
+func (l *Ledger) endAtRevision(ctx context.Context, id string, revision uint64, now time.Time) error {
 	at, err := json.Marshal(now.UnixMilli())
 	if err != nil {
 		return err
@@ -207,8 +214,8 @@
 		},
 		Writes: []keyvalue.Write{
 			{Key: endedPrefix + id, Value: at},
-			// It comes first in a listing of the batch: what is listed after it
-			// is all there will ever be.
+			// This key sorts first in a listing of the batch, so a listing that has it
+			// has all results there will ever be.
 			{Key: endKey(id), Value: at},
 		},
 		Removes: []string{openPrefix + id},
@@ -219,8 +226,9 @@
 	return err
 }
 
-// ended reports nil if the batch is ended, ErrUnknown if there never was one.
-func (l *Ledger) ended(ctx context.Context, id string) error {
+// checkEnded returns nil if the batch is ended, and ErrUnknown if there is no such
+// batch.
+func (l *Ledger) checkEnded(ctx context.Context, id string) error {
 	_, err := l.Space.Get(ctx, endedPrefix+id)
 	if errors.Is(err, keyvalue.ErrNotFound) {
 		return ErrUnknown
@@ -268,11 +276,13 @@
 	return claims, nil
 }
 
-// TakeOver makes this process the owner of an open batch, if the claim still
-// stands as it was seen and the key by which its owner would show that it lives
-// does not exist. A view that is behind may take a live owner for dead; that one
-// would go on answering reads without the results of the new one.
-func (l *Ledger) TakeOver(ctx context.Context, seen Claim, sign string) (Claim, error) {
+// TakeOver makes this process the owner of an open batch if its claim is still the one
+// in seen, and if livenessKey, the key that the old owner keeps while it is alive, does
+// not exist; the latter is not checked if livenessKey is empty. Otherwise it returns
+// ErrFenced. The check is needed because a caller with an outdated view may take a live
+// owner for dead, and that owner would go on answering reads without the results of the
+// new one.
+func (l *Ledger) TakeOver(ctx context.Context, seen Claim, livenessKey string) (Claim, error) {
 	owner, err := json.Marshal(l.Self)
 	if err != nil {
 		return Claim{}, err
@@ -280,9 +290,9 @@
 	expects := []keyvalue.Expect{
 		{Key: openPrefix + seen.Batch, Revision: seen.Revision},
 	}
-	if sign != "" {
+	if livenessKey != "" {
 		expects = append(expects, keyvalue.Expect{
-			Key: sign,
+			Key: livenessKey,
 		})
 	}
 	rev, err := l.Space.Commit(ctx, keyvalue.Transaction{
@@ -301,7 +311,7 @@
 	}, err
 }
 
-// Load reads all that is stored of a batch, or ErrUnknown.
+// Load reads everything that is stored of a batch, or returns ErrUnknown.
 func (l *Ledger) Load(ctx context.Context, id string) (*Record, error) {
 	listing, err := l.Space.Range(ctx, batchPrefix+id+"/", keyvalue.Fresh)
 	if err != nil {
@@ -340,8 +350,9 @@
 	return rec, err
 }
 
-// Forget removes all that is stored of a batch, once nobody may ask for it. The
-// mark of its end goes last: what a failure leaves is found by it again.
+// Forget removes everything that is stored of a batch, once nobody may ask for it any
+// more. The key that lists the batch as ended is removed last, so that a removal that
+// failed halfway is found and repeated.
 func (l *Ledger) Forget(ctx context.Context, id string) error {
 	listing, err := l.Space.Range(ctx, batchPrefix+id+"/", keyvalue.Stale)
 	if err != nil {
@@ -364,7 +375,7 @@
 	return nil
 }
 
-// Ended lists the ended batches with the times of their ends.
+// Ended returns the ended batches with the times at which they ended.
 func (l *Ledger) Ended(ctx context.Context) (map[string]time.Time, error) {
 	listing, err := l.Space.Range(ctx, endedPrefix, keyvalue.Stale)
 	if err != nil {
--- a/internal/batch/ledger/proof_test.go
+++ b/internal/batch/ledger/proof_test.go
@@ -18,39 +18,39 @@
 	"github.com/egretbend/egretbend/internal/standin/space"
 )
 
-// careless is a key-value service that drops the conditions of transactions.
-type careless struct{ *space.Space }
+// unconditionalSpace is a key-value service that ignores the conditions of transactions.
+type unconditionalSpace struct{ *space.Space }
 
 // Commit implements keyvalue.Space.
-func (c careless) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
+func (c unconditionalSpace) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
 	tx.Expects = nil
 	return c.Space.Commit(ctx, tx)
 }
 
-// owner is one process with its ledger and what it believes.
-type owner struct {
+// process is one process with its ledger and its view of the batch.
+type process struct {
 	ledger ledger.Ledger
 	claim  *ledger.Claim
 	listed []submission.Result
-	// trying is a chunk whose write had no answer.
-	trying []submission.Result
+	// unconfirmed is a chunk whose write had no answer.
+	unconfirmed []submission.Result
 }
 
-// take begins with what the ledger has of a claimed batch.
-func (o *owner) take(t *rapid.T, c ledger.Claim) {
+// becomeOwner loads what the ledger has of a claimed batch.
+func (o *process) becomeOwner(t *rapid.T, c ledger.Claim) {
 	rec, err := o.ledger.Load(context.Background(), c.Batch)
 	if err != nil {
 		t.Fatalf("a claimed batch can't be loaded: %v", err)
 	}
 	c.Chunks = rec.Chunks
-	o.claim, o.listed, o.trying = &c, rec.Results, nil
+	o.claim, o.listed, o.unconfirmed = &c, rec.Results, nil
 }
 
-// history drives three processes that accept, take over, append and end one
-// batch while the service loses answers and does calls late. The oracle is what
-// readers have seen: a position that was listed never changes, and only one
-// process is told that it accepted the batch first.
-func history(t *rapid.T, wrap func(*space.Space) keyvalue.Space) {
+// runHistory lets three processes accept, take over, append to and end one batch while
+// the service loses answers and carries out calls late. It checks what readers have
+// seen: the result at a position never changes once it was listed, and only one process
+// is told that it accepted the batch first.
+func runHistory(t *rapid.T, wrap func(*space.Space) keyvalue.Space) {
 	clock := &timer.Manual{}
 	store := &space.Space{
 		Timer: clock,
@@ -62,9 +62,9 @@
 		}
 		return fault
 	}
-	var owners []*owner
+	var owners []*process
 	for i := range 3 {
-		owners = append(owners, &owner{
+		owners = append(owners, &process{
 			ledger: ledger.Ledger{
 				Space: wrap(store),
 				Self: ledger.Owner{
@@ -83,7 +83,7 @@
 	}
 	ctx := context.Background()
 	var seen []submission.Result
-	accepted := map[*owner]bool{}
+	accepted := map[*process]bool{}
 	read := func(list []submission.Result) {
 		for i, r := range list {
 			if i < len(seen) && r.Item != seen[i].Item {
@@ -110,24 +110,24 @@
 			if !c.Found {
 				accepted[o] = true
 			}
-			o.take(t, c)
+			o.becomeOwner(t, c)
 		case "append":
 			if o.claim == nil {
 				continue
 			}
-			if o.trying == nil {
+			if o.unconfirmed == nil {
 				made++
-				o.trying = []submission.Result{{Item: fmt.Sprint("r", made)}}
+				o.unconfirmed = []submission.Result{{Item: fmt.Sprint("r", made)}}
 			}
-			c, err := o.ledger.Append(ctx, *o.claim, o.trying, nil)
+			c, err := o.ledger.Append(ctx, *o.claim, o.unconfirmed, nil)
 			if errors.Is(err, ledger.ErrFenced) {
-				o.claim, o.trying = nil, nil
+				o.claim, o.unconfirmed = nil, nil
 				continue
 			}
 			if err == nil {
 				o.claim = &c
-				o.listed = append(o.listed, o.trying...)
-				o.trying = nil
+				o.listed = append(o.listed, o.unconfirmed...)
+				o.unconfirmed = nil
 				read(o.listed)
 			}
 		case "take":
@@ -137,7 +137,7 @@
 			}
 			c, err := o.ledger.TakeOver(ctx, found, "")
 			if err == nil {
-				o.take(t, c)
+				o.becomeOwner(t, c)
 			}
 		case "read":
 			if rec, err := o.ledger.Load(ctx, "b"); err == nil {
@@ -154,19 +154,20 @@
 	}
 }
 
-// Processes die, freeze and wake, and the service loses answers or does writes
-// seconds later. A trainer that has read a result at a position must find it
-// there for ever, at any instance, and its batch runs once.
+// Guards against a result that changes its position, or a batch that runs twice, when
+// processes die or are paused and resumed and the service loses answers or carries out
+// writes seconds later. A trainer that has read a result at a position must find it
+// there forever, at any instance.
 func TestPositionsNeverChange(t *testing.T) {
 	proof.Check(t, func(t *rapid.T) {
-		history(t, func(s *space.Space) keyvalue.Space { return s })
+		runHistory(t, func(s *space.Space) keyvalue.Space { return s })
 	})
 }
 
-// Without the conditions on claim and chunk an owner that was paused writes over
-// what its successor has listed.
+// Shows that the property depends on the conditions: without those on claim and chunk,
+// an owner that was paused overwrites what its successor has listed.
 func TestPositionsChangeWithoutConditions(t *testing.T) {
 	proof.Refute(t, func(t *rapid.T) {
-		history(t, func(s *space.Space) keyvalue.Space { return careless{s} })
+		runHistory(t, func(s *space.Space) keyvalue.Space { return unconditionalSpace{s} })
 	})
 }
