--- a/internal/batch/submission/doc.go
+++ b/internal/batch/submission/doc.go
@@ -1,5 +1,6 @@
-// Package submission holds the values of batches: what a trainer hands in, and
-// the results that it reads.
+// Package submission has the data types of batches: Submission and its Items are what a
+// trainer submits, Result is what it reads for each item, and Progress is the output so
+// far of an unfinished item.
 //
 //	sub := submission.Submission{
 //		ID:    "7c41e09b52d6a3f8",
@@ -8,5 +9,5 @@
 //	}
 //	data, err := sub.Encode()
 //
-// A result has a fixed position in its batch once it was listed.
+// The position of a result in its batch is fixed once the result was listed.
 package submission
--- a/internal/batch/submission/submission.go
+++ b/internal/batch/submission/submission.go
@@ -24,17 +24,17 @@
 	Body   []byte            `json:"body,omitempty"`
 	Group  string            `json:"group,omitempty"`
 	Model  string            `json:"model,omitempty"`
-	// ExpectedTokens is the caller's estimate of the output, 0 if unknown. It
+	// ExpectedTokens is the caller's estimate of the output in tokens, 0 if unknown. It
 	// is right at the median and often far off.
 	ExpectedTokens int `json:"expected_tokens,omitempty"`
-	// PromptTokens and MostTokens are the tokens of the prompt, and the most of
+	// PromptTokens is the length of the prompt in tokens, and MostTokens the limit of
 	// the output; 0 if unknown.
 	PromptTokens int     `json:"prompt_tokens,omitempty"`
 	MostTokens   int     `json:"most_tokens,omitempty"`
 	Reward       *Reward `json:"reward,omitempty"`
 }
 
-// Estimate returns the estimate of the output, within its bound.
+// Estimate returns the estimate of the output in tokens, capped at the item's limit.
 func (i Item) Estimate() int {
 	if i.MostTokens > 0 {
 		return min(i.ExpectedTokens, i.MostTokens)
@@ -42,12 +42,12 @@
 	return i.ExpectedTokens
 }
 
-// Submission is a batch as it was handed in.
+// Submission is a batch as it was submitted.
 type Submission struct {
-	// ID is the batch's name within the whole fleet; see Scope.
+	// ID is the batch's name, unique among all instances; see Scope.
 	ID string `json:"id"`
-	// Organisation is on whose behalf it was submitted; empty if requests need no
-	// key.
+	// Organisation is the organisation that submitted the batch; empty if requests need
+	// no key.
 	Organisation string `json:"organisation,omitempty"`
 	// Host and Path select the route.
 	Host string `json:"host"`
@@ -55,18 +55,17 @@
 	Step int    `json:"step"`
 	// Model is the model of a trainer's batch.
 	Model string `json:"model,omitempty"`
-	// OldestVersion is the oldest weight version that may make its tokens.
+	// OldestVersion is the oldest weight version that may generate its tokens.
 	OldestVersion uint64 `json:"oldest_version,omitempty"`
-	// WantedGroups is how many whole groups the trainer waits for.
+	// WantedGroups is the number of whole groups that the trainer waits for.
 	WantedGroups int `json:"wanted_groups,omitempty"`
-	// SubmittedMS is the time of day of the first submission, in Unix
-	// milliseconds.
+	// SubmittedMS is the time of the first submission in Unix milliseconds.
 	SubmittedMS int64  `json:"submitted_ms"`
 	Items       []Item `json:"items"`
 }
 
-// Scope returns the name of a batch within the whole fleet. The batches of one
-// organisation don't exist for another one, whatever names they have.
+// Scope returns the name of a batch among all instances. An organisation can't reach the
+// batches of another one, whatever they are called.
 func Scope(id, organisation string) string {
 	if organisation == "" {
 		return id
@@ -74,7 +73,7 @@
 	return url.QueryEscape(id) + "@" + url.QueryEscape(organisation)
 }
 
-// Work returns the tokens that the batch is expected to make.
+// Work returns the number of tokens that the batch is expected to generate.
 func (s *Submission) Work() int64 {
 	work := int64(0)
 	for _, i := range s.Items {
@@ -83,10 +82,10 @@
 	return work
 }
 
-// Encode returns the stored form.
+// Encode returns the stored form of s.
 func (s *Submission) Encode() ([]byte, error) { return json.Marshal(s) }
 
-// Decode returns the submission of a stored form.
+// Decode parses the stored form of a submission.
 func Decode(data []byte) (*Submission, error) {
 	s := &Submission{}
 	if err := json.Unmarshal(data, s); err != nil {
@@ -98,7 +97,7 @@
 // Submitted returns the time of the first submission.
 func (s *Submission) Submitted() time.Time { return time.UnixMilli(s.SubmittedMS) }
 
-// State says how an item ended.
+// State is the outcome of an item.
 type State string
 
 // The states of a result.
@@ -107,7 +106,7 @@
 	Dead      State = "dead"
 )
 
-// Result is the end of an item.
+// Result is the outcome of a finished item.
 type Result struct {
 	Item     string   `json:"item"`
 	State    State    `json:"state"`
@@ -116,14 +115,14 @@
 	Score    string   `json:"score,omitempty"`
 }
 
-// TextOf returns the text of a whole item's events.
+// TextOf returns the text that the events of a finished item form.
 func TextOf(events []string) string { return strings.Join(events, "\n") }
 
-// Progress is the text of an unfinished item as far as it was made.
+// Progress is the output so far of an unfinished item.
 type Progress struct {
 	Item     string   `json:"item"`
 	Events   []string `json:"events"`
 	Versions []uint64 `json:"versions,omitempty"`
-	// Failures is how many engines said that they failed the item.
+	// Failures is how many engines reported that they failed to run the item.
 	Failures int `json:"failures,omitempty"`
 }
--- a/internal/batch/submission/submission_test.go
+++ b/internal/batch/submission/submission_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against organisations that reach each other's batches by a name.
+// Guards against organisations that reach each other's batches by choosing a name.
 func TestScope(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Scope("7c", ""), "7c")
