--- a/internal/batch/account/account_test.go
+++ b/internal/batch/account/account_test.go
@@ -11,9 +11,9 @@
 	"github.com/matryer/is"
 )
 
-// day reads the recorded lines of four steps: two that ran while all instances
-// were killed, one whose items waited for engines, and one that never ended.
-func day(t *testing.T) *Day {
+// readDay reads recorded log lines of four steps: two that ran while all instances were
+// killed, one whose items waited for engines, and one that never ended.
+func readDay(t *testing.T) *Day {
 	t.Helper()
 	is := is.New(t)
 	f, err := os.Open("testdata/day.log")
@@ -26,11 +26,11 @@
 	return d
 }
 
-// A step took nine seconds in place of seven. The causes that the account names
-// must explain all of that time, or an operator would look for the rest in vain.
+// Guards against time of a step that no cause explains, which an operator would look for
+// in vain. One of the steps took nine seconds instead of seven.
 func TestCausesAddUpToTheStep(t *testing.T) {
 	is := is.New(t)
-	d := day(t)
+	d := readDay(t)
 	is.Equal(len(d.Steps), 3)
 	for _, s := range d.Steps {
 		sum := int64(0)
@@ -45,12 +45,12 @@
 	}
 }
 
-// All instances were killed in the middle of two steps. The account must show it
-// as the change of owners, not as slow engines.
-func TestChangeOfOwnerIsNamed(t *testing.T) {
+// Guards against an owner change that is reported as slow engines: all instances were
+// killed in the middle of two steps.
+func TestOwnerChangeIsReported(t *testing.T) {
 	is := is.New(t)
 	killed := 0
-	for _, s := range day(t).Steps {
+	for _, s := range readDay(t).Steps {
 		if s.Owners < 2 {
 			is.Equal(s.Spent[Owners], int64(0))
 			continue
@@ -62,20 +62,21 @@
 	is.Equal(killed, 2)
 }
 
-// A step that was asked for and never ended is what a trainer lost. It has no
-// account, and must not be missing without a word.
-func TestStepWithoutEndIsTold(t *testing.T) {
+// Guards against steps that are missing from the account without notice. A step that was
+// submitted and never ended has no account, but it is what a trainer lost.
+func TestStepWithoutEndIsReported(t *testing.T) {
 	is := is.New(t)
-	d := day(t)
+	d := readDay(t)
 	is.Equal(len(d.Unknowns), 1)
 	is.Equal(d.Unknowns[0].Reason, "no end")
 }
 
-// Instances that are killed leave torn lines. They are counted and the first is
-// named; the rest of the log tells what it can.
-func TestTornLinesAreNamed(t *testing.T) {
+// Guards against incomplete lines that hide the rest of a log or are ignored without
+// notice. Instances that are killed leave such lines; they are counted and the first one
+// is reported.
+func TestTornLinesAreReported(t *testing.T) {
 	is := is.New(t)
-	d := day(t)
+	d := readDay(t)
 	is.Equal(len(d.Faults), 1)
 	is.Equal(d.Faults[0].File, "day.log")
 	is.Equal(d.Faults[0].Line, 7)
@@ -84,7 +85,8 @@
 	is.True(strings.Contains(out.String(), "1 lines could not be read, the first: day.log:7:"))
 }
 
-// Somebody gives the wrong file. An empty table would look like a quiet day.
+// Guards against a wrong file that gives an empty table, which would look like a quiet
+// day.
 func TestLogWithoutStepsIsAnError(t *testing.T) {
 	is := is.New(t)
 	var l Log
@@ -93,8 +95,8 @@
 	is.True(errors.Is(err, ErrNoSteps))
 }
 
-// A field of a line has another form. The line is named with the field.
-func TestBadFieldIsNamed(t *testing.T) {
+// Guards against errors that don't say which line and field is wrong.
+func TestBadFieldIsReported(t *testing.T) {
 	is := is.New(t)
 	var l Log
 	is.NoErr(l.Read("x", strings.NewReader("\ntimestamp=2026-02-14T05:29:18Z decision=accept request_id=7c model=m step=one items=4 age_ms=3\n")))
@@ -103,10 +105,10 @@
 	is.True(strings.Contains(l.Faults()[0].Reason, "field step"))
 }
 
-// The table, the picture and the JSON form tell the same steps.
+// Guards against a table, a picture and a JSON form that show different steps.
 func TestForms(t *testing.T) {
 	is := is.New(t)
-	d := day(t)
+	d := readDay(t)
 	var table, picture bytes.Buffer
 	is.NoErr(d.Table(&table))
 	is.NoErr(d.Picture(&picture))
@@ -124,10 +126,10 @@
 	}
 	is.NoErr(json.Unmarshal(data, &back))
 	is.Equal(len(back.Steps), 3)
-	is.Equal(len(back.Steps[0].Spent), int(causes))
+	is.Equal(len(back.Steps[0].Spent), int(causeCount))
 }
 
-// A log may hold anything; reading it never ends the program.
+// Guards against log contents that end the program with a panic.
 func FuzzRead(f *testing.F) {
 	f.Add("timestamp=2026-02-14T05:29:18Z decision=end request_id=7c critical= made_ms=1 readable_ms=2 age_ms=3")
 	f.Add("timestamp=\"2026 decision=item")
--- a/internal/batch/account/cause.go
+++ b/internal/batch/account/cause.go
@@ -3,44 +3,45 @@
 // Cause is what a part of a step's time was spent on.
 type Cause int
 
-// The causes, in the order in which they come in a step.
+// The causes, in the order in which they occur in a step.
 const (
 	// Acceptance is the time from the submission until the batch was stored.
 	Acceptance Cause = iota
-	// Owners is what changes of the owner cost: the time without one, and the
-	// events that the new one did not find.
+	// Owners is the cost of owner changes: the time without an owner, and the time of
+	// the events that the new owner did not find.
 	Owners
-	// Waiting is the critical item's time without an engine.
+	// Waiting is the time that the critical item spent without an engine.
 	Waiting
-	// Making is the critical item's lower bound: its events at the usual pace.
+	// Making is the lower bound of the critical item: its events at the typical pace.
 	Making
-	// Slowness is what it ran beyond that while events came.
+	// Slowness is the run time of the critical item beyond Making in which events came.
 	Slowness
-	// Standstill is its time at engines without any event.
+	// Standstill is the time that the critical item spent at engines without receiving
+	// events.
 	Standstill
 	// Remaking is the time of events that were dropped and made again.
 	Remaking
-	// Scoring is the time of its reward call.
+	// Scoring is the time of the critical item's reward call.
 	Scoring
-	// Listing is the time until its result was stored and listed.
+	// Listing is the time until the critical item's result was stored and listed.
 	Listing
-	// Reading is the time until the trainer had read it and ended the step.
+	// Reading is the time until the trainer had read that result and ended the step.
 	Reading
 
-	causes
+	causeCount
 )
 
-var names = [causes]string{"acceptance", "owners", "waiting", "making", "slowness", "standstill", "remaking", "scoring", "listing", "reading"}
+var causeNames = [causeCount]string{"acceptance", "owners", "waiting", "making", "slowness", "standstill", "remaking", "scoring", "listing", "reading"}
 
-// String returns the cause's name, as in the JSON form.
-func (c Cause) String() string { return names[c] }
+// String returns the name of the cause, as used in the JSON form.
+func (c Cause) String() string { return causeNames[c] }
 
 // MarshalText implements encoding.TextMarshaler.
 func (c Cause) MarshalText() ([]byte, error) { return []byte(c.String()), nil }
 
-// Causes returns all causes in order.
+// Causes returns all causes in the order of their constants.
 func Causes() []Cause {
-	list := make([]Cause, causes)
+	list := make([]Cause, causeCount)
 	for i := range list {
 		list[i] = Cause(i)
 	}
--- a/internal/batch/account/day.go
+++ b/internal/batch/account/day.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Step is the account of one step of a trainer. Times are in milliseconds.
+// Step is the account of one step of a trainer. Durations are in milliseconds.
 type Step struct {
 	Batch string    `json:"batch"`
 	Model string    `json:"model"`
 	Step  int       `json:"step"`
 	Items int       `json:"items"`
 	Asked time.Time `json:"asked"`
-	// Owners is how many instances ran it one after the other.
+	// Owners is the number of times that an instance accepted the step or took it over.
 	Owners int `json:"owners"`
-	// Critical is the item that ended it, Events its length.
+	// Critical is the item that ended the step, Events the number of its events.
 	Critical string `json:"critical"`
 	Events   int    `json:"events"`
 	Attempts int    `json:"attempts"`
-	// Took is the time from the submission to the end, Bound its lower bound,
-	// and Ratio the one by the other.
+	// Took is the time from the submission to the end, Bound its lower bound, and Ratio
+	// the quotient Took / Bound.
 	Took  int64   `json:"took_ms"`
 	Bound int64   `json:"bound_ms"`
 	Ratio float64 `json:"ratio"`
@@ -28,7 +28,7 @@
 	Spent map[Cause]int64 `json:"spent_ms"`
 }
 
-// Unknown is a step without a full account: it was not ended, or a line of it is
+// Unknown is a step without a full account: it did not end, or a log line about it is
 // missing.
 type Unknown struct {
 	Batch string    `json:"batch"`
@@ -39,16 +39,16 @@
 	Reason string `json:"reason"`
 }
 
-// Day is the account of all steps in some logs.
+// Day is the account of all steps in the logs that were read.
 type Day struct {
 	Steps    []Step    `json:"steps"`
 	Unknowns []Unknown `json:"unknown"`
-	// Sums are the steps' times by cause.
+	// Sums has for each cause the total time of all steps.
 	Sums   map[Cause]int64 `json:"sums_ms"`
 	Faults []Fault         `json:"faults"`
 }
 
-// Day returns the account, or ErrNoSteps.
+// Day returns the account of the lines read so far, or ErrNoSteps.
 func (l *Log) Day() (*Day, error) {
 	if len(l.begins) == 0 {
 		return nil, ErrNoSteps
@@ -59,8 +59,8 @@
 	}
 	paces := l.paces()
 	for batch, begins := range l.begins {
-		slices.SortFunc(begins, func(a, b begin) int { return a.at.Compare(b.at) })
-		step, reason := l.step(batch, begins, paces)
+		slices.SortFunc(begins, func(a, b beginRecord) int { return a.at.Compare(b.at) })
+		step, reason := l.newStep(batch, begins, paces)
 		if reason != "" {
 			d.Unknowns = append(d.Unknowns, Unknown{
 				Batch:  batch,
@@ -81,15 +81,15 @@
 	return d, nil
 }
 
-// step returns the account of a step, or why there is none.
-func (l *Log) step(batch string, begins []begin, paces map[string]time.Duration) (Step, string) {
+// newStep returns the account of a step, or the reason why there is none.
+func (l *Log) newStep(batch string, begins []beginRecord, paces map[string]time.Duration) (Step, string) {
 	first := begins[0]
 	s := Step{
 		Batch:  batch,
 		Model:  first.model,
 		Step:   first.step,
 		Items:  first.items,
-		Asked:  first.asked(),
+		Asked:  first.submitted(),
 		Owners: len(begins),
 	}
 	e, ok := l.ends[batch]
@@ -108,15 +108,15 @@
 	}
 	pace := paces[first.model]
 	making := time.Duration(critical.events) * pace
-	before := time.Duration(critical.restored) * pace
+	restored := time.Duration(critical.restored) * pace
 	remaking := time.Duration(critical.remade) * pace
 	spent := map[Cause]time.Duration{
 		Acceptance: first.age,
-		Owners:     e.begun().Sub(first.at) - before,
+		Owners:     e.ownerBegan().Sub(first.at) - restored,
 		Waiting:    critical.waited,
 		Making:     making,
-		Slowness:   critical.ran - critical.stood - remaking - (making - before),
-		Standstill: critical.stood,
+		Slowness:   critical.ran - critical.stalled - remaking - (making - restored),
+		Standstill: critical.stalled,
 		Remaking:   remaking,
 		Scoring:    critical.scored,
 		Listing:    e.readable - e.made,
@@ -137,20 +137,21 @@
 	return s, ""
 }
 
-// paceEvents is how many events an item must have to tell an engine's pace.
-const paceEvents = 20
+// minPaceEvents is the number of events that an item must have made for its pace to
+// count.
+const minPaceEvents = 20
 
-// paces returns the time of an event at a lightly loaded engine for each model:
-// a tenth of the items that ran without trouble were faster.
+// paces returns for each model the time per event at a lightly loaded engine. It is the
+// pace that a tenth of the items with one attempt were faster than.
 func (l *Log) paces() map[string]time.Duration {
 	models := make(map[string][]time.Duration)
 	for key, i := range l.items {
 		made := i.events - i.restored
-		if made < paceEvents || i.attempts != 1 || len(l.begins[key.batch]) == 0 {
+		if made < minPaceEvents || i.attempts != 1 || len(l.begins[key.batch]) == 0 {
 			continue
 		}
 		model := l.begins[key.batch][0].model
-		models[model] = append(models[model], (i.ran-i.stood)/time.Duration(made))
+		models[model] = append(models[model], (i.ran-i.stalled)/time.Duration(made))
 	}
 	paces := make(map[string]time.Duration, len(models))
 	for model, list := range models {
--- a/internal/batch/account/fields.go
+++ b/internal/batch/account/fields.go
@@ -10,20 +10,21 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// The fields of every line.
+// Names of the fields that every line has.
 const (
 	fieldTime     = "timestamp"
 	fieldDecision = "decision"
 )
 
-// fields are the fields of a line. The first one that is missing or can't be read
-// is kept as the error.
+// fields has the fields of a line. err is the error of the first field that is missing
+// or can't be read.
 type fields struct {
 	values map[string]string
 	err    error
 }
 
-func parse(text string) (*fields, error) {
+// parseFields reads the fields of a line in logfmt.
+func parseFields(text string) (*fields, error) {
 	f := &fields{
 		values: make(map[string]string),
 	}
@@ -36,7 +37,8 @@
 	return f, d.Err()
 }
 
-func (f *fields) fail(name string, err error) {
+// setError keeps the first error.
+func (f *fields) setError(name string, err error) {
 	if f.err == nil {
 		f.err = fmt.Errorf("field %s: %w", name, err)
 	}
@@ -44,10 +46,11 @@
 
 var errMissing = errors.New("missing")
 
+// text returns the value of a field, which must not be empty.
 func (f *fields) text(name string) string {
 	v := f.values[name]
 	if v == "" {
-		f.fail(name, errMissing)
+		f.setError(name, errMissing)
 	}
 	return v
 }
@@ -59,12 +62,12 @@
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil {
-		f.fail(name, err)
+		f.setError(name, err)
 	}
 	return n
 }
 
-// duration reads whole milliseconds.
+// duration reads a field in whole milliseconds.
 func (f *fields) duration(name string) time.Duration {
 	return time.Duration(f.number(name)) * time.Millisecond
 }
@@ -72,7 +75,7 @@
 func (f *fields) time() time.Time {
 	at, err := time.Parse(time.RFC3339Nano, f.text(fieldTime))
 	if err != nil {
-		f.fail(fieldTime, err)
+		f.setError(fieldTime, err)
 	}
 	return at
 }
--- a/internal/batch/account/log.go
+++ b/internal/batch/account/log.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// maxLine bounds a line of a log.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
-// ErrNoSteps means that nothing that was read tells of a step.
+// ErrNoSteps means that the logs have no line about a step.
 var ErrNoSteps = errors.New("no step in the logs; give logs of the instances that ran batches, at level info")
 
-// Log is what was read of the logs of any number of instances. Its zero value is
-// empty.
+// Log has the lines about steps from the logs of any number of instances. The zero value
+// is empty and ready to use.
 type Log struct {
-	begins map[string][]begin
-	items  map[itemKey]item
-	ends   map[string]end
+	begins map[string][]beginRecord
+	items  map[itemKey]itemRecord
+	ends   map[string]endRecord
 	faults []Fault
 }
 
-// Fault is a line about a step that can't be read: instances that end abruptly
-// leave torn ones.
+// Fault is a line about a step that can't be read. Instances that end abruptly leave
+// incomplete lines.
 type Fault struct {
 	File string `json:"file"`
 	// Line counts from 1.
@@ -38,8 +38,9 @@
 
 type itemKey struct{ batch, item string }
 
-// begin is a line of an instance that accepted a batch or took it over.
-type begin struct {
+// beginRecord is the line of an instance that accepted a batch or took it over. age is
+// the time since the submission.
+type beginRecord struct {
 	at    time.Time
 	batch string
 	model string
@@ -48,39 +49,45 @@
 	age   time.Duration
 }
 
-// asked returns when the batch was submitted.
-func (b begin) asked() time.Time { return b.at.Add(-b.age) }
+// submitted returns when the batch was submitted.
+func (b beginRecord) submitted() time.Time { return b.at.Add(-b.age) }
 
-// item is a line about an item that was made.
-type item struct {
+// itemRecord is the line about a finished item.
+type itemRecord struct {
 	itemKey
+	// restored events were made by an earlier owner, remade ones were dropped and made
+	// again.
 	events, restored, remade, attempts int
 
-	waited, ran, stood, scored time.Duration
+	// waited is the time in the queue, ran the time at engines, stalled the part of ran
+	// without events, and scored the time of the reward call.
+	waited, ran, stalled, scored time.Duration
 }
 
-// end is a line about the end of a step.
-type end struct {
+// endRecord is the line about the end of a step.
+type endRecord struct {
 	at       time.Time
 	batch    string
 	critical string
-	// made, readable and age count from the last owner's beginning.
+	// made, readable and age are the times from when the last owner began until the
+	// groups that the trainer waits for were whole, until their results were readable,
+	// and until the step ended.
 	made, readable, age time.Duration
 }
 
-// begun returns when the last owner began.
-func (e end) begun() time.Time { return e.at.Add(-e.age) }
+// ownerBegan returns when the last owner began.
+func (e endRecord) ownerBegan() time.Time { return e.at.Add(-e.age) }
 
-// Read takes the lines of one file. Lines that don't tell of steps are passed
-// over, and so is what stands before the fields of a line. The error is that of
-// r; lines that can't be read are kept as faults.
+// Read adds the lines of one log file. It skips lines that are not about steps, and any
+// text before the fields of a line. Lines that can't be read are kept as faults; the
+// returned error is that of reading r.
 func (l *Log) Read(name string, r io.Reader) error {
 	scan := bufio.NewScanner(r)
-	scan.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scan.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	n := 0
 	for scan.Scan() {
 		n++
-		if err := l.line(scan.Text()); err != nil {
+		if err := l.addLine(scan.Text()); err != nil {
 			l.faults = append(l.faults, Fault{
 				File:   name,
 				Line:   n,
@@ -97,31 +104,31 @@
 // Faults returns the lines that could not be read.
 func (l *Log) Faults() []Fault { return l.faults }
 
-// line takes one line.
-func (l *Log) line(text string) error {
+// addLine adds one line, if it is about a step.
+func (l *Log) addLine(text string) error {
 	at := strings.Index(text, fieldTime+"=")
 	if at < 0 || !strings.Contains(text, fieldDecision+"=") {
 		return nil
 	}
-	f, err := parse(text[at:])
+	f, err := parseFields(text[at:])
 	if err != nil {
 		return err
 	}
 	switch f.values[fieldDecision] {
 	case "accept", "prepare", "take_over":
-		l.begin(f)
+		l.addBegin(f)
 	case "item":
-		l.item(f)
+		l.addItem(f)
 	case "end":
-		l.end(f)
+		l.addEnd(f)
 	default:
 		return nil
 	}
 	return f.err
 }
 
-func (l *Log) begin(f *fields) {
-	b := begin{
+func (l *Log) addBegin(f *fields) {
+	b := beginRecord{
 		at:    f.time(),
 		batch: f.text("request_id"),
 		model: f.text("model"),
@@ -133,13 +140,13 @@
 		return
 	}
 	if l.begins == nil {
-		l.begins = make(map[string][]begin)
+		l.begins = make(map[string][]beginRecord)
 	}
 	l.begins[b.batch] = append(l.begins[b.batch], b)
 }
 
-func (l *Log) item(f *fields) {
-	i := item{
+func (l *Log) addItem(f *fields) {
+	i := itemRecord{
 		itemKey: itemKey{
 			batch: f.text("batch"),
 			item:  f.text("request_id"),
@@ -150,20 +157,20 @@
 		attempts: f.number("attempts"),
 		waited:   f.duration("waited_ms"),
 		ran:      f.duration("ran_ms"),
-		stood:    f.duration("stood_ms"),
+		stalled:  f.duration("stood_ms"),
 		scored:   f.duration("scored_ms"),
 	}
 	if f.err != nil {
 		return
 	}
 	if l.items == nil {
-		l.items = make(map[itemKey]item)
+		l.items = make(map[itemKey]itemRecord)
 	}
 	l.items[i.itemKey] = i
 }
 
-func (l *Log) end(f *fields) {
-	e := end{
+func (l *Log) addEnd(f *fields) {
+	e := endRecord{
 		at:       f.time(),
 		batch:    f.text("request_id"),
 		critical: f.values["critical"],
@@ -175,7 +182,7 @@
 		return
 	}
 	if l.ends == nil {
-		l.ends = make(map[string]end)
+		l.ends = make(map[string]endRecord)
 	}
 	l.ends[e.batch] = e
 }
--- a/internal/batch/account/picture.go
+++ b/internal/batch/account/picture.go
@@ -8,46 +8,46 @@
 	svg "github.com/ajstarks/svgo"
 )
 
-// The measures of the picture, in its own units.
+// Dimensions of the picture in SVG user units. secondWidth is the width of one second.
 const (
-	pictureSecond = 40
-	pictureRow    = 12
-	pictureBar    = 9
-	pictureLeft   = 140
-	pictureTop    = 40
-	pictureKey    = 90
+	secondWidth      = 40
+	rowHeight        = 12
+	barHeight        = 9
+	leftMargin       = 140
+	topMargin        = 40
+	legendEntryWidth = 90
 )
 
-var colours = [causes]string{"#999", "#c33", "#e93", "#4a7", "#9c6", "#36c", "#a5c", "#5bb", "#cc4", "#845"}
+var causeColours = [causeCount]string{"#999", "#c33", "#e93", "#4a7", "#9c6", "#36c", "#a5c", "#5bb", "#cc4", "#845"}
 
-// Picture draws the steps over time as SVG, with their causes in colour.
+// Picture draws the steps over time as SVG, with one colour for each cause.
 func (d *Day) Picture(w io.Writer) error {
 	if len(d.Steps) == 0 {
 		return ErrNoSteps
 	}
-	out := &sticky{
+	out := &stickyErrorWriter{
 		w: w,
 	}
 	from, to := d.span()
-	width := pictureLeft + int(to.Sub(from).Seconds()+1)*pictureSecond
-	height := pictureTop + (len(d.Steps)+1)*pictureRow
+	width := leftMargin + int(to.Sub(from).Seconds()+1)*secondWidth
+	height := topMargin + (len(d.Steps)+1)*rowHeight
 	c := svg.New(out)
-	c.Start(max(width, pictureLeft+int(causes)*pictureKey), height, `font-family="sans-serif" font-size="9"`)
+	c.Start(max(width, leftMargin+int(causeCount)*legendEntryWidth), height, `font-family="sans-serif" font-size="9"`)
 	for _, cause := range Causes() {
-		x := pictureLeft + int(cause)*pictureKey
-		c.Rect(x, 8, 10, 10, "fill:"+colours[cause])
+		x := leftMargin + int(cause)*legendEntryWidth
+		c.Rect(x, 8, 10, 10, "fill:"+causeColours[cause])
 		c.Text(x+14, 17, cause.String())
 	}
 	for second := 0; second <= int(to.Sub(from).Seconds()); second += 5 {
-		c.Text(pictureLeft+second*pictureSecond, pictureTop-6, fmt.Sprint(second, " s"))
+		c.Text(leftMargin+second*secondWidth, topMargin-6, fmt.Sprint(second, " s"))
 	}
 	for row, s := range d.Steps {
-		y := pictureTop + row*pictureRow
-		c.Text(4, y+pictureBar, fmt.Sprint(s.Model, " ", s.Step))
+		y := topMargin + row*rowHeight
+		c.Text(4, y+barHeight, fmt.Sprint(s.Model, " ", s.Step))
 		at := s.Asked.Sub(from)
 		for _, cause := range Causes() {
 			spent := time.Duration(max(0, s.Spent[cause])) * time.Millisecond
-			c.Rect(pictureLeft+units(at), y, units(at+spent)-units(at), pictureBar, "fill:"+colours[cause])
+			c.Rect(leftMargin+durationWidth(at), y, durationWidth(at+spent)-durationWidth(at), barHeight, "fill:"+causeColours[cause])
 			at += spent
 		}
 	}
@@ -55,9 +55,9 @@
 	return out.err
 }
 
-func units(d time.Duration) int { return int(d.Seconds() * pictureSecond) }
+func durationWidth(d time.Duration) int { return int(d.Seconds() * secondWidth) }
 
-// span returns when the first step was asked and the last one ended.
+// span returns when the first step was submitted and when the last one ended.
 func (d *Day) span() (from, to time.Time) {
 	from = d.Steps[0].Asked
 	for _, s := range d.Steps {
@@ -68,14 +68,15 @@
 	return from, to
 }
 
-// sticky keeps the first error of a writer, as the library drops them.
-type sticky struct {
+// stickyErrorWriter keeps the first error of a writer, since the SVG library ignores
+// errors.
+type stickyErrorWriter struct {
 	w   io.Writer
 	err error
 }
 
 // Write implements io.Writer.
-func (s *sticky) Write(p []byte) (int, error) {
+func (s *stickyErrorWriter) Write(p []byte) (int, error) {
 	if s.err != nil {
 		return len(p), nil
 	}
--- a/internal/batch/account/table.go
+++ b/internal/batch/account/table.go
@@ -7,10 +7,11 @@
 	"text/tabwriter"
 )
 
-// Table writes the account as text: a row a step, then the sums.
+// Table writes the account as text: one row for each step, then the sums, the steps
+// without an account and the number of unreadable lines.
 func (d *Day) Table(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(t, "asked\tmodel\tstep\titems\tevents\ttook ms\tbound\tratio\t%s\tbatch\t\n", strings.Join(names[:], "\t"))
+	fmt.Fprintf(t, "asked\tmodel\tstep\titems\tevents\ttook ms\tbound\tratio\t%s\tbatch\t\n", strings.Join(causeNames[:], "\t"))
 	for _, s := range d.Steps {
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.2f\t", s.Asked.Format("15:04:05.000"), s.Model, s.Step, s.Items, s.Events, s.Took, s.Bound, s.Ratio)
 		for _, c := range Causes() {
@@ -34,7 +35,7 @@
 	return d.writeFaults(w)
 }
 
-// writeFaults tells how many lines could not be read, and which was the first.
+// writeFaults writes how many lines could not be read, and which was the first.
 func (d *Day) writeFaults(w io.Writer) error {
 	if len(d.Faults) == 0 {
 		return nil
