--- a/internal/batch/desk/remind_test.go
+++ b/internal/batch/desk/adopt_test.go
@@ -13,22 +13,22 @@
 	"github.com/egretbend/egretbend/internal/standin/space"
 )
 
-// unaware is an owner that does not know of its batch.
-type unaware struct {
-	silent
+// unawarePeers has an owner that does not know of its batch.
+type unawarePeers struct {
+	silentPeers
 	adopted chan string
 }
 
 // Adopt implements Peers.
-func (u unaware) Adopt(_ context.Context, address, id string) error {
+func (u unawarePeers) Adopt(_ context.Context, address, id string) error {
 	u.adopted <- address + " " + id
 	return nil
 }
 
-// The service is slow. The home of a batch stores it, but gives up on the answer,
-// and the trainer comes again at another instance, which finds it accepted. The
-// owner looked for its batches only seconds later, and the step stood still.
-func TestOwnerThatDoesNotKnowItsBatchIsReminded(t *testing.T) {
+// Guards against a trainer that is idle for seconds until the owner of its batch sweeps. The
+// key-value service is slow: the home stores the batch but gives up on the answer, and the
+// trainer retries at another instance, which finds the batch accepted.
+func TestUnawareOwnerIsToldToAdoptItsBatch(t *testing.T) {
 	is := is.New(t)
 	d, store := newDesk(t, nil)
 	owner := &ledger.Ledger{
@@ -44,7 +44,7 @@
 	}
 	_, err := owner.Accept(context.Background(), sub)
 	is.NoErr(err)
-	peers := unaware{
+	peers := unawarePeers{
 		adopted: make(chan string, 1),
 	}
 	d.Peers = peers
@@ -52,21 +52,22 @@
 	is.Equal(<-peers.adopted, "other:1 b")
 }
 
-// The batch has ended meanwhile: nobody is asked for anything.
-func TestEndedBatchIsNotBegunAgain(t *testing.T) {
+// The batch has ended in the meantime: no instance is asked to adopt it.
+func TestEndedBatchIsNotAdopted(t *testing.T) {
 	is := is.New(t)
 	d, _ := newDesk(t, nil)
-	peers := unaware{
+	peers := unawarePeers{
 		adopted: make(chan string, 1),
 	}
 	d.Peers = peers
-	d.remind("gone")
+	d.ensureOwnerRuns("gone")
 	is.Equal(len(peers.adopted), 0)
 }
 
-// The key-value service is away when a trainer asks for a step. Its home begins the
-// step and must not say then that it has not run; any other instance may.
-func TestHomeThatBeginsAStepDoesNotRefuseIt(t *testing.T) {
+// Guards against the outcome "not run" for a step that runs. The key-value service is
+// unavailable, so the home begins the step before it is stored; any other instance does
+// not begin it and may report "not run".
+func TestHomeDoesNotReportPreparedBatchAsNotRun(t *testing.T) {
 	is := is.New(t)
 	d, _ := newDesk(t, func(space.Call) space.Fault { return space.Down })
 	sub := &submission.Submission{
@@ -76,15 +77,16 @@
 	self := d.Registry.Self()
 	self.Cores = 1
 	d.Registry.SetSelf(self)
-	is.True(d.prepares(sub))
+	is.True(d.isHome(sub))
 	err := d.Accept(context.Background(), sub, catalog.Route{})
 	is.Equal(problem.From(err).Kind.Outcome, problem.Unknown)
 
-	// The home goes on trying to store it: another desk stands for another instance.
+	// The home keeps trying to store the step, so a separate desk serves as the other
+	// instance.
 	other, _ := newDesk(t, func(space.Call) space.Fault { return space.Down })
 	other.Registry.SetSelf(self)
 	other.Ledger.Self.Instance = "elsewhere"
-	is.Equal(other.prepares(sub), false)
+	is.Equal(other.isHome(sub), false)
 	err = other.Accept(context.Background(), sub, catalog.Route{})
 	is.Equal(problem.From(err).Kind.Outcome, problem.NotRun)
 }
--- a/internal/batch/desk/tidy_test.go
+++ b/internal/batch/desk/cleanup_test.go
@@ -11,10 +11,9 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// Steps are made all day. Their samples must leave the key-value service some
-// minutes after their end, and not one second before they may: a trainer reads
-// them for two minutes.
-func TestEndedBatchesAreForgotten(t *testing.T) {
+// Guards against a key-value store that fills up with ended batches, and against removing a
+// batch too early: trainers read results for two minutes.
+func TestEndedBatchesAreRemovedAfterRetention(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	d, store := newDesk(t, nil)
@@ -28,14 +27,14 @@
 	is.NoErr(d.Ledger.End(ctx, "old", now))
 	before, err := store.Range(ctx, "", keyvalue.Fresh)
 	is.NoErr(err)
-	d.tidy(ctx, now.Add(keepEnded-time.Second))
+	d.cleanUp(ctx, now.Add(endedRetention-time.Second))
 	still, err := store.Range(ctx, "", keyvalue.Fresh)
 	is.NoErr(err)
 	is.Equal(len(still.Items), len(before.Items))
-	d.tidy(ctx, now.Add(keepEnded+time.Second))
+	d.cleanUp(ctx, now.Add(endedRetention+time.Second))
 	after, err := store.Range(ctx, "", keyvalue.Fresh)
 	is.NoErr(err)
-	is.Equal(len(before.Items)-len(after.Items), 5) // its part, chunk, progress and both marks of its end
+	is.Equal(len(before.Items)-len(after.Items), 5) // its part, chunk, progress and two end keys
 	_, err = d.Ledger.Load(ctx, "open")
 	is.NoErr(err)
 }
--- a/internal/batch/desk/desk.go
+++ b/internal/batch/desk/desk.go
@@ -20,57 +20,60 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// The times of the desk.
+// Timeouts and pauses of calls about batches.
 const (
 	// MaxWait is how long a read may wait for results.
 	MaxWait = time.Second
-	// submitTimeout is how long a batch may wait for the key-value service.
-	// Trainers wait about half a second for the answer, and come back.
+	// submitTimeout bounds storing a batch in the key-value service. Trainers
+	// wait about half a second for the answer, and retry.
 	submitTimeout = 2500 * time.Millisecond
 	// homeTimeout is how long the home of a batch may take to accept it before
-	// this instance does it itself.
+	// this instance accepts it itself.
 	homeTimeout = 400 * time.Millisecond
-	// callTimeout bounds a call to the owner of a batch, its wait not counted.
+	// callTimeout bounds a call to the owner of a batch, on top of the time that
+	// a read may wait for results.
 	callTimeout = 600 * time.Millisecond
-	// readerTimeout bounds a call to the instance that reads a batch from the
-	// ledger, which lists some megabytes.
-	readerTimeout = 1500 * time.Millisecond
-	// ledgerTimeout bounds a look into the ledger.
+	// ledgerReaderTimeout bounds a call to the ledger reader of a batch, which lists
+	// some megabytes.
+	ledgerReaderTimeout = 1500 * time.Millisecond
+	// ledgerTimeout bounds one read of the ledger.
 	ledgerTimeout = 4 * time.Second
-	// endTimeout bounds the end of a batch.
+	// endTimeout bounds ending a batch.
 	endTimeout = 3 * time.Second
-	// endTells and endPause are how often and how soon the owner of a batch is told
-	// that it was ended without it.
-	endTells = 4
-	endPause = 400 * time.Millisecond
-	// hintTimeout bounds the news of an accepted batch to one instance.
+	// endNotifyTries is how often the owner of a batch that was ended in the
+	// ledger is told so, endNotifyPause the pause before each try.
+	endNotifyTries = 4
+	endNotifyPause = 400 * time.Millisecond
+	// hintTimeout bounds telling one instance who owns a batch.
 	hintTimeout = 300 * time.Millisecond
-	// retryRead tells readers when to come back: the results of a step are listed
-	// as soon as the service is back, and a trainer stands still until it reads
-	// them.
-	retryRead = 300 * time.Millisecond
-	// retryAway tells trainers when to come back while the service is away. A batch
-	// that is here when the service comes back is accepted at once; two seconds
-	// between two tries cost one in the mean.
-	retryAway = 700 * time.Millisecond
+	// readRetryAfter tells readers when to retry: the results of a step are listed
+	// as soon as the key-value service is back, and the trainer is idle until it
+	// reads them.
+	readRetryAfter = 300 * time.Millisecond
+	// unavailableRetryAfter tells trainers when to retry while the key-value service
+	// is unavailable. A batch that is here when the service comes back is accepted
+	// at once; with 2 s between retries a trainer would wait 1 s longer on average.
+	unavailableRetryAfter = 700 * time.Millisecond
 )
 
 // Peers calls other instances. Read, Body and End return runner.ErrNotHere if
 // the instance does not run the batch.
 type Peers interface {
 	Read(ctx context.Context, address, id string, after int, wait time.Duration) (runner.Page, error)
-	// Stored reads a batch that no living instance runs as far as is known.
+	// Stored reads a batch for which no live owner is known. With an item it returns
+	// the body of the item and whether there is one, else a page of results.
 	Stored(ctx context.Context, address, id, item string, after int) (runner.Page, []byte, bool, error)
 	Body(ctx context.Context, address, id, item string) ([]byte, bool, error)
 	End(ctx context.Context, address, id string) error
 	Hint(ctx context.Context, address string, n News) error
-	// Runs reports whether an instance says that it runs the batch.
+	// Runs reports whether the instance answers that it runs the batch.
 	Runs(ctx context.Context, address, id string) bool
 	Adopt(ctx context.Context, address, id string) error
 	Submit(ctx context.Context, address string, sub *submission.Submission) error
 }
 
-// Desk answers calls about batches.
+// Desk serves calls about batches: it forwards each to the owner of the batch, or
+// answers from the ledger.
 type Desk struct {
 	Runner   *runner.Runner
 	Ledger   *ledger.Ledger
@@ -78,34 +81,38 @@
 	Peers    Peers
 	Timer    timer.Service
 	Journal  *journal.Journal
-	// Leaving reports whether this instance takes no new batches.
+	// Leaving reports whether this instance is stopping and takes no new batches.
 	Leaving func() bool
-	// Asked hears of the items of each step that is accepted anywhere, and of the
-	// tokens that they are expected to make; nil is not called.
+	// Asked is called for each batch that is accepted at any instance, with its
+	// number of items and the tokens that they are expected to generate. It may be
+	// nil.
 	Asked func(model string, items int, tokens int64)
-	// Config finds the route of a batch that comes from another instance.
+	// Config finds the route of a batch that another instance forwards.
 	Config *catalog.Holder
 
-	doubt  atomic.Bool
-	mu     sync.Mutex
-	owners map[string]ledger.Owner
-	// storing are the batches that were begun here and are not stored yet.
-	storing map[string]chan error
-	whole   shelf
-	// failed tells of take-overs that failed.
-	failed wake.Signal
+	// claimsUncertain is set until the claims of this instance are looked up again.
+	claimsUncertain atomic.Bool
+	mu              sync.Mutex
+	owners          map[string]ledger.Owner
+	// pendingStores holds the result of each store that is under way at this
+	// instance, by batch.
+	pendingStores map[string]chan error
+	// finished caches batches that don't change any more.
+	finished recordCache
+	// takeOverFailed is set when a take-over fails, so that Run sweeps again soon.
+	takeOverFailed wake.Signal
 }
 
-// Submit accepts a batch. A nil error means that it is kept whole from now on.
-// All batches of one model run at the same instance, as long as it answers: its
-// connections to the engines serve the next step again.
+// Submit accepts a batch. When it returns nil, the batch is durably stored.
+// All batches of a model run at its home as long as that answers, so that each step
+// reuses the home's connections to the engines.
 func (d *Desk) Submit(ctx context.Context, sub *submission.Submission, route catalog.Route) error {
-	tried := false
+	triedHome := false
 	for _, home := range Homes(d.Registry.Members(), homeKey(sub)) {
 		if home.Name == d.Ledger.Self.Instance {
 			break
 		}
-		err := d.submitAt(ctx, home, sub)
+		err := d.submitToHome(ctx, home, sub)
 		if err == nil {
 			d.Journal.Decision("accepted_at_home", log.Fields{
 				"request_id": sub.ID,
@@ -120,20 +127,21 @@
 		if errors.Is(err, ErrPrepared) {
 			return preparedProblem(err)
 		}
-		// What the other instance did is settled by the same transaction at the
-		// next one.
-		tried = true
+		// The next instance repeats the same transaction, which settles whether the
+		// batch was stored.
+		triedHome = true
 	}
 	err := d.Accept(ctx, sub, route)
-	if tried {
-		return d.afterHome(err)
+	if triedHome {
+		return d.outcomeAfterHome(err)
 	}
 	return err
 }
 
-// submitAt brings a batch to its home. One that has begun it and can't store it is asked
-// once more if the service answers here; ErrPrepared means that the batch is left to it.
-func (d *Desk) submitAt(ctx context.Context, home registry.Member, sub *submission.Submission) error {
+// submitToHome forwards a batch to its home. If the home has begun the batch and can't
+// store it, and the key-value service answers here, the home is asked once more.
+// ErrPrepared means that the batch is left to the home.
+func (d *Desk) submitToHome(ctx context.Context, home registry.Member, sub *submission.Submission) error {
 	for again := false; ; again = true {
 		call, cancel := context.WithTimeout(ctx, homeTimeout)
 		err := d.Peers.Submit(call, home.PeerAddress, sub)
@@ -153,28 +161,29 @@
 	}
 }
 
-// errHomeCutOff means that the home of a batch does not reach the service and this
-// instance does.
+// errHomeCutOff means that the home of a batch does not reach the key-value service
+// while this instance does.
 var errHomeCutOff = errors.New("the home of the batch is cut off from the key-value service")
 
-// afterHome takes back a "not run" that this instance can't vouch for: the home
-// of the batch did not say what became of it, and may have stored it.
-func (d *Desk) afterHome(err error) error {
+// outcomeAfterHome replaces the outcome "not run" of err by "unknown": the home of the
+// batch did not answer and may have stored it.
+func (d *Desk) outcomeAfterHome(err error) error {
 	if err == nil {
 		return nil
 	}
-	return notVouched(problem.From(err))
+	return withUnknownOutcome(problem.From(err))
 }
 
-// notVouched takes back a "not run".
-func notVouched(e *problem.Error) error {
+// withUnknownOutcome replaces the outcome "not run" by "unknown".
+func withUnknownOutcome(e *problem.Error) error {
 	if e.Kind.Outcome != problem.NotRun {
 		return e
 	}
 	return problem.ChangeUnknown.With(e).WithOutcome(problem.Unknown).WithRetryAfter(e.RetryAfter)
 }
 
-// homeKey is what the instance of a batch is chosen by.
+// homeKey returns the key that the home of a batch is ranked by: its model, or its
+// host and path if it has none.
 func homeKey(sub *submission.Submission) string {
 	if sub.Model != "" {
 		return sub.Model
@@ -182,7 +191,7 @@
 	return sub.Host + sub.Path
 }
 
-// Accept accepts a batch at this instance.
+// Accept accepts a batch at this instance, without forwarding it.
 func (d *Desk) Accept(ctx context.Context, sub *submission.Submission, route catalog.Route) error {
 	if d.Leaving() {
 		return problem.Leaving.Withf("batch %s", sub.ID).WithRetryAfter(100 * time.Millisecond)
@@ -207,11 +216,12 @@
 	return e
 }
 
-// settled lets the others know of a batch that is accepted.
-func (d *Desk) settled(sub *submission.Submission, err error) {
+// announceAccepted tells all instances the owner of a batch that was stored just now.
+// If the batch had been accepted before, it has its owner adopt it instead.
+func (d *Desk) announceAccepted(sub *submission.Submission, err error) {
 	switch {
 	case err == nil:
-		d.tell(News{
+		d.announceOwner(News{
 			Batch: sub.ID,
 			Owner: d.Ledger.Self,
 			Model: sub.Model,
@@ -222,11 +232,12 @@
 		d.Journal.Decision("accepted_before", log.Fields{
 			"request_id": sub.ID,
 		})
-		go d.remind(sub.ID)
+		go d.ensureOwnerRuns(sub.ID)
 	}
 }
 
-// submitProblem says "not run" only if the write can't be done any more.
+// submitProblem reports the outcome "not run" only if the write can no longer take
+// effect.
 func submitProblem(err error) *problem.Error {
 	switch {
 	case errors.Is(err, ledger.ErrTooLarge):
@@ -234,11 +245,11 @@
 	case errors.Is(err, ledger.ErrUnsettled):
 		return problem.ChangeUnknown.With(err).WithOutcome(problem.Unknown)
 	}
-	return problem.PlatformDown.With(err).WithRetryAfter(retryAway)
+	return problem.PlatformDown.With(err).WithRetryAfter(unavailableRetryAfter)
 }
 
-// News is who runs a batch. Of one that was just accepted it says how much work it
-// is as well.
+// News names the owner of a batch. For a batch that was just accepted it also has
+// the model, the number of items and the amount of work.
 type News struct {
 	Batch string
 	Owner ledger.Owner
@@ -247,9 +258,9 @@
 	Work  int64
 }
 
-// tell lets all instances know who runs a batch: a read at any of them then needs
-// no call of the key-value service.
-func (d *Desk) tell(n News) {
+// announceOwner tells all instances the owner of a batch, so that a read at any of
+// them needs no call to the key-value service.
+func (d *Desk) announceOwner(n News) {
 	d.Hint(n)
 	for _, m := range d.Registry.Members() {
 		if m.Name == d.Registry.Self().Name {
@@ -259,7 +270,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), hintTimeout)
 			defer cancel()
 			if err := d.Peers.Hint(ctx, m.PeerAddress, n); err != nil {
-				d.Journal.Detail("hint not taken", log.Fields{
+				d.Journal.Detail("owner hint not delivered", log.Fields{
 					"request_id": n.Batch,
 					"instance":   m.Name,
 					"error":      err.Error(),
@@ -269,7 +280,7 @@
 	}
 }
 
-// Hint notes who runs a batch.
+// Hint records the owner of a batch.
 func (d *Desk) Hint(n News) {
 	if n.Model != "" && d.Asked != nil {
 		d.Asked(n.Model, n.Items, n.Work)
@@ -282,7 +293,7 @@
 	d.owners[n.Batch] = n.Owner
 }
 
-func (d *Desk) forget(id string, owner ledger.Owner) {
+func (d *Desk) forgetOwner(id string, owner ledger.Owner) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.owners[id] == owner {
@@ -290,19 +301,19 @@
 	}
 }
 
-// hinted returns the instance that runs a batch by the hints, if it is another
-// one that lives.
-func (d *Desk) hinted(id string) (ledger.Owner, bool) {
+// hintedOwner returns the owner of a batch that was recorded by Hint, if it is
+// another instance and alive.
+func (d *Desk) hintedOwner(id string) (ledger.Owner, bool) {
 	d.mu.Lock()
 	owner, ok := d.owners[id]
 	d.mu.Unlock()
 	return owner, ok && owner != d.Ledger.Self && d.Registry.Alive(owner.Instance, owner.Incarnation)
 }
 
-// owner returns who runs a batch, by the hints or else by the ledger. It
-// returns ledger.ErrUnknown for a batch that is not open.
-func (d *Desk) owner(ctx context.Context, id string) (ledger.Owner, error) {
-	if owner, ok := d.hinted(id); ok {
+// findOwner returns the owner of a batch, as recorded by Hint or else from the
+// ledger. It returns ledger.ErrUnknown if the batch is not open.
+func (d *Desk) findOwner(ctx context.Context, id string) (ledger.Owner, error) {
+	if owner, ok := d.hintedOwner(id); ok {
 		return owner, nil
 	}
 	claim, err := d.Ledger.Find(ctx, id)
@@ -316,15 +327,15 @@
 	return claim.Owner, nil
 }
 
-// other returns the owner's address if it is another live instance.
-func (d *Desk) other(ctx context.Context, id string) (ledger.Owner, bool) {
+// remoteOwner returns the owner of a batch if it is another instance.
+func (d *Desk) remoteOwner(ctx context.Context, id string) (ledger.Owner, bool) {
 	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
 	defer cancel()
-	owner, err := d.owner(ctx, id)
+	owner, err := d.findOwner(ctx, id)
 	return owner, err == nil && owner != d.Ledger.Self
 }
 
-// End ends a batch. It may be repeated.
+// End ends a batch. It is idempotent.
 func (d *Desk) End(ctx context.Context, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, endTimeout)
 	defer cancel()
@@ -338,13 +349,13 @@
 	case errors.Is(err, ledger.ErrUnknown):
 		return problem.NotFound.Withf("no batch %s", id)
 	}
-	return problem.PlatformDown.Withf("end of batch %s: %w", id, err).WithRetryAfter(retryAway)
+	return problem.PlatformDown.Withf("end of batch %s: %w", id, err).WithRetryAfter(unavailableRetryAfter)
 }
 
-// endElsewhere has the owner end a batch, or ends it in the ledger and tells the
-// owner then.
+// endElsewhere has the owner end a batch. If that fails it ends the batch in the
+// ledger and tells the owner afterwards.
 func (d *Desk) endElsewhere(ctx context.Context, id string) error {
-	owner, ok := d.other(ctx, id)
+	owner, ok := d.remoteOwner(ctx, id)
 	if ok {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		err := d.Peers.End(call, owner.Address, id)
@@ -356,17 +367,17 @@
 	if err := d.Ledger.End(ctx, id, time.Now()); err != nil {
 		return err
 	}
-	go d.tellEnd(id, owner)
+	go d.notifyEnd(id, owner)
 	return nil
 }
 
-// tellEnd tells an owner that its batch was ended in the ledger. One that is just
-// taking the batch over did not know of it when it was asked; it would send items
-// to engines until its next write, long after the trainer's end was acknowledged.
-// An owner without a name is this instance.
-func (d *Desk) tellEnd(id string, owner ledger.Owner) {
-	for range endTells {
-		timer.Wait(d.Timer, endPause, nil)
+// notifyEnd tells the owner that its batch was ended in the ledger. An owner that is
+// just taking the batch over does not know the batch when it is first asked, and
+// would send items to engines until its next write, long after the end was
+// acknowledged to the trainer. An owner without a name stands for this instance.
+func (d *Desk) notifyEnd(id string, owner ledger.Owner) {
+	for range endNotifyTries {
+		timer.Wait(d.Timer, endNotifyPause, nil)
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		err := d.Runner.End(ctx, id)
 		if owner.Instance != "" && owner != d.Ledger.Self {
--- a/internal/batch/desk/desk_test.go
+++ b/internal/batch/desk/desk_test.go
@@ -23,28 +23,28 @@
 	"github.com/egretbend/egretbend/internal/standin/space"
 )
 
-// silent is another instance whose answers never come.
-type silent struct{}
+// silentPeers are other instances that never answer.
+type silentPeers struct{}
 
 var errSilent = errors.New("no answer")
 
-func (silent) Read(context.Context, string, string, int, time.Duration) (runner.Page, error) {
+func (silentPeers) Read(context.Context, string, string, int, time.Duration) (runner.Page, error) {
 	return runner.Page{}, errSilent
 }
-func (silent) Stored(context.Context, string, string, string, int) (runner.Page, []byte, bool, error) {
+func (silentPeers) Stored(context.Context, string, string, string, int) (runner.Page, []byte, bool, error) {
 	return runner.Page{}, nil, false, errSilent
 }
-func (silent) Body(context.Context, string, string, string) ([]byte, bool, error) {
+func (silentPeers) Body(context.Context, string, string, string) ([]byte, bool, error) {
 	return nil, false, errSilent
 }
-func (silent) End(context.Context, string, string) error                    { return errSilent }
-func (silent) Hint(context.Context, string, News) error                     { return errSilent }
-func (silent) Runs(context.Context, string, string) bool                    { return false }
-func (silent) Adopt(context.Context, string, string) error                  { return errSilent }
-func (silent) Submit(context.Context, string, *submission.Submission) error { return errSilent }
+func (silentPeers) End(context.Context, string, string) error                    { return errSilent }
+func (silentPeers) Hint(context.Context, string, News) error                     { return errSilent }
+func (silentPeers) Runs(context.Context, string, string) bool                    { return false }
+func (silentPeers) Adopt(context.Context, string, string) error                  { return errSilent }
+func (silentPeers) Submit(context.Context, string, *submission.Submission) error { return errSilent }
 
-// newDesk returns the desk of instance "me", beside an instance "other" that does
-// not answer, over a service with faults.
+// newDesk returns the desk of instance "me" with peers that never answer, over a
+// key-value store with injected faults.
 func newDesk(t *testing.T, fault func(space.Call) space.Fault) (*Desk, *space.Space) {
 	clock := timer.Real{}
 	store := &space.Space{
@@ -73,39 +73,38 @@
 		Runner:   run,
 		Ledger:   l,
 		Registry: r,
-		Peers:    silent{},
+		Peers:    silentPeers{},
 		Timer:    clock,
 		Leaving:  func() bool { return false },
 		Config:   &catalog.Holder{},
 	}, store
 }
 
-// A batch is handed on to the instance that should run it, which may store it
-// and does not answer; then the key-value service is away. Whoever then told the
-// trainer "not run" would see the batch run all the same.
-func TestUnknownAtHomeIsNoRefusal(t *testing.T) {
+// Guards against the outcome "not run" for a batch that may run: its home may have stored
+// it and does not answer, and then the key-value service is unavailable.
+func TestUnknownOutcomeAtHomeIsNotReportedAsNotRun(t *testing.T) {
 	is := is.New(t)
 	d, _ := newDesk(t, func(space.Call) space.Fault { return space.Down })
-	err := d.afterHome(d.Accept(context.Background(), &submission.Submission{ID: "b"}, catalog.Route{}))
+	err := d.outcomeAfterHome(d.Accept(context.Background(), &submission.Submission{ID: "b"}, catalog.Route{}))
 	is.True(err != nil)
 	is.Equal(problem.From(err).Kind.Outcome, problem.Unknown)
 }
 
-// A caller asks for a batch that nobody knows, and for one while the ledger can't
-// be read. Only the first may be told that there is none.
-func TestNoSuchBatchOnlyIfSure(t *testing.T) {
+// Guards against "not found" for a batch while the ledger can't be read. Only a ledger
+// that was read shows that there is no such batch.
+func TestNotFoundOnlyIfLedgerWasRead(t *testing.T) {
 	is := is.New(t)
 	d, _ := newDesk(t, nil)
 	_, err := d.Read(context.Background(), "nothing", 0, 0)
 	is.True(problem.Is(err, problem.NotFound))
-	away, _ := newDesk(t, func(space.Call) space.Fault { return space.Down })
-	_, err = away.Read(context.Background(), "nothing", 0, 0)
+	unavailable, _ := newDesk(t, func(space.Call) space.Fault { return space.Down })
+	_, err = unavailable.Read(context.Background(), "nothing", 0, 0)
 	is.True(problem.Is(err, problem.PlatformDown))
 }
 
-// The owner of a batch does not answer. Its results are read from the ledger, and
-// the batch can be ended there.
-func TestLedgerStandsInForASilentOwner(t *testing.T) {
+// The owner of a batch does not answer: the results and bodies are read from the ledger,
+// and the batch can be ended there.
+func TestBatchOfSilentOwnerIsReadFromLedger(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	d, store := newDesk(t, nil)
@@ -128,39 +127,39 @@
 	body, err := d.Body(ctx, "b", "y")
 	is.NoErr(err)
 	is.Equal(string(body), "by")
-	_, err = d.Body(ctx, "b", "x") // listed already
+	_, err = d.Body(ctx, "b", "x") // its result is listed
 	is.True(problem.Is(err, problem.NotFound))
 	is.NoErr(d.End(ctx, "b"))
-	is.NoErr(d.End(ctx, "b")) // may be repeated
+	is.NoErr(d.End(ctx, "b")) // idempotent
 	_, err = owner.Append(ctx, claim, []submission.Result{{Item: "y"}}, nil)
 	is.True(errors.Is(err, ledger.ErrFenced))
 }
 
-// An instance dies. Exactly one of the others looks after its batches: if all
-// did, each death would cost a listing at every instance.
-func TestOneHeir(t *testing.T) {
+// Guards against several successors of a dead instance: each would list the ledger after
+// every death.
+func TestDeadInstanceHasOneSuccessor(t *testing.T) {
 	is := is.New(t)
 	var members []registry.Member
 	for i := range 20 {
 		members = append(members, registry.Member{Name: fmt.Sprint("i", i), Cores: 0.3})
 	}
-	heir := First(members, "dead")
-	is.True(heir.Name != "")
+	successor := First(members, "dead")
+	is.True(successor.Name != "")
 	for i, m := range members {
-		if m.Name == heir.Name {
+		if m.Name == successor.Name {
 			members[i].Leaving = true
 		}
 	}
-	is.True(First(members, "dead").Name != heir.Name) // one that leaves inherits nothing
+	is.True(First(members, "dead").Name != successor.Name) // a leaving instance is no successor
 }
 
-// lively is another instance that still runs its batches.
-type lively struct {
-	silent
+// livePeers are other instances that still run their batches.
+type livePeers struct {
+	silentPeers
 	asked chan struct{}
 }
 
-func (l lively) Runs(context.Context, string, string) bool {
+func (l livePeers) Runs(context.Context, string, string) bool {
 	select {
 	case l.asked <- struct{}{}:
 	default:
@@ -168,15 +167,15 @@
 	return true
 }
 
-// The key-value service takes the lease of a living instance away. Its batches
-// were taken over at once, and what it had made of them was made again: its
-// trainer waited four seconds longer. The heir asks the owner first, and waits
-// for its new lease; an owner that never shows itself is replaced all the same.
-func TestLivingOwnerKeepsItsBatch(t *testing.T) {
+// Guards against taking over from a live owner whose lease the key-value service took
+// away: the work done would be repeated, and the trainer waits four seconds longer. The
+// successor asks the owner first and waits for its new lease. An owner that never appears
+// in the registry again is replaced all the same.
+func TestLiveOwnerKeepsItsBatch(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	d, store := newDesk(t, nil)
-	peers := lively{
+	peers := livePeers{
 		asked: make(chan struct{}, 1),
 	}
 	d.Peers = peers
@@ -188,8 +187,8 @@
 	claim, err := owner.Accept(ctx, &submission.Submission{ID: "b", Items: []submission.Item{{ID: "x", Path: "/x"}}})
 	is.NoErr(err)
 	began := time.Now()
-	is.True(!d.lives(claim)) // it never came back
-	is.True(time.Since(began) >= ownerPause)
+	is.True(!d.ownerAlive(claim)) // it never appears in the registry
+	is.True(time.Since(began) >= ownerProbePause)
 
 	var tb tomb.Tomb
 	tb.Go(func() error { return d.Registry.Run(&tb) })
@@ -209,21 +208,21 @@
 		}
 	}()
 	d.Registry.AwaitView(&tb, time.Second)
-	is.True(d.lives(claim))
-	d.Peers = silent{}
-	is.True(!d.lives(claim)) // a dead one is not waited for
+	is.True(d.ownerAlive(claim))
+	d.Peers = silentPeers{}
+	is.True(!d.ownerAlive(claim)) // a dead owner is not waited for
 }
 
-// until reports whether something holds within some seconds.
-func until(holds func() bool) bool {
+// eventually reports whether a condition holds within 5 s.
+func eventually(holds func() bool) bool {
 	return timer.Until(timer.Real{}, time.Millisecond, 5*time.Second, nil, holds)
 }
 
-// An instance is removed for good while the key-value service is away. When the
-// service is back, its batches waited for another three seconds, as long as the
-// view keeps instances whose keys lapsed in the outage. Their heir need not wait
-// for that: it asks the owner.
-func TestSuspectsBatchesHaveAnHeir(t *testing.T) {
+// Guards against batches that wait three seconds longer than needed when their owner is
+// removed while the key-value service is unavailable: after the outage the view still
+// keeps instances whose keys expired during it. The successor of a suspected owner need
+// not wait for the view, since it asks the owner.
+func TestBatchesOfSuspectedInstanceAreTakenOver(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	var down atomic.Bool
@@ -247,7 +246,7 @@
 	tb.Go(func() error { return d.Registry.Run(&tb) })
 	defer func() { tb.Kill(nil); _ = tb.Wait() }()
 	claim := ledger.Claim{Batch: "b", Owner: ledger.Owner{Instance: "other", Incarnation: "1"}}
-	is.True(until(func() bool { return d.Registry.Present("other") }))
+	is.True(eventually(func() bool { return d.Registry.Present("other") }))
 	is.True(!d.orphan(claim))
 	cut, err := store.Grant(ctx, time.Hour)
 	is.NoErr(err)
@@ -258,19 +257,19 @@
 	})
 	is.NoErr(err)
 	down.Store(true)
-	store.Lapse(cut)                             // ends the watches that wait
-	timer.Wait(timer.Real{}, 2*time.Second, nil) // longer than an entry may be late
+	store.Lapse(cut)                             // ends the pending watches
+	timer.Wait(timer.Real{}, 2*time.Second, nil) // longer than an entry may be overdue
 	store.Lapse(lease)
 	down.Store(false)
-	is.True(until(func() bool { return d.orphan(claim) }))
-	is.True(d.Registry.Present("other")) // the view still keeps it
+	is.True(eventually(func() bool { return d.orphan(claim) }))
+	is.True(d.Registry.Present("other")) // still in the view
 }
 
-// All instances start again after a loss of power, and one finds the batches of
-// its earlier life before it knows the configuration, or while the service fails
-// it once more. Its next look came four seconds later, and the trainer stood
-// still for as long.
-func TestFailedTakeOverIsTriedAgainSoon(t *testing.T) {
+// Guards against a take-over that fails and is retried only with the next regular sweep,
+// four seconds later, while the trainer is idle. After a power loss of all instances, one
+// finds the batches of its previous incarnation before it has a configuration, or while
+// the key-value service fails once more.
+func TestFailedTakeOverIsRetriedSoon(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	var failing atomic.Bool
@@ -294,21 +293,21 @@
 	defer func() { tb.Kill(nil); _ = tb.Wait() }()
 	d.Registry.AwaitView(&tb, time.Second)
 	gone <- struct{}{}
-	timer.Wait(timer.Real{}, 2*gatherTime, nil)
-	is.True(!d.Runner.Has("b")) // without a configuration
-	failing.Store(true)         // the listing, or the load of the batch
+	timer.Wait(timer.Real{}, 2*goneDebounce, nil)
+	is.True(!d.Runner.Has("b")) // there is no configuration yet
+	failing.Store(true)         // fails the listing or the load of the batch
 	began := time.Now()
 	cfg := catalog.Configuration{Version: 1}.WithIndex()
 	d.Config.Take(cfg)
 	d.Runner.Holder.Take(cfg)
-	is.True(until(func() bool { return d.Runner.Has("b") }))
-	is.True(time.Since(began) < sweepEvery/2)
+	is.True(eventually(func() bool { return d.Runner.Has("b") }))
+	is.True(time.Since(began) < sweepInterval/2)
 }
 
-// The instance that runs a trainer's batches has just ended. The batch reached one
-// of the smallest instances, which ran it itself and made its step late. It is
-// brought to the next able one first.
-func TestSecondHome(t *testing.T) {
+// Guards against a step that is late because one of the smallest instances ran its batch:
+// the home had just ended, and the instance that the batch reached accepted it itself. The
+// batch is forwarded to the next able instance first.
+func TestHomesIncludeTheNextAbleInstance(t *testing.T) {
 	is := is.New(t)
 	members := []registry.Member{
 		{Name: "small", Cores: 0.1},
--- a/internal/batch/desk/doc.go
+++ b/internal/batch/desk/doc.go
@@ -1,11 +1,18 @@
-// Package desk answers the calls about batches at any instance.
+// Package desk serves calls about batches at any instance and takes over the
+// batches of lost instances.
 //
 //	err := d.Submit(ctx, sub, route)
 //	page, err := d.Read(ctx, id, after, wait)
+//	err = d.End(ctx, id)
 //
-// All batches of a model are accepted and run by one able instance, as long as it
-// answers. Any other passes calls on to it. When the owner can't be reached one
-// instance reads the batch from the ledger on behalf of all. It says that there is no such
-// batch only after the ledger said so. The desk also finds batches whose owner
-// is gone: the instance that ranks first for the dead one takes them over.
+// Desk is the main type. Each model has a home, the able instance that ranks
+// first for it by rendezvous hashing. All batches of the model are accepted and
+// run there as long as it answers; the other instances forward calls to the owner
+// of a batch, over Peers. When the owner can't be reached, one instance, the ledger
+// reader of the batch, reads it from the ledger on behalf of all. A batch is
+// reported as not found only after the ledger has said so.
+//
+// Run looks for batches without a live owner. The successor of a lost owner, which
+// is the able instance that ranks first for the owner's name, takes them over. Tidy
+// removes ended batches from the ledger.
 package desk
--- a/internal/batch/desk/end_test.go
+++ b/internal/batch/desk/end_test.go
@@ -15,16 +15,16 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// late is an owner that does not know of its batch when it is asked first, as it is
-// just taking it over.
-type late struct {
-	silent
+// latePeers has an owner that does not know its batch when it is first asked, since it is
+// just taking the batch over.
+type latePeers struct {
+	silentPeers
 	asked *atomic.Int32
 	ended chan struct{}
 }
 
 // End implements Peers.
-func (l late) End(context.Context, string, string) error {
+func (l latePeers) End(context.Context, string, string) error {
 	if l.asked.Add(1) == 1 {
 		return runner.ErrNotHere
 	}
@@ -32,10 +32,11 @@
 	return nil
 }
 
-// All instances are killed, and a trainer ends its step while the next owner takes
-// it over. The end stands in the ledger; the owner went on with the step's items for
-// seconds, at engines that others waited for, until it had something to write.
-func TestOwnerThatTakesOverHearsOfTheEnd(t *testing.T) {
+// Guards against an owner that goes on with an ended batch. All instances are killed, and
+// the trainer ends its step while the next owner takes it over. The end is in the ledger,
+// but the owner would send items to engines that other batches wait for, for seconds, until
+// its next write fails.
+func TestNewOwnerIsToldOfTheEnd(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	d, store := newDesk(t, nil)
@@ -50,7 +51,7 @@
 		ID: "b",
 	})
 	is.NoErr(err)
-	peers := late{
+	peers := latePeers{
 		asked: &atomic.Int32{},
 		ended: make(chan struct{}, 1),
 	}
@@ -59,7 +60,7 @@
 	<-peers.ended
 }
 
-// The same, with the end in the ledger before the next owner has read the batch.
+// The same, but the end is in the ledger before the next owner has read the batch.
 func TestEndedBatchIsNotTakenOver(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
--- a/internal/batch/desk/peers.go
+++ b/internal/batch/desk/peers.go
@@ -11,10 +11,11 @@
 	"github.com/egretbend/egretbend/internal/kernel/problem"
 )
 
-// receiver is the name of the calls between instances.
-const receiver = "Batch"
+// serviceName is the RPC service that instances call each other by.
+const serviceName = "Batch"
 
-// Call names a batch, and where it applies an item or a position.
+// Call is the request of a call about a batch. Item, After and Wait are set where
+// the method uses them.
 type Call struct {
 	Batch string
 	Item  string
@@ -22,28 +23,28 @@
 	Wait  time.Duration
 }
 
-// Reply is what another instance answers. NotHere says that it does not run
-// the batch.
+// Reply is the answer of another instance.
 type Reply struct {
+	// NotHere means that the instance does not run the batch.
 	NotHere bool
-	// Prepared says that a batch was begun and is not stored yet.
+	// Prepared means that the batch was begun and is not stored yet.
 	Prepared bool
 	Page     runner.Page
 	Body     []byte
 	Found    bool
 }
 
-// Server answers the calls of other instances.
+// Server serves the calls of other instances.
 type Server struct {
 	desk *Desk
 }
 
-// Register makes the desk callable by other instances.
-func (d *Desk) Register(s *peer.Server) error { return s.Register(receiver, &Server{desk: d}) }
+// Register registers the calls that other instances make to this one.
+func (d *Desk) Register(s *peer.Server) error { return s.Register(serviceName, &Server{desk: d}) }
 
-// notHere turns the one error that callers act upon into a field, as errors
-// travel as text.
-func (r *Reply) notHere(err error) error {
+// setNotHere carries runner.ErrNotHere, the only error that callers act on, in a
+// field, since errors are sent as text. It returns any other error.
+func (r *Reply) setNotHere(err error) error {
 	r.NotHere = errors.Is(err, runner.ErrNotHere)
 	if r.NotHere {
 		return nil
@@ -51,21 +52,21 @@
 	return err
 }
 
-// Read answers with results of a batch that runs here.
+// Read returns results of a batch that runs here.
 func (s *Server) Read(c *Call, r *Reply) error {
-	page, err := s.desk.here(context.Background(), c.Batch, c.After, min(c.Wait, MaxWait))
+	page, err := s.desk.readLocal(context.Background(), c.Batch, c.After, min(c.Wait, MaxWait))
 	r.Page = page
-	return r.notHere(err)
+	return r.setNotHere(err)
 }
 
-// Stored answers with results, or with the body of an item if the call names
-// one, of a batch that is in the ledger.
+// Stored returns results of a batch, or the body of an item if the call names one,
+// from memory if the batch runs here and else from the ledger.
 func (s *Server) Stored(c *Call, r *Reply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), readerTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), ledgerReaderTimeout)
 	defer cancel()
 	var err error
 	if c.Item == "" {
-		if r.Page, err = s.desk.here(ctx, c.Batch, c.After, 0); errors.Is(err, runner.ErrNotHere) {
+		if r.Page, err = s.desk.readLocal(ctx, c.Batch, c.After, 0); errors.Is(err, runner.ErrNotHere) {
 			r.Page, err = s.desk.readStored(ctx, c.Batch, c.After)
 		}
 		return err
@@ -76,35 +77,35 @@
 	return err
 }
 
-// Body answers with the body of an item of a batch that runs here.
+// Body returns the body of an item of a batch that runs here.
 func (s *Server) Body(c *Call, r *Reply) error {
 	body, ok, err := s.desk.Runner.Body(c.Batch, c.Item)
 	r.Body = body
 	r.Found = ok
-	return r.notHere(err)
+	return r.setNotHere(err)
 }
 
 // End ends a batch that runs here.
 func (s *Server) End(c *Call, r *Reply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
 	defer cancel()
-	return r.notHere(s.desk.Runner.End(ctx, c.Batch))
+	return r.setNotHere(s.desk.Runner.End(ctx, c.Batch))
 }
 
-// Runs answers whether a batch runs here.
+// Runs reports in Found whether the batch runs here.
 func (s *Server) Runs(c *Call, r *Reply) error {
 	r.Found = s.desk.Runner.Has(c.Batch)
 	return nil
 }
 
-// Adopt begins a batch that was handed over to this instance.
+// Adopt begins a batch that this instance owns by the ledger.
 func (s *Server) Adopt(c *Call, _ *Reply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	return s.desk.Adopt(ctx, c.Batch)
 }
 
-// Submit accepts a batch that reached another instance.
+// Submit accepts a batch that another instance forwards.
 func (s *Server) Submit(sub *submission.Submission, r *Reply) error {
 	cfg := s.desk.Config.Current()
 	if cfg == nil {
@@ -114,8 +115,9 @@
 	if !ok {
 		return problem.NotFound.Withf("no route for %s%s", sub.Host, sub.Path)
 	}
-	// The caller waits for less and asks elsewhere. Given up then, the batch may be
-	// stored with an owner that does not know of it.
+	// The caller waits a shorter time and then tries elsewhere. If this call gave up
+	// with the caller, the batch might be stored with this instance as an owner that
+	// does not know of it.
 	ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
 	defer cancel()
 	err := s.desk.Accept(ctx, sub, route)
@@ -126,20 +128,20 @@
 	return err
 }
 
-// Hint takes the news of who runs a batch.
+// Hint records the owner of a batch.
 func (s *Server) Hint(n *News, _ *Reply) error {
 	s.desk.Hint(*n)
 	return nil
 }
 
-// PeerCalls calls other instances' desks.
+// PeerCalls implements Peers over the RPC client of the instances.
 type PeerCalls struct {
 	Client *peer.Client
 }
 
 func (p *PeerCalls) call(ctx context.Context, address, method string, c Call) (*Reply, error) {
 	r := &Reply{}
-	if err := p.Client.Call(ctx, address, receiver+"."+method, &c, r); err != nil {
+	if err := p.Client.Call(ctx, address, serviceName+"."+method, &c, r); err != nil {
 		return nil, err
 	}
 	if r.NotHere {
@@ -199,7 +201,8 @@
 	r, err := p.call(ctx, address, "Runs", Call{
 		Batch: id,
 	})
-	// No answer is an answer here: the instance is dead or cut off.
+	// An instance that does not answer is dead or cut off, and counts as not
+	// running the batch.
 	return err == nil && r.Found
 }
 
@@ -216,7 +219,7 @@
 // Submit implements Peers.
 func (p *PeerCalls) Submit(ctx context.Context, address string, sub *submission.Submission) error {
 	var r Reply
-	err := p.Client.Call(ctx, address, receiver+".Submit", sub, &r)
+	err := p.Client.Call(ctx, address, serviceName+".Submit", sub, &r)
 	if err == nil && r.Prepared {
 		return ErrPrepared
 	}
@@ -226,5 +229,5 @@
 // Hint implements Peers.
 func (p *PeerCalls) Hint(ctx context.Context, address string, n News) error {
 	var r Reply
-	return p.Client.Call(ctx, address, receiver+".Hint", &n, &r)
+	return p.Client.Call(ctx, address, serviceName+".Hint", &n, &r)
 }
--- a/internal/batch/desk/prepare.go
+++ b/internal/batch/desk/prepare.go
@@ -14,30 +14,32 @@
 )
 
 const (
-	// storePause is the pause between two tries to store a batch that was begun.
-	storePause = 150 * time.Millisecond
-	// storeWait is how long a submission waits for that. It is shorter than
-	// homeTimeout: the instance that passed it on must hear what became of it.
+	// storeRetryPause is the pause between two attempts to store a batch.
+	storeRetryPause = 150 * time.Millisecond
+	// storeWait is how long a submission waits for the batch to be stored. It is
+	// shorter than homeTimeout so that the instance that forwarded the batch gets an
+	// answer.
 	storeWait = 250 * time.Millisecond
 )
 
-// ErrPrepared means that a batch was begun at its home and can't be stored yet. It may
-// be stored at any time from now on.
-var ErrPrepared = errors.New("the batch was begun and is not stored yet")
+// ErrPrepared means that the home of a batch has begun it and can't store it yet. The
+// batch may be stored at any later time.
+var ErrPrepared = errors.New("the home has begun the batch and has not stored it yet")
 
-// preparedProblem says that a batch that was begun may be stored at any time.
+// preparedProblem returns the error for a batch that was begun and may be stored
+// at any later time; its outcome is unknown.
 func preparedProblem(err error) *problem.Error {
-	return problem.ChangeUnknown.With(err).WithOutcome(problem.Unknown).WithRetryAfter(retryAway)
+	return problem.ChangeUnknown.With(err).WithOutcome(problem.Unknown).WithRetryAfter(unavailableRetryAfter)
 }
 
-// accept stores a batch and begins it. While the key-value service is away or slow the
-// home of the batch begins it all the same, and stores it when it can: a trainer stands
-// still without its batch. All others leave it to the home; the first to reach the
-// service would make another instance begin anew.
+// accept stores a batch and begins it. While the key-value service is unavailable or
+// slow, the home begins the batch anyway and stores it when it can, since the trainer
+// is idle without its batch. No other instance does so: the first one to reach the
+// service would begin the batch a second time.
 func (d *Desk) accept(ctx context.Context, sub *submission.Submission, route catalog.Route) (prepared bool, err error) {
-	if !d.prepares(sub) {
+	if !d.isHome(sub) {
 		err = d.Runner.Submit(ctx, sub, route)
-		d.settled(sub, err)
+		d.announceAccepted(sub, err)
 		return false, err
 	}
 	stored := d.store(sub, route)
@@ -46,7 +48,7 @@
 	select {
 	case err := <-stored:
 		stored <- err
-		return open(err) || d.Runner.Prepared(sub.ID), err
+		return storeUndecided(err) || d.Runner.Prepared(sub.ID), err
 	case <-wait.C:
 	case <-ctx.Done():
 	}
@@ -54,65 +56,70 @@
 	return true, ErrPrepared
 }
 
-// open reports whether a try to store a batch left it open whether it is, or will be.
-func open(err error) bool {
+// storeUndecided reports whether a failed attempt to store a batch leaves open
+// whether the batch is or will be stored.
+func storeUndecided(err error) bool {
 	return errors.Is(err, keyvalue.ErrDown) || errors.Is(err, keyvalue.ErrBusy) ||
 		errors.Is(err, keyvalue.ErrLost) || errors.Is(err, ledger.ErrUnsettled)
 }
 
-// prepares reports whether a batch begins at this instance before it is stored.
-func (d *Desk) prepares(sub *submission.Submission) bool {
+// isHome reports whether this instance is the home of a batch, which begins it even
+// before it is stored.
+func (d *Desk) isHome(sub *submission.Submission) bool {
 	homes := Homes(d.Registry.Members(), homeKey(sub))
 	return len(homes) > 0 && homes[0].Name == d.Ledger.Self.Instance
 }
 
-// store stores a batch, again and again while the service is away. The channel tells
-// what came of it, to one reader at a time.
+// store stores a batch in the background, with retries while the key-value service
+// is unavailable, and returns the channel of the result. The channel holds one value:
+// a reader puts it back for the next one.
 func (d *Desk) store(sub *submission.Submission, route catalog.Route) chan error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if stored := d.storing[sub.ID]; stored != nil {
+	if stored := d.pendingStores[sub.ID]; stored != nil {
 		return stored
 	}
-	if d.storing == nil {
-		d.storing = make(map[string]chan error)
+	if d.pendingStores == nil {
+		d.pendingStores = make(map[string]chan error)
 	}
 	stored := make(chan error, 1)
-	d.storing[sub.ID] = stored
+	d.pendingStores[sub.ID] = stored
 	go func() {
-		err := d.keepStoring(sub, route)
+		err := d.storeWithRetry(sub, route)
 		d.mu.Lock()
-		delete(d.storing, sub.ID)
+		delete(d.pendingStores, sub.ID)
 		d.mu.Unlock()
 		stored <- err
 	}()
 	return stored
 }
 
-// keepStoring tries to store a batch until that is settled, or the batch is not
-// wanted any more.
-func (d *Desk) keepStoring(sub *submission.Submission, route catalog.Route) error {
-	asked := d.Timer.Now()
+// storeWithRetry tries to store a batch until the outcome is known or the batch is
+// no longer wanted.
+func (d *Desk) storeWithRetry(sub *submission.Submission, route catalog.Route) error {
+	started := d.Timer.Now()
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
 		err := d.Runner.Submit(ctx, sub, route)
 		cancel()
 		prepared := d.Runner.Prepared(sub.ID)
-		if !open(err) && !(err == nil && prepared) {
-			d.settled(sub, err)
+		if !storeUndecided(err) && !(err == nil && prepared) {
+			d.announceAccepted(sub, err)
 			return err
 		}
-		// It is begun at storeWait; later, one that does not run is not wanted.
-		if !prepared && d.Timer.Now().Sub(asked) > 2*storeWait {
+		// A submission that waits for this begins the batch after storeWait; a batch that
+		// does not run some time after that is no longer wanted.
+		if !prepared && d.Timer.Now().Sub(started) > 2*storeWait {
 			return err
 		}
-		timer.Wait(d.Timer, storePause, nil)
+		timer.Wait(d.Timer, storeRetryPause, nil)
 	}
 }
 
-// leftToHome reports whether a batch that its home has begun is left to it. If the service
-// answers here it may have come back just now, and the home stores the batch in a
-// moment, or the home alone is cut off from it.
+// leftToHome reports whether a batch that its home has begun is accepted by now, and
+// else whether it is left to the home. It is left if the key-value service does not
+// answer here either. If the service answers, it may have come back just now and the
+// home is about to store the batch, or only the home is cut off from it.
 func (d *Desk) leftToHome(ctx context.Context, id string) (accepted, leave bool) {
 	ctx, cancel := context.WithTimeout(ctx, storeWait)
 	defer cancel()
--- a/internal/batch/desk/prepare_test.go
+++ b/internal/batch/desk/prepare_test.go
@@ -17,8 +17,8 @@
 	"github.com/egretbend/egretbend/internal/standin/space"
 )
 
-// stepOf returns a step of a trainer.
-func stepOf(id string) *submission.Submission {
+// newStep returns the batch of a trainer's step.
+func newStep(id string) *submission.Submission {
 	return &submission.Submission{
 		ID:          id,
 		Model:       "m",
@@ -27,8 +27,8 @@
 	}
 }
 
-// Guards against a step that another instance begins anew though its home has half made it.
-func TestHomeStoresWhatItBegan(t *testing.T) {
+// Guards against a step that another instance begins again although its home has made part of it.
+func TestHomeStoresPreparedBatch(t *testing.T) {
 	is := is.New(t)
 	var down atomic.Bool
 	down.Store(true)
@@ -41,37 +41,37 @@
 	self := d.Registry.Self()
 	self.Cores = 1
 	d.Registry.SetSelf(self)
-	sub := stepOf("b")
+	sub := newStep("b")
 	began := time.Now()
 	err := d.Accept(context.Background(), sub, catalog.Route{})
 	is.True(errors.Is(err, ErrPrepared))
 	is.Equal(problem.From(err).Kind.Outcome, problem.Unknown)
-	is.True(time.Since(began) < homeTimeout) // whoever passed it on still listens
+	is.True(time.Since(began) < homeTimeout) // the instance that forwarded it still waits
 	is.True(d.Runner.Prepared("b"))
 	down.Store(false)
-	is.True(until(func() bool { return d.Runner.Has("b") }))
+	is.True(eventually(func() bool { return d.Runner.Has("b") }))
 	d.Runner.Holder.Take(catalog.Configuration{Version: 1}.WithIndex())
-	is.NoErr(d.Accept(context.Background(), sub, catalog.Route{})) // the trainer comes again
+	is.NoErr(d.Accept(context.Background(), sub, catalog.Route{})) // the trainer retries
 }
 
-// prepared is a home that has begun a batch and can't store it.
-type prepared struct {
-	silent
+// preparedHome is a home that has begun a batch and can't store it.
+type preparedHome struct {
+	silentPeers
 	asked *atomic.Int32
 }
 
 // Submit implements Peers.
-func (p prepared) Submit(context.Context, string, *submission.Submission) error {
+func (p preparedHome) Submit(context.Context, string, *submission.Submission) error {
 	p.asked.Add(1)
 	return ErrPrepared
 }
 
-// Guards against an instance that accepts a step although its home is making it.
-func TestStepIsLeftToTheHomeThatBeganIt(t *testing.T) {
+// Guards against an instance that accepts a step at once although its home has begun it.
+func TestHomeIsAskedTwiceBeforeBatchIsAcceptedElsewhere(t *testing.T) {
 	is := is.New(t)
 	d, _ := newDesk(t, nil)
 	var asked atomic.Int32
-	d.Peers = prepared{
+	d.Peers = preparedHome{
 		asked: &asked,
 	}
 	self := d.Registry.Self()
@@ -92,8 +92,8 @@
 	view.SetSelf(self)
 	d.Registry = view
 	tb.Go(func() error { return view.Run(&tb) })
-	is.True(until(func() bool { return view.Present("home") && view.Held() }))
-	is.NoErr(d.Submit(context.Background(), stepOf("b"), catalog.Route{}))
-	is.Equal(asked.Load(), int32(2)) // it is asked twice before
+	is.True(eventually(func() bool { return view.Present("home") && view.Held() }))
+	is.NoErr(d.Submit(context.Background(), newStep("b"), catalog.Route{}))
+	is.Equal(asked.Load(), int32(2)) // asked twice before the batch is accepted here
 	is.True(d.Runner.Has("b"))
 }
--- a/internal/batch/desk/read.go
+++ b/internal/batch/desk/read.go
@@ -13,17 +13,20 @@
 	"github.com/egretbend/egretbend/internal/kernel/problem"
 )
 
-// here returns results of a batch that surely runs at this instance.
-func (d *Desk) here(ctx context.Context, id string, after int, wait time.Duration) (runner.Page, error) {
+// readLocal returns results of a batch that runs at this instance. It returns
+// runner.ErrNotHere if the batch does not run here.
+func (d *Desk) readLocal(ctx context.Context, id string, after int, wait time.Duration) (runner.Page, error) {
 	page, err := d.Runner.Read(ctx, id, after, wait)
-	if err == nil && len(page.Results) == 0 && (d.doubt.Load() || !d.Registry.Held()) {
-		// Another instance may have listed more meanwhile.
+	if err == nil && len(page.Results) == 0 && (d.claimsUncertain.Load() || !d.Registry.Held()) {
+		// This instance may have lost the batch, and the new owner may have listed
+		// more results.
 		err = runner.ErrNotHere
 	}
 	return page, err
 }
 
-// Read returns results from a position on.
+// Read returns the results of a batch from position after on. It waits up to wait for
+// the first one.
 func (d *Desk) Read(ctx context.Context, id string, after int, wait time.Duration) (runner.Page, error) {
 	began := d.Timer.Now()
 	page, way, err := d.read(ctx, id, after, wait)
@@ -44,7 +47,7 @@
 	return page, err
 }
 
-// The ways to the results of a batch, as the log names them.
+// Where the results of a read came from, as the field "way" of the log line names it.
 const (
 	wayHere   = "here"
 	wayOwner  = "owner"
@@ -52,24 +55,24 @@
 	wayLedger = "ledger"
 )
 
-// read returns results, and by which way they came. Each way is tried if the one
-// before failed.
+// read returns results and where they came from. It tries this instance, the hinted
+// owner, the ledger reader and the ledger, each if the one before failed.
 func (d *Desk) read(ctx context.Context, id string, after int, wait time.Duration) (runner.Page, string, error) {
-	page, err := d.here(ctx, id, after, wait)
+	page, err := d.readLocal(ctx, id, after, wait)
 	if !errors.Is(err, runner.ErrNotHere) {
 		return page, wayHere, err
 	}
-	if owner, ok := d.hinted(id); ok {
+	if owner, ok := d.hintedOwner(id); ok {
 		call, cancel := context.WithTimeout(ctx, wait+callTimeout)
 		page, err = d.Peers.Read(call, owner.Address, id, after, wait)
 		cancel()
 		if err == nil {
 			return page, wayOwner, nil
 		}
-		d.forget(id, owner)
+		d.forgetOwner(id, owner)
 	}
-	if reader, ok := d.readerOf(id); ok {
-		call, cancel := context.WithTimeout(ctx, readerTimeout)
+	if reader, ok := d.ledgerReader(id); ok {
+		call, cancel := context.WithTimeout(ctx, ledgerReaderTimeout)
 		page, _, _, err := d.Peers.Stored(call, reader.PeerAddress, id, "", after)
 		cancel()
 		if err == nil {
@@ -80,19 +83,20 @@
 	return page, wayLedger, err
 }
 
-// readStored reads results at the owner by the ledger, or from the ledger.
+// readStored reads results from the owner that the ledger names, or else from the
+// ledger itself.
 func (d *Desk) readStored(ctx context.Context, id string, after int) (runner.Page, error) {
-	if rec := d.whole.find(id); rec != nil {
+	if rec := d.finished.get(id); rec != nil {
 		return pageOf(rec, after), nil
 	}
-	if owner, ok := d.other(ctx, id); ok {
+	if owner, ok := d.remoteOwner(ctx, id); ok {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		page, err := d.Peers.Read(call, owner.Address, id, after, 0)
 		cancel()
 		if err == nil {
 			return page, nil
 		}
-		d.forget(id, owner)
+		d.forgetOwner(id, owner)
 	}
 	rec, err := d.load(ctx, id)
 	if err != nil {
@@ -105,18 +109,18 @@
 	return runner.PageOf(len(rec.Submission.Items), rec.Results, after)
 }
 
-// readerOf returns the instance that reads a batch from the ledger on behalf of
-// all, if it is another one. A batch is read page by page, each at another
-// instance, and each would list it as a whole.
-func (d *Desk) readerOf(id string) (registry.Member, bool) {
+// ledgerReader returns the instance that reads a batch from the ledger on behalf of
+// all, if it is another one. The pages of a batch are read at different instances,
+// and without it each of them would list the whole batch.
+func (d *Desk) ledgerReader(id string) (registry.Member, bool) {
 	m := First(d.Registry.Members(), id)
 	return m, m.Name != "" && m.Name != d.Ledger.Self.Instance
 }
 
-// load reads a batch from the ledger, or from memory if it was read whole: a
-// reader asks for one page after the other, and each would cost a listing.
+// load reads a batch from the ledger, or from the cache of finished batches: a
+// trainer reads page after page, and each would cost a listing.
 func (d *Desk) load(ctx context.Context, id string) (*ledger.Record, error) {
-	if rec := d.whole.find(id); rec != nil {
+	if rec := d.finished.get(id); rec != nil {
 		return rec, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
@@ -126,15 +130,15 @@
 		return nil, problem.NotFound.Withf("no batch %s", id)
 	}
 	if err != nil {
-		return nil, problem.PlatformDown.Withf("batch %s: %w", id, err).WithRetryAfter(retryRead)
+		return nil, problem.PlatformDown.Withf("batch %s: %w", id, err).WithRetryAfter(readRetryAfter)
 	}
 	if rec.Ended || len(rec.Results) >= len(rec.Submission.Items) {
-		d.whole.keep(id, rec)
+		d.finished.add(id, rec)
 	}
 	return rec, nil
 }
 
-// Body returns the body of an item that is not listed yet.
+// Body returns the body of an item whose result is not listed yet.
 func (d *Desk) Body(ctx context.Context, id, item string) ([]byte, error) {
 	body, ok, err := d.Runner.Body(id, item)
 	if errors.Is(err, runner.ErrNotHere) {
@@ -150,7 +154,7 @@
 }
 
 func (d *Desk) bodyElsewhere(ctx context.Context, id, item string) ([]byte, bool, error) {
-	if owner, ok := d.hinted(id); ok {
+	if owner, ok := d.hintedOwner(id); ok {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		body, ok, err := d.Peers.Body(call, owner.Address, id, item)
 		cancel()
@@ -158,8 +162,8 @@
 			return body, ok, nil
 		}
 	}
-	if reader, ok := d.readerOf(id); ok {
-		call, cancel := context.WithTimeout(ctx, readerTimeout)
+	if reader, ok := d.ledgerReader(id); ok {
+		call, cancel := context.WithTimeout(ctx, ledgerReaderTimeout)
 		_, body, ok, err := d.Peers.Stored(call, reader.PeerAddress, id, item, 0)
 		cancel()
 		if err == nil {
@@ -169,10 +173,11 @@
 	return d.bodyStored(ctx, id, item)
 }
 
-// bodyStored reads a body at the owner by the ledger, or from the ledger.
+// bodyStored reads the body of an item from the owner that the ledger names, or else
+// from the ledger itself.
 func (d *Desk) bodyStored(ctx context.Context, id, item string) ([]byte, bool, error) {
-	if d.whole.find(id) == nil {
-		if owner, ok := d.other(ctx, id); ok {
+	if d.finished.get(id) == nil {
+		if owner, ok := d.remoteOwner(ctx, id); ok {
 			call, cancel := context.WithTimeout(ctx, callTimeout)
 			body, ok, err := d.Peers.Body(call, owner.Address, id, item)
 			cancel()
--- a/internal/batch/desk/takeover.go
+++ b/internal/batch/desk/takeover.go
@@ -15,90 +15,94 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// The times of takeover.
+// Intervals and timeouts of take-overs.
 const (
-	// sweepEvery is how often each instance looks for batches without a live
-	// owner, in a stale listing that costs a tenth. It finds what the news of a
-	// death missed: an owner that died just after it accepted, or an accepted
-	// write whose answer was lost.
-	sweepEvery = 4 * time.Second
-	// gatherTime gathers the ends of instances that died together into one look.
-	gatherTime = 100 * time.Millisecond
-	// sweepAgain is the pause after a look that failed although an instance is
-	// known to be gone.
-	sweepAgain = 300 * time.Millisecond
-	// ownerTimeout bounds the question to an owner whose lease has ended, whether
-	// it runs a batch; a dead one refuses at once, one without power is silent.
-	ownerTimeout = 250 * time.Millisecond
-	// ownerAsks and ownerPause are how long an owner that lives has to show
-	// itself again. A new lease takes one renewal, some tenths of a second.
-	ownerAsks  = 4
-	ownerPause = 400 * time.Millisecond
-	// sweepTimeout bounds one look, and one take-over.
+	// sweepInterval is how often each instance looks for batches without a live
+	// owner, in a stale listing, which costs a tenth of a fresh one. The sweep finds
+	// batches that the notice of a death misses: of an owner that died just after it
+	// accepted one, or of an accepted write whose answer was lost.
+	sweepInterval = 4 * time.Second
+	// goneDebounce is the pause before a sweep, so that the deaths of instances that
+	// die together cause only one.
+	goneDebounce = 100 * time.Millisecond
+	// sweepRetryPause is the pause after a failed sweep or take-over while an
+	// instance is known to be gone.
+	sweepRetryPause = 300 * time.Millisecond
+	// ownerProbeTimeout bounds asking an owner whose lease has ended whether it runs
+	// a batch. A dead process refuses the connection at once; a host without power
+	// does not answer.
+	ownerProbeTimeout = 250 * time.Millisecond
+	// ownerProbes times ownerProbePause is how long an owner that answers has to
+	// appear in the registry again. A new lease takes one renewal, some tenths of a
+	// second.
+	ownerProbes     = 4
+	ownerProbePause = 400 * time.Millisecond
+	// sweepTimeout bounds the listing of a sweep, and one take-over.
 	sweepTimeout = 2 * time.Second
 )
 
-// Run looks for batches whose owner is gone until t dies. gone is signalled when
-// an instance left the view, and once when the view is first known: an instance
-// that starts again goes on with what its earlier life had.
+// Run takes over batches whose owner is gone until t dies. gone is signalled when an
+// instance leaves the registry's view, and once when the view is first read, so that a
+// restarted instance resumes the batches of its previous incarnation.
 func (d *Desk) Run(t *tomb.Tomb, gone <-chan struct{}) error {
 	ctx := t.Context(context.Background())
-	// Instances that start together would otherwise ask together.
-	next := d.Timer.Once(time.Duration(rand.Int64N(int64(sweepEvery))))
+	// A random first delay spreads the sweeps of instances that start together.
+	next := d.Timer.Once(time.Duration(rand.Int64N(int64(sweepInterval))))
 	defer func() { next.Close() }()
-	f := keyvalue.Stale
+	freshness := keyvalue.Stale
 	for {
 		select {
 		case <-next.C:
-		case <-d.failed.C():
-			f = keyvalue.Fresh
-			timer.Wait(d.Timer, sweepAgain, t.Dying())
+		case <-d.takeOverFailed.C():
+			freshness = keyvalue.Fresh
+			timer.Wait(d.Timer, sweepRetryPause, t.Dying())
 		case <-gone:
-			f = keyvalue.Fresh
-			timer.Wait(d.Timer, gatherTime, t.Dying())
+			freshness = keyvalue.Fresh
+			timer.Wait(d.Timer, goneDebounce, t.Dying())
 		case <-t.Dying():
 			return nil
 		}
-		after := sweepEvery
-		if err := d.sweep(ctx, f); err != nil && f == keyvalue.Fresh {
-			after = sweepAgain
+		interval := sweepInterval
+		if err := d.sweep(ctx, freshness); err != nil && freshness == keyvalue.Fresh {
+			interval = sweepRetryPause
 		} else {
-			f = keyvalue.Stale
+			freshness = keyvalue.Stale
 		}
 		next.Close()
-		next = d.Timer.Once(after)
+		next = d.Timer.Once(interval)
 	}
 }
 
-// errNotReady means that this instance can't take over batches yet.
+// errNotReady means that this instance has no configuration yet and can't take over
+// batches.
 var errNotReady = errors.New("no configuration yet")
 
-// sweep takes over the batches without a live owner for which this instance
-// ranks first, and drops those that it has lost.
-func (d *Desk) sweep(ctx context.Context, f keyvalue.Freshness) error {
+// sweep takes over the batches without a live owner whose successor is this instance.
+// After Doubt it first drops the batches that this instance no longer owns.
+func (d *Desk) sweep(ctx context.Context, freshness keyvalue.Freshness) error {
 	if !d.Registry.Synced() || d.Leaving() || !d.Registry.Able() && len(d.Runner.Claims()) == 0 {
-		// Only able instances inherit; a look of all others would find nothing
-		// for them.
+		// Only able instances are successors; the sweep of any other would find nothing
+		// to take over.
 		return nil
 	}
 	if d.Config.Current() == nil {
 		return errNotReady
 	}
-	doubt := d.doubt.Load()
-	if doubt {
-		f = keyvalue.Fresh
+	uncertain := d.claimsUncertain.Load()
+	if uncertain {
+		freshness = keyvalue.Fresh
 	}
 	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
-	claims, err := d.Ledger.Open(ctx, f)
+	claims, err := d.Ledger.Open(ctx, freshness)
 	cancel()
 	if err != nil {
-		d.Journal.Detail("open batches not read", log.Fields{
+		d.Journal.Detail("open batches not listed", log.Fields{
 			"error": err.Error(),
 		})
 		return err
 	}
-	if doubt {
-		d.verify(claims)
+	if uncertain {
+		d.dropStaleClaims(claims)
 	}
 	for _, c := range claims {
 		if d.orphan(c) {
@@ -108,48 +112,48 @@
 	return nil
 }
 
-// Doubt has all claims of this instance looked up at the next sweep: its lease
-// had ended, so others may own its batches now. Reads would otherwise miss the
-// results that the new owners list.
-func (d *Desk) Doubt() { d.doubt.Store(true) }
+// Doubt makes the next sweep look up all claims of this instance. It is called after
+// the lease of this instance has ended, since other instances may own its batches now
+// and list results that reads here would miss.
+func (d *Desk) Doubt() { d.claimsUncertain.Store(true) }
 
-// verify drops the batches that have another owner, or are ended.
-func (d *Desk) verify(claims []ledger.Claim) {
-	d.doubt.Store(false)
-	stands := make(map[string]uint64, len(claims))
+// dropStaleClaims drops the batches that have another owner by now or are ended.
+func (d *Desk) dropStaleClaims(claims []ledger.Claim) {
+	d.claimsUncertain.Store(false)
+	revisions := make(map[string]uint64, len(claims))
 	for _, c := range claims {
-		stands[c.Batch] = c.Revision
+		revisions[c.Batch] = c.Revision
 	}
 	for _, c := range d.Runner.Claims() {
-		if stands[c.Batch] != c.Revision {
+		if revisions[c.Batch] != c.Revision {
 			d.Runner.Lose(c.Batch, ledger.ErrFenced)
 		}
 	}
 }
 
-// orphan reports whether this instance should take over a batch.
+// orphan reports whether this instance should take over a batch: it owns the batch and does
+// not run it, or the owner is gone and this instance is its successor.
 func (d *Desk) orphan(c ledger.Claim) bool {
 	if c.Owner == d.Ledger.Self {
 		return !d.Runner.Has(c.Batch)
 	}
 	if m, ok := d.Registry.Find(c.Owner.Instance); ok && !d.Registry.Suspected(c.Owner.Instance) {
-		// An instance that came back goes on with what it had.
+		// A restarted instance resumes the batches of its previous incarnation itself.
 		return m.Incarnation != c.Owner.Incarnation && m.Incarnation == d.Ledger.Self.Incarnation
 	}
 	return d.Inherits(c.Owner.Instance)
 }
 
-// Inherits reports whether this instance takes over what another one leaves. Only
-// one of all then looks into the ledger after a death; if all did, the looks
-// would grow with the square of the fleet.
+// Inherits reports whether this instance is the successor of another one, or is that
+// one itself. The successor alone lists the ledger after a death; if all instances
+// did, the number of listings would grow with the square of the fleet.
 func (d *Desk) Inherits(name string) bool {
-	heir := First(registry.Without(d.Registry.Members(), name), name)
-	return name == d.Ledger.Self.Instance || heir.Name == d.Ledger.Self.Instance
+	successor := First(registry.Without(d.Registry.Members(), name), name)
+	return name == d.Ledger.Self.Instance || successor.Name == d.Ledger.Self.Instance
 }
 
-// First returns the instance that ranks first for a key, by a rendezvous hash
-// over those that are able to run a batch. It returns a member without a name if
-// there is none.
+// First returns the able instance that ranks first for a key by rendezvous hashing, or
+// a member without a name if no instance is able.
 func First(members []registry.Member, key string) registry.Member {
 	if first := registry.Ranked(members, key, 1); len(first) > 0 {
 		return first[0]
@@ -157,22 +161,23 @@
 	return registry.Member{}
 }
 
-// lives reports whether the owner of a batch turns out to be alive though its
-// lease has ended: the service took the lease away, or turned the instance away
-// for longer than it lasts. What it has of the batch would be made again. It gets
-// a moment to show itself again, by way of the others if need be.
-func (d *Desk) lives(c ledger.Claim) bool {
+// ownerAlive reports whether the owner of a batch is alive although its lease has
+// ended, as when the key-value service took the lease away or rejected the instance for
+// longer than the lease lasts. Taking the batch over would repeat the work that the
+// owner has done. An owner that answers gets some time to appear in the registry again,
+// by way of the other instances if it does not reach the service.
+func (d *Desk) ownerAlive(c ledger.Claim) bool {
 	if c.Owner.Instance == d.Ledger.Self.Instance || c.Owner.Address == "" {
 		return false
 	}
-	for range ownerAsks {
-		ctx, cancel := context.WithTimeout(context.Background(), ownerTimeout)
+	for range ownerProbes {
+		ctx, cancel := context.WithTimeout(context.Background(), ownerProbeTimeout)
 		runs := d.Peers.Runs(ctx, c.Owner.Address, c.Batch)
 		cancel()
 		if !runs {
 			return false
 		}
-		timer.Wait(d.Timer, ownerPause, nil)
+		timer.Wait(d.Timer, ownerProbePause, nil)
 		if d.Registry.Alive(c.Owner.Instance, c.Owner.Incarnation) && !d.Registry.Suspected(c.Owner.Instance) {
 			return true
 		}
@@ -180,64 +185,65 @@
 	return false
 }
 
-// homesTried is how many instances a batch is brought to before the one that it
-// reached runs it itself. That one may have a sixth of their processor.
-const homesTried = 2
+// maxHomes is how many instances a batch is forwarded to before the instance that it
+// reached accepts it itself. That one may have a sixth of the CPU of a home.
+const maxHomes = 2
 
-// Homes returns the instances that should run the batches of a key, the first one
+// Homes returns the instances that batches of a key should run at, the most preferred
 // first.
 func Homes(members []registry.Member, key string) []registry.Member {
-	return registry.Ranked(members, key, homesTried)
+	return registry.Ranked(members, key, maxHomes)
 }
 
-// takeOver makes this instance the owner of a batch and goes on with it, unless its
-// owner turns out to be alive.
+// takeOver acquires a batch unless its owner turns out to be alive.
 func (d *Desk) takeOver(seen ledger.Claim) {
-	if !d.lives(seen) {
-		d.own(seen)
+	if !d.ownerAlive(seen) {
+		d.acquire(seen)
 	}
 }
 
-// Inherit takes over batches of an owner that is surely lost, and whose lease has
+// Inherit acquires batches of an owner that is known to be lost and whose lease has
 // ended.
 func (d *Desk) Inherit(owner ledger.Owner, batches []string) {
 	if d.Leaving() || d.Config.Current() == nil {
 		return
 	}
 	for _, id := range batches {
-		go d.inherit(owner, id)
+		go d.acquireFrom(owner, id)
 	}
 }
 
-func (d *Desk) inherit(owner ledger.Owner, id string) {
+// acquireFrom acquires a batch if it still belongs to the given owner.
+func (d *Desk) acquireFrom(owner ledger.Owner, id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), sweepTimeout)
 	defer cancel()
 	claim, err := d.Ledger.Find(ctx, id)
 	if err != nil {
-		// The sweep that follows the end of a lease looks again.
-		d.Journal.Detail("inherited batch not read", log.Fields{
+		// The sweep that follows the end of the owner's lease tries again.
+		d.Journal.Detail("batch of a lost owner not read", log.Fields{
 			"request_id": id,
 			"error":      err.Error(),
 		})
 		return
 	}
 	if claim.Owner == owner {
-		d.own(claim)
+		d.acquire(claim)
 	}
 }
 
-// own makes this instance the owner of a batch and goes on with it.
-func (d *Desk) own(seen ledger.Claim) {
+// acquire makes this instance the owner of a batch in the ledger, unless the owner's key
+// in the registry still exists, and resumes the batch.
+func (d *Desk) acquire(seen ledger.Claim) {
 	ctx, cancel := context.WithTimeout(context.Background(), sweepTimeout)
 	defer cancel()
 	claim := seen
 	var err error
 	if seen.Owner != d.Ledger.Self {
-		sign := registry.Key(seen.Owner.Instance)
+		aliveKey := registry.Key(seen.Owner.Instance)
 		if seen.Owner.Instance == d.Ledger.Self.Instance {
-			sign = ""
+			aliveKey = ""
 		}
-		claim, err = d.Ledger.TakeOver(ctx, seen, sign)
+		claim, err = d.Ledger.TakeOver(ctx, seen, aliveKey)
 	}
 	if err == nil {
 		err = d.Runner.Adopt(ctx, claim)
@@ -250,18 +256,19 @@
 			"request_id": seen.Batch,
 			"owner":      seen.Owner.Instance,
 		})
-		// The next look by itself is seconds away; the step would stand still.
-		d.failed.Set()
+		// The next regular sweep is seconds away, and the trainer would be idle until
+		// then.
+		d.takeOverFailed.Set()
 		return
 	}
-	d.tell(News{
+	d.announceOwner(News{
 		Batch: claim.Batch,
 		Owner: claim.Owner,
 	})
 }
 
-// HandOver gives the batches of this instance, which leaves, to others with
-// what was made of them.
+// HandOver gives the batches of this instance, which is stopping, to other instances,
+// with the results and texts that they have so far.
 func (d *Desk) HandOver(ctx context.Context) {
 	for _, c := range d.Runner.Claims() {
 		to := First(d.Registry.Members(), c.Batch)
@@ -289,16 +296,16 @@
 	}
 }
 
-// remind tells the owner of a batch to begin with it if it does not run it. An
-// owner whose write was stored while it waited in vain for the answer does not
-// know of its batch until its next look, and the step stands still for seconds;
-// the trainer that comes again finds the batch accepted, and so the owner.
-func (d *Desk) remind(id string) {
+// ensureOwnerRuns has the owner of a batch adopt it if it does not run it. An owner whose
+// write was stored, but whose wait for the answer timed out, does not know of its batch
+// until its next sweep, and the trainer would be idle for seconds. When the trainer
+// retries, the batch is found in the ledger, and with it its owner.
+func (d *Desk) ensureOwnerRuns(id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), sweepTimeout)
 	defer cancel()
-	owner, err := d.owner(ctx, id)
+	owner, err := d.findOwner(ctx, id)
 	if errors.Is(err, ledger.ErrUnknown) {
-		// It has ended.
+		// The batch has ended.
 		return
 	}
 	switch {
@@ -309,7 +316,7 @@
 		err = d.Peers.Adopt(ctx, owner.Address, id)
 	}
 	if err != nil {
-		d.Journal.Detail("owner not reminded", log.Fields{
+		d.Journal.Detail("owner not told to adopt its batch", log.Fields{
 			"request_id": id,
 			"owner":      owner.Instance,
 			"error":      err.Error(),
@@ -317,7 +324,7 @@
 	}
 }
 
-// Adopt begins a batch of which this instance is the owner by the ledger.
+// Adopt begins a batch that this instance owns by the ledger and does not run yet.
 func (d *Desk) Adopt(ctx context.Context, id string) error {
 	if d.Runner.Has(id) {
 		return nil
--- a/internal/batch/desk/inherit_test.go
+++ b/internal/batch/desk/takeover_test.go
@@ -14,8 +14,8 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// Guards against a successor that takes over from an owner that is back, or was succeeded already.
-func TestOnlyTheLostAreInherited(t *testing.T) {
+// Guards against taking over a batch whose owner is back, or that has another owner already.
+func TestOnlyBatchesOfLostOwnerAreTakenOver(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	d, store := newDesk(t, nil)
@@ -36,22 +36,22 @@
 	}
 	_, err := owner.Accept(ctx, sub)
 	is.NoErr(err)
-	sign, err := store.Commit(ctx, keyvalue.Transaction{
+	written, err := store.Commit(ctx, keyvalue.Transaction{
 		Writes: []keyvalue.Write{
 			{Key: registry.Key("other"), Value: []byte("{}")},
 		},
 	})
 	is.NoErr(err)
-	is.True(sign > 0)
-	d.inherit(lost, "b")
-	is.Equal(d.Runner.Has("b"), false) // its key stands
+	is.True(written > 0)
+	d.acquireFrom(lost, "b")
+	is.Equal(d.Runner.Has("b"), false) // the key of its owner exists
 	_, err = store.Commit(ctx, keyvalue.Transaction{
 		Removes: []string{registry.Key("other")},
 	})
 	is.NoErr(err)
-	d.inherit(ledger.Owner{Instance: "third"}, "b")
-	is.Equal(d.Runner.Has("b"), false) // it belongs to another
-	d.inherit(lost, "gone")
+	d.acquireFrom(ledger.Owner{Instance: "third"}, "b")
+	is.Equal(d.Runner.Has("b"), false) // it has another owner
+	d.acquireFrom(lost, "gone")
 	d.Inherit(lost, []string{"b"})
-	is.True(until(func() bool { return d.Runner.Has("b") }))
+	is.True(eventually(func() bool { return d.Runner.Has("b") }))
 }
