--- a/internal/batch/standby/copies.go
+++ b/internal/batch/standby/copies.go
@@ -11,52 +11,52 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// The bounds of copies.
+// Limits of copies.
 const (
-	// mostCopies is how many batches are kept, of up to a megabyte each.
-	mostCopies = 24
-	// copyLasts is how long a copy is kept that nobody renews.
-	copyLasts = time.Minute
+	// maxCopies is how many batches are kept, of up to a megabyte each.
+	maxCopies = 24
+	// copyTTL is how long a copy is kept after its last renewal.
+	copyTTL = time.Minute
 )
 
-// ErrGap means that events before those of a message are missing: the owner sends
-// all of its batches again.
+// ErrGap means that events before those of a heartbeat are missing, so the owner has to
+// send all of its batches again.
 var ErrGap = errors.New("events before these are missing")
 
-// Copy is what an owner had made of a batch and may not have stored yet.
+// Copy is what an owner has made of a batch and may not have stored yet.
 type Copy struct {
 	Results  []submission.Result
 	Progress []submission.Progress
 }
 
-// Copies holds the batches of other instances, and when their owners were heard last.
-// Its zero value is empty.
+// Copies holds copies of the batches of other instances, and the last heartbeat of each
+// owner. Its zero value is empty.
 type Copies struct {
 	mu      sync.Mutex
-	batches map[string]*kept
+	batches map[string]*batchCopy
 	owners  map[string]Heard
 }
 
-// Heard is what is known of an owner by its heartbeats.
+// Heard is the last heartbeat of an owner and when the owner was last known to be alive.
 type Heard struct {
 	Heartbeat Heartbeat
 	At        timer.Instant
 }
 
-// kept is the copy of one batch.
-type kept struct {
-	owner   ledger.Owner
-	at      timer.Instant
-	results map[string]submission.Result
-	texts   map[string]submission.Progress
+// batchCopy is the copy of one batch.
+type batchCopy struct {
+	owner     ledger.Owner
+	renewedAt timer.Instant
+	results   map[string]submission.Result
+	progress  map[string]submission.Progress
 }
 
-// Take takes a heartbeat. It returns ErrGap if it does not follow what is held.
+// Take applies a heartbeat. It returns ErrGap if events before it are missing.
 func (c *Copies) Take(b Heartbeat, now timer.Instant) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.batches == nil {
-		c.batches = make(map[string]*kept)
+		c.batches = make(map[string]*batchCopy)
 		c.owners = make(map[string]Heard)
 	}
 	deltas := b.Deltas
@@ -65,29 +65,29 @@
 		Heartbeat: b,
 		At:        now,
 	}
-	c.drop(b, now)
+	c.dropStale(b, now)
 	for _, d := range deltas {
 		k := c.batches[d.Batch]
 		if d.Whole {
-			k = &kept{
-				owner:   b.Owner,
-				results: make(map[string]submission.Result),
-				texts:   make(map[string]submission.Progress),
+			k = &batchCopy{
+				owner:    b.Owner,
+				results:  make(map[string]submission.Result),
+				progress: make(map[string]submission.Progress),
 			}
 			c.batches[d.Batch] = k
 		}
 		if k == nil || k.owner != b.Owner {
 			return ErrGap
 		}
-		k.at = now
+		k.renewedAt = now
 		for _, p := range d.Pieces {
-			if !k.add(p) {
+			if !k.apply(p) {
 				delete(c.batches, d.Batch)
 				return ErrGap
 			}
 		}
 	}
-	c.bound()
+	c.evictOldest()
 	for _, id := range b.Open {
 		if k := c.batches[id]; k == nil || k.owner != b.Owner {
 			return ErrGap
@@ -96,27 +96,27 @@
 	return nil
 }
 
-// drop forgets the batches that the sender runs no more, and old ones. A new life
-// of an instance does not end what is held of the life before: it asks for that. The
-// lock is held.
-func (c *Copies) drop(b Heartbeat, now timer.Instant) {
+// dropStale drops the batches that the sender no longer runs, and copies older than copyTTL.
+// Copies of an instance's previous incarnation stay, since the new incarnation fetches
+// them. c.mu is held.
+func (c *Copies) dropStale(b Heartbeat, now timer.Instant) {
 	for id, k := range c.batches {
 		switch {
-		case k.owner == b.Owner && !slices.Contains(b.Open, id), now.Sub(k.at) > copyLasts:
+		case k.owner == b.Owner && !slices.Contains(b.Open, id), now.Sub(k.renewedAt) > copyTTL:
 			delete(c.batches, id)
 		case k.owner == b.Owner:
-			k.at = now
+			k.renewedAt = now
 		}
 	}
 }
 
-// bound drops the copies that were renewed longest ago beyond mostCopies. The lock
-// is held.
-func (c *Copies) bound() {
-	for len(c.batches) > mostCopies {
+// evictOldest drops the copies with the oldest renewal until maxCopies are left. c.mu is
+// held.
+func (c *Copies) evictOldest() {
+	for len(c.batches) > maxCopies {
 		oldest := ""
 		for id, k := range c.batches {
-			if oldest == "" || k.at < c.batches[oldest].at {
+			if oldest == "" || k.renewedAt < c.batches[oldest].renewedAt {
 				oldest = id
 			}
 		}
@@ -124,15 +124,15 @@
 	}
 }
 
-// add takes what is new of an item. It reports false if events are missing.
-func (k *kept) add(p Piece) bool {
-	old := k.texts[p.Item].Events
+// apply applies the changes of one item. It returns false if events before them are missing.
+func (k *batchCopy) apply(p Piece) bool {
+	old := k.progress[p.Item].Events
 	if p.From > len(old) {
 		return false
 	}
 	events := append(old[:p.From:p.From], p.Events...)
 	if p.Result == nil {
-		k.texts[p.Item] = submission.Progress{
+		k.progress[p.Item] = submission.Progress{
 			Item:     p.Item,
 			Events:   events,
 			Versions: p.Versions,
@@ -145,7 +145,7 @@
 		end.Text = submission.TextOf(events)
 	}
 	k.results[p.Item] = end
-	delete(k.texts, p.Item)
+	delete(k.progress, p.Item)
 	return true
 }
 
@@ -161,14 +161,14 @@
 	for _, r := range k.results {
 		found.Results = append(found.Results, r)
 	}
-	for _, p := range k.texts {
+	for _, p := range k.progress {
 		found.Progress = append(found.Progress, p)
 	}
 	return found, true
 }
 
-// heard returns the owners that were heard, by instance.
-func (c *Copies) heard() []Heard {
+// heardOwners returns the last heartbeat of each owner.
+func (c *Copies) heardOwners() []Heard {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := make([]Heard, 0, len(c.owners))
@@ -178,8 +178,8 @@
 	return list
 }
 
-// forget ends the watch over one life of an owner.
-func (c *Copies) forget(o ledger.Owner) {
+// forgetOwner stops watching one incarnation of an owner.
+func (c *Copies) forgetOwner(o ledger.Owner) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.owners[o.Instance].Heartbeat.Owner == o {
@@ -187,7 +187,7 @@
 	}
 }
 
-// heardSince reports whether a heartbeat of a life came after a time.
+// heardSince reports whether a heartbeat of an incarnation arrived after a time.
 func (c *Copies) heardSince(o ledger.Owner, at timer.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,8 +195,8 @@
 	return h.Heartbeat.Owner == o && h.At > at
 }
 
-// answered notes that an owner lives though its heartbeats don't come.
-func (c *Copies) answered(o ledger.Owner, now timer.Instant) {
+// recordAnswer notes that an owner is alive although its heartbeats don't arrive.
+func (c *Copies) recordAnswer(o ledger.Owner, now timer.Instant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h := c.owners[o.Instance]; h.Heartbeat.Owner == o {
--- a/internal/batch/standby/copies_test.go
+++ b/internal/batch/standby/copies_test.go
@@ -23,29 +23,29 @@
 	Address:     "a:1",
 }
 
-// book is the work of an owner as a test writes it: one batch of some items.
-type book struct {
-	texts map[string][]string
-	ends  map[string]submission.Result
-	over  bool
+// fakeWork is the work of an owner: one batch of some items.
+type fakeWork struct {
+	texts   map[string][]string
+	results map[string]submission.Result
+	idle    bool
 }
 
 // Busy implements Work.
-func (b *book) Busy() bool { return !b.over }
+func (b *fakeWork) Busy() bool { return !b.idle }
 
 // Changes implements Work.
-func (b *book) Changes(had Marks) ([]string, []Delta, Marks) {
-	if b.over {
+func (b *fakeWork) Changes(since Marks) ([]string, []Delta, Marks) {
+	if b.idle {
 		return nil, nil, Marks{}
 	}
 	d := Delta{
 		Batch: "b",
-		Whole: had["b"] == nil,
+		Whole: since["b"] == nil,
 	}
 	marks := make(map[string]int)
 	for id, text := range b.texts {
-		end, done := b.ends[id]
-		mark := had["b"][id]
+		end, done := b.results[id]
+		mark := since["b"][id]
 		switch {
 		case done:
 			marks[id] = Done
@@ -75,65 +75,64 @@
 	return []string{"b"}, []Delta{d}, Marks{"b": marks}
 }
 
-// change changes an item, unless it has ended.
-func (b *book) change(id, what string, n int) {
-	if _, done := b.ends[id]; done {
+// change applies an action to an item that has not ended.
+func (b *fakeWork) change(id, action string, n int) {
+	if _, done := b.results[id]; done {
 		return
 	}
-	switch what {
+	switch action {
 	case "event":
 		b.texts[id] = append(b.texts[id], fmt.Sprint(n))
 	case "restart":
 		b.texts[id] = nil
 	case "end":
-		b.ends[id] = submission.Result{
+		b.results[id] = submission.Result{
 			Item: id,
 			Text: submission.TextOf(b.texts[id]),
 		}
 	}
 }
 
-// link is the path to one successor. Its messages get lost, or their answers do.
-type link struct {
+// lossyPeers is the path to one successor, which loses messages or their answers.
+type lossyPeers struct {
 	Peers
 	copies *Copies
 	clock  timer.Service
-	// fails says what becomes of the next message.
-	fails string
-	// lies says that a lost message is reported as taken.
-	lies bool
+	// fault is what happens to the next message: "lost", "unanswered" or nothing.
+	fault string
+	// hidesLoss makes a lost message appear as delivered.
+	hidesLoss bool
 }
 
 var errLost = errors.New("no answer")
 
 // Send implements Peers.
-func (l *link) Send(_ context.Context, _ string, b Heartbeat) error {
-	if l.fails == "lost" {
-		if l.lies {
+func (l *lossyPeers) Send(_ context.Context, _ string, b Heartbeat) error {
+	if l.fault == "lost" {
+		if l.hidesLoss {
 			return nil
 		}
 		return errLost
 	}
 	err := l.copies.Take(b, l.clock.Now())
-	if l.fails == "unanswered" {
+	if l.fault == "unanswered" {
 		return errLost
 	}
 	return err
 }
 
-// copied drives an owner whose texts grow, begin anew and end, over a path that
-// loses messages, and compares the copy with what the owner had when the last
-// message came through.
-func copied(t *rapid.T, lies bool) {
+// checkCopyFollowsOwner runs an owner whose texts grow, restart and end over a path that loses
+// messages, and compares the copy with what the owner has once the messages arrive again.
+func checkCopyFollowsOwner(t *rapid.T, hidesLoss bool) {
 	clock := &timer.Manual{}
-	l := &link{
-		copies: &Copies{},
-		clock:  clock,
-		lies:   lies,
+	l := &lossyPeers{
+		copies:    &Copies{},
+		clock:     clock,
+		hidesLoss: hidesLoss,
 	}
-	work := &book{
-		texts: map[string][]string{"x": nil, "y": nil, "z": nil},
-		ends:  map[string]submission.Result{},
+	work := &fakeWork{
+		texts:   map[string][]string{"x": nil, "y": nil, "z": nil},
+		results: map[string]submission.Result{},
 	}
 	s := &Sender{
 		Self:       ownerA,
@@ -147,21 +146,21 @@
 	ids := slices.Sorted(maps.Keys(work.texts))
 	for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
 		id := rapid.SampledFrom(ids).Draw(t, "item")
-		what := rapid.SampledFrom([]string{"event", "event", "event", "restart", "end", "forget"}).Draw(t, "what")
-		if what == "forget" {
-			// The successor was started again.
+		action := rapid.SampledFrom([]string{"event", "event", "event", "restart", "end", "forget"}).Draw(t, "what")
+		if action == "forget" {
+			// The successor restarts and loses its copies.
 			l.copies = &Copies{}
 		} else {
-			work.change(id, what, n)
+			work.change(id, action, n)
 		}
-		l.fails = rapid.SampledFrom([]string{"", "", "lost", "unanswered"}).Draw(t, "path")
-		clock.Advance(workEvery)
-		s.beat(context.Background(), true)
+		l.fault = rapid.SampledFrom([]string{"", "", "lost", "unanswered"}).Draw(t, "path")
+		clock.Advance(busyInterval)
+		s.sendHeartbeats(context.Background(), true)
 	}
-	l.fails = ""
-	// A gap is told with one heartbeat and closed with the next.
-	s.beat(context.Background(), true)
-	s.beat(context.Background(), true)
+	l.fault = ""
+	// The first heartbeat reports a gap and the second closes it.
+	s.sendHeartbeats(context.Background(), true)
+	s.sendHeartbeats(context.Background(), true)
 	got, ok := l.copies.Find("b")
 	if !ok {
 		t.Fatal("no copy")
@@ -171,30 +170,31 @@
 		texts[p.Item] = p.Events
 	}
 	for _, id := range ids {
-		if end, done := work.ends[id]; done {
+		if end, done := work.results[id]; done {
 			if !slices.ContainsFunc(got.Results, func(r submission.Result) bool { return r.Item == id && r.Text == end.Text }) {
-				t.Fatalf("the end of %s is missing", id)
+				t.Fatalf("the result of %s is missing in the copy", id)
 			}
 			continue
 		}
 		if !slices.Equal(texts[id], work.texts[id]) {
-			t.Fatalf("text of %s: %v, the owner has %v", id, texts[id], work.texts[id])
+			t.Fatalf("text of %s in the copy: %v, at the owner: %v", id, texts[id], work.texts[id])
 		}
 	}
 }
 
 // Guards against copies that lack events, hold them twice, or join two texts.
 func TestCopyFollowsItsOwner(t *testing.T) {
-	proof.CheckN(t, 300, func(t *rapid.T) { copied(t, false) })
+	proof.CheckN(t, 300, func(t *rapid.T) { checkCopyFollowsOwner(t, false) })
 }
 
-// With a path that reports lost messages as taken the copy differs.
+// If lost messages are reported as delivered, the copy differs from the owner's text, so the
+// property above does check something.
 func TestCopyDiffersIfLossesAreHidden(t *testing.T) {
-	proof.Refute(t, func(t *rapid.T) { copied(t, true) })
+	proof.Refute(t, func(t *rapid.T) { checkCopyFollowsOwner(t, true) })
 }
 
-// Guards against an instance that starts again and wipes out the copies of its life before.
-func TestCopyOutlivesItsOwner(t *testing.T) {
+// Guards against a restarted instance that wipes the copies of its previous incarnation.
+func TestCopySurvivesRestartOfItsOwner(t *testing.T) {
 	is := is.New(t)
 	var c Copies
 	is.NoErr(c.Take(Heartbeat{
@@ -215,14 +215,14 @@
 		Owner: ownerA,
 	}, 2))
 	_, ok = c.Find("b")
-	is.Equal(ok, false) // its owner runs it no more
+	is.Equal(ok, false) // its owner no longer runs it
 }
 
 // Guards against copies that fill the memory of a successor.
 func TestCopiesAreBounded(t *testing.T) {
 	is := is.New(t)
 	var c Copies
-	for n := range 3 * mostCopies {
+	for n := range 3 * maxCopies {
 		owner := ownerA
 		owner.Instance = fmt.Sprint(n)
 		is.NoErr(c.Take(Heartbeat{
@@ -233,57 +233,58 @@
 			},
 		}, timer.Instant(n)))
 	}
-	is.Equal(len(c.batches), mostCopies)
+	is.Equal(len(c.batches), maxCopies)
 	is.NoErr(c.Take(Heartbeat{
 		Owner: ownerA,
-	}, timer.Instant(2*copyLasts)))
+	}, timer.Instant(2*copyTTL)))
 	is.Equal(len(c.batches), 0)
 }
 
-// A copy that another instance holds is found by one that was started again.
-func TestFinderAsksSuccessors(t *testing.T) {
+// A restarted instance finds the copy that one of its successors holds.
+func TestFinderFetchesCopyFromSuccessors(t *testing.T) {
 	is := is.New(t)
 	f := &Finder{
 		Copies:     &Copies{},
 		Successors: func() []string { return []string{"far", "near"} },
-		Peers:      holders{"near": {Progress: []submission.Progress{{Item: "x", Events: []string{"e1", "e2"}}}}},
+		Peers:      copyHolders{"near": {Progress: []submission.Progress{{Item: "x", Events: []string{"e1", "e2"}}}}},
 	}
 	is.Equal(f.Find(context.Background(), "b").Events(), 2)
-	f.Peers = holders{}
+	f.Peers = copyHolders{}
 	is.Equal(f.Find(context.Background(), "b").Events(), 0)
 }
 
-// holders are instances with copies, by address.
-type holders map[string]Copy
+// copyHolders are the copies that other instances hold, by address.
+type copyHolders map[string]Copy
 
-func (h holders) Send(context.Context, string, Heartbeat) error          { return errLost }
-func (h holders) Ask(context.Context, string, string) Answer             { return Silent }
-func (h holders) Observe(context.Context, string, string, string) Answer { return Unasked }
-func (h holders) Fetch(_ context.Context, address, _ string) (Copy, bool) {
+func (h copyHolders) Send(context.Context, string, Heartbeat) error          { return errLost }
+func (h copyHolders) Ask(context.Context, string, string) Answer             { return Silent }
+func (h copyHolders) Observe(context.Context, string, string, string) Answer { return Unasked }
+func (h copyHolders) Fetch(_ context.Context, address, _ string) (Copy, bool) {
 	c, ok := h[address]
 	return c, ok
 }
 
-// beats notes who got which heartbeat.
-type beats struct {
-	holders
+// recordingPeers records which successor got which heartbeat.
+type recordingPeers struct {
+	copyHolders
 	got chan string
 }
 
 // Send implements Peers.
-func (b beats) Send(_ context.Context, address string, beat Heartbeat) error {
+func (b recordingPeers) Send(_ context.Context, address string, beat Heartbeat) error {
 	b.got <- fmt.Sprint(address, " ", beat.Every)
 	return nil
 }
 
-// Guards against callers that go on trying an instance without batches that lost power.
-func TestInstanceWithoutWorkIsMissedAsWell(t *testing.T) {
+// Guards against callers that keep trying an instance without batches after it lost power: an
+// idle instance sends heartbeats too, to its first successor.
+func TestIdleInstanceSendsHeartbeats(t *testing.T) {
 	is := is.New(t)
-	peers := beats{
+	peers := recordingPeers{
 		got: make(chan string, 4),
 	}
-	work := &book{
-		over: true,
+	work := &fakeWork{
+		idle: true,
 	}
 	s := &Sender{
 		Self:       ownerA,
@@ -293,19 +294,19 @@
 		Successors: func() []string { return []string{"first", "second"} },
 		Peers:      peers,
 	}
-	is.Equal(s.beat(context.Background(), true), restEvery)
+	is.Equal(s.sendHeartbeats(context.Background(), true), idleInterval)
 	is.Equal(<-peers.got, "first 500ms")
-	work.over = false
-	is.Equal(s.beat(context.Background(), true), workEvery)
+	work.idle = false
+	is.Equal(s.sendHeartbeats(context.Background(), true), busyInterval)
 	got := []string{<-peers.got, <-peers.got}
 	slices.Sort(got)
 	is.Equal(got, []string{"first 200ms", "second 200ms"})
-	work.over = true
-	is.Equal(s.beat(context.Background(), true), restEvery)
+	work.idle = true
+	is.Equal(s.sendHeartbeats(context.Background(), true), idleInterval)
 	got = []string{<-peers.got, <-peers.got}
 	slices.Sort(got)
 	is.Equal(got, []string{"first 500ms", "second 0s"})
-	is.Equal(s.beat(context.Background(), true), restEvery)
+	is.Equal(s.sendHeartbeats(context.Background(), true), idleInterval)
 	is.Equal(<-peers.got, "first 500ms")
 	is.Equal(len(peers.got), 0)
 }
--- a/internal/batch/standby/doc.go
+++ b/internal/batch/standby/doc.go
@@ -1,16 +1,19 @@
-// Package standby keeps copies of the batches that other instances run, and finds
-// out soon when such an owner is lost.
+// Package standby replicates the unstored texts of running batches to the successors
+// of their owners, and detects lost owners before their leases expire.
 //
-//	s := &standby.Sender{Self: self, Work: runner, ...}     // at each owner
+//	s := &standby.Sender{Self: self, Work: runner, ...}       // at each owner
 //	t.Go(func() error { return s.Run(t) })
-//	w := &standby.Watcher{Copies: copies, Lost: inherit, ...} // at each successor
+//	w := &standby.Watcher{Copies: copies, Lost: takeOver, ...} // at each successor
 //	t.Go(func() error { return w.Run(t) })
-//	c, ok := copies.Find(batch)                              // what the owner had made
+//	c, ok := copies.Find(batch)                               // what the owner had made
 //
-// An owner sends what is new of its batches to its successors some times a second.
-// The messages are heartbeats as well. A successor that misses them asks the owner
-// and some other instances; when all agree that it is lost, the successor ends its
-// lease and takes its batches over with the texts that the copies hold.
+// A Sender sends the changes of its batches to the successors of its instance several
+// times a second. The messages also serve as heartbeats. Copies holds what a successor
+// has received. A Watcher that misses heartbeats asks the owner, and has some other
+// instances ask it too; Evidence decides from the answers whether the owner is lost. If
+// so, the successor revokes the owner's lease and takes over its batches with the texts
+// in the copies. Finder fetches a copy that another instance holds.
 //
-// A copy is a cache: the ledger alone decides whose a batch is and what is listed.
+// A copy is only a cache: the ledger alone determines who owns a batch and which results
+// are listed.
 package standby
--- a/internal/batch/standby/evidence.go
+++ b/internal/batch/standby/evidence.go
@@ -2,73 +2,73 @@
 
 import "time"
 
-// Answer is what came of a question to an owner.
+// Answer is the result of asking an owner whether it is alive.
 type Answer int
 
-// The answers.
+// The results of asking an owner.
 const (
-	// Unasked means that the instance that was to ask could not be reached.
+	// Unasked means that the instance that should have asked could not be reached.
 	Unasked Answer = iota
-	// Alive means that this life of the owner answered.
+	// Alive means that the expected incarnation of the owner answered.
 	Alive
-	// Replaced means that another life of the owner answered.
+	// Replaced means that another incarnation of the owner answered.
 	Replaced
 	// Refused means that nothing listens at the owner's address.
 	Refused
-	// Silent means that nothing came in time.
+	// Silent means that no answer arrived in time.
 	Silent
 )
 
 var answerNames = [...]string{"unasked", "alive", "replaced", "refused", "silent"}
 
-// String returns the word for logs.
+// String returns the name of the answer in log lines.
 func (a Answer) String() string { return answerNames[a] }
 
-// gone reports whether the answer speaks against the owner.
-func (a Answer) gone() bool { return a == Refused || a == Silent }
+// unreachable reports whether the owner could not be reached.
+func (a Answer) unreachable() bool { return a == Refused || a == Silent }
 
-// silentAfter is how much later than it was due a heartbeat may be before its sender is
-// asked. Instances whose processor is used up pause for some tenths of a second.
-const silentAfter = 500 * time.Millisecond
+// heartbeatGrace is how late a heartbeat may be before its sender is asked. Instances that
+// have used up their CPU quota pause for some tenths of a second.
+const heartbeatGrace = 500 * time.Millisecond
 
-// Evidence is what is known of an owner whose heartbeats don't come.
+// Evidence is what is known about an owner whose heartbeats don't arrive.
 type Evidence struct {
-	// Silence is the time since the last heartbeat, Every when the next one was due.
+	// Silence is the time since the last heartbeat, Every the time from it to the next one.
 	Silence, Every time.Duration
-	// Leaves says that the last heartbeat was meant to be the last one.
+	// Leaves means that the last heartbeat announced that the owner stops.
 	Leaves bool
-	// Own is the answer to this instance, Others are those to other instances.
+	// Own is the answer that this instance got, Others are those of the observers.
 	Own    Answer
 	Others []Answer
 }
 
-// Suspect reports whether the owner is to be asked.
-func (e Evidence) Suspect() bool { return e.Leaves || e.Silence >= e.Every+silentAfter }
+// Suspect reports whether the owner should be asked.
+func (e Evidence) Suspect() bool { return e.Leaves || e.Silence >= e.Every+heartbeatGrace }
 
-// Lost reports whether the owner is lost, and why or why not. A refused connection is
-// certain, as the process is gone. Silence may lie in the path between two instances:
-// only one more observer that hears nothing makes it certain, and one that hears the
-// owner ends the suspicion.
+// Lost reports whether the owner is lost, and the reason. A refused connection is
+// conclusive, since the process is gone. Silence may be due to the path between two
+// instances: it is conclusive only if at least one observer can't reach the owner either,
+// and no observer gets an answer from it.
 func (e Evidence) Lost() (bool, string) {
 	if e.Own == Alive {
-		return false, "it answers"
+		return false, "the owner answered"
 	}
-	agree := 0
+	confirmations := 0
 	for _, a := range e.Others {
 		if a == Alive {
-			return false, "another instance reaches it"
+			return false, "another instance reached the owner"
 		}
-		if a.gone() {
-			agree++
+		if a.unreachable() {
+			confirmations++
 		}
 	}
 	switch {
 	case e.Own == Replaced:
-		return false, "it was started again"
+		return false, "the owner was restarted"
 	case e.Own == Refused:
-		return true, "it refuses connections"
-	case e.Own.gone() && agree > 0:
-		return true, "nobody reaches it"
+		return true, "the owner refuses connections"
+	case e.Own.unreachable() && confirmations > 0:
+		return true, "no instance reached the owner"
 	}
-	return false, "nobody else could ask it"
+	return false, "no other instance could ask the owner"
 }
--- a/internal/batch/standby/finder.go
+++ b/internal/batch/standby/finder.go
@@ -2,15 +2,16 @@
 
 import "context"
 
-// Finder looks for the copy of a batch here, and else at the successors of this
-// instance: one that was started again finds there what its life before had made.
+// Finder finds the copy of a batch at this instance, or else at its successors: a restarted
+// instance finds there what its previous incarnation had made.
 type Finder struct {
 	Copies     *Copies
 	Successors func() []string
 	Peers      Peers
 }
 
-// Find returns the copy of a batch, empty if there is none.
+// Find returns the copy of a batch, or an empty one. Of several copies at successors it
+// returns the one with the most events.
 func (f *Finder) Find(ctx context.Context, batch string) Copy {
 	if c, ok := f.Copies.Find(batch); ok {
 		return c
@@ -32,7 +33,7 @@
 	return best
 }
 
-// Events returns how many events and ends the copy holds.
+// Events returns the number of events and results in the copy.
 func (c Copy) Events() int {
 	n := len(c.Results)
 	for _, p := range c.Progress {
--- a/internal/batch/standby/heartbeat.go
+++ b/internal/batch/standby/heartbeat.go
@@ -7,48 +7,48 @@
 	"github.com/egretbend/egretbend/internal/batch/submission"
 )
 
-// Piece is what is new of one item.
+// Piece holds the changes of one item.
 type Piece struct {
 	Item string
 	// From is how many events the receiver has already; Events follow them.
 	From   int
 	Events []string
-	// Versions are all that made the text so far.
+	// Versions are the weight versions that have generated the text so far.
 	Versions []uint64
-	// Failures is how many engines said that they failed it.
+	// Failures is how many engines reported that the item failed.
 	Failures int
-	// Result is the end of the item, nil until then. Without a text it has that of all
-	// events.
+	// Result is the result of the item, nil until it has ended. If its text is empty, the
+	// receiver joins the text from the events.
 	Result *submission.Result
 }
 
-// Delta is what is new of one batch.
+// Delta holds the changes of one batch.
 type Delta struct {
 	Batch string
-	// Whole says that the pieces are all that there is, and not what is new only.
+	// Whole means that the pieces hold the whole batch, not only changes.
 	Whole  bool
 	Pieces []Piece
 }
 
-// Heartbeat tells a successor that its sender lives, and what is new of its batches.
+// Heartbeat tells a successor that its sender is alive, and the changes of its batches.
 type Heartbeat struct {
 	Owner ledger.Owner
-	// Lease is the owner's lease, 0 if it has none.
+	// Lease is the number of the owner's lease, 0 if it has none.
 	Lease uint64
 	// Open are the batches that the owner runs.
 	Open []string
-	// Every is how soon the next one comes; 0 says that none does, and that the owner
-	// is not missed.
+	// Every is the time until the next heartbeat; 0 means that none follows and the owner
+	// is not watched any longer.
 	Every time.Duration
-	// Leaves says that it is the last one: the owner stops.
+	// Leaves means that this is the last heartbeat since the owner stops.
 	Leaves bool
 	Deltas []Delta
-	// UnixMicro is the sender's time of day in microseconds since the start of 1970.
+	// UnixMicro is the sender's time of day, in microseconds since the start of 1970.
 	UnixMicro int64
 }
 
-// Done is the mark of an item whose end the receiver has.
+// Done is the mark of an item whose result the receiver has.
 const Done = -1
 
-// Marks say what a receiver has: the number of events of each item by batch.
+// Marks is what a receiver has: by batch and item, the number of events, or Done.
 type Marks map[string]map[string]int
--- a/internal/batch/standby/peers.go
+++ b/internal/batch/standby/peers.go
@@ -10,60 +10,61 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// receiver is the name of the calls between instances.
-const receiver = "Standby"
+// serviceName is the RPC service that instances call each other by.
+const serviceName = "Standby"
 
-// The times of calls.
+// Timeouts of calls.
 const (
-	// sendTimeout bounds one heartbeat, which may carry a step's texts.
+	// sendTimeout bounds one heartbeat, which may carry the texts of a step.
 	sendTimeout = 600 * time.Millisecond
-	// askTimeout bounds a question to an owner; a living one answers within some
-	// milliseconds.
+	// askTimeout bounds asking an owner; a live one answers within some milliseconds.
 	askTimeout = 250 * time.Millisecond
-	// fetchTimeout bounds the question for a copy. What a batch is begun with waits for
-	// it, and after a loss of power of all instances nobody has any.
+	// fetchTimeout bounds fetching a copy. A batch that is taken over waits for the copy
+	// before it is resumed, and after a power loss of all instances there is none.
 	fetchTimeout = 150 * time.Millisecond
-	// observeTimeout bounds a question by way of another instance.
+	// observeTimeout bounds asking an owner by way of another instance.
 	observeTimeout = askTimeout + 100*time.Millisecond
 )
 
 // Peers calls other instances.
 type Peers interface {
-	// Send brings a heartbeat to a successor. It returns ErrGap if the successor
-	// lacks what came before.
+	// Send sends a heartbeat to a successor. It returns ErrGap if the successor lacks
+	// earlier events.
 	Send(ctx context.Context, address string, b Heartbeat) error
-	// Ask asks an instance whether it is the given life.
+	// Ask asks an instance whether it is the given incarnation.
 	Ask(ctx context.Context, address, incarnation string) Answer
-	// Observe has another instance ask.
+	// Observe has another instance, the observer, ask.
 	Observe(ctx context.Context, observer, address, incarnation string) Answer
 	// Fetch returns the copy of a batch that another instance holds.
 	Fetch(ctx context.Context, address, batch string) (Copy, bool)
 }
 
-// Server answers the calls of other instances.
+// Server serves the calls of other instances.
 type Server struct {
 	Copies      *Copies
 	Incarnation string
 	Peers       Peers
 	Timer       timer.Service
-	// Heard is called for each heartbeat with its sender and the time of day there; nil
-	// is not called.
+	// Heard is called for each heartbeat with its sender and the sender's time of day. It
+	// may be nil.
 	Heard func(instance string, wall time.Time)
 }
 
-// Register makes the server callable by other instances.
-func (s *Server) Register(p *peer.Server) error { return p.Register(receiver, &calls{server: s}) }
+// Register registers the calls that other instances make to this one.
+func (s *Server) Register(p *peer.Server) error {
+	return p.Register(serviceName, &rpcMethods{server: s})
+}
 
-// calls are the methods that other instances call.
-type calls struct{ server *Server }
+// rpcMethods has the methods that other instances call.
+type rpcMethods struct{ server *Server }
 
-// Question names a life of an instance.
+// Question names an incarnation of an instance.
 type Question struct {
 	Address     string
 	Incarnation string
 }
 
-// Reply answers any call.
+// Reply is the answer to any call.
 type Reply struct {
 	Gap    bool
 	Life   string
@@ -72,8 +73,8 @@
 	Found  bool
 }
 
-// Send takes a heartbeat.
-func (c *calls) Send(b *Heartbeat, r *Reply) error {
+// Send applies a heartbeat.
+func (c *rpcMethods) Send(b *Heartbeat, r *Reply) error {
 	err := c.server.Copies.Take(*b, c.server.Timer.Now())
 	if c.server.Heard != nil {
 		c.server.Heard(b.Owner.Instance, time.UnixMicro(b.UnixMicro))
@@ -82,25 +83,25 @@
 	return nil
 }
 
-// Ask answers which life this instance is.
-func (c *calls) Ask(_ *Question, r *Reply) error {
+// Ask returns the incarnation of this instance.
+func (c *rpcMethods) Ask(_ *Question, r *Reply) error {
 	r.Life = c.server.Incarnation
 	return nil
 }
 
-// Observe asks another instance.
-func (c *calls) Observe(q *Question, r *Reply) error {
+// Observe asks another instance on behalf of the caller.
+func (c *rpcMethods) Observe(q *Question, r *Reply) error {
 	r.Answer = c.server.Peers.Ask(context.Background(), q.Address, q.Incarnation)
 	return nil
 }
 
-// Fetch answers with the copy of a batch.
-func (c *calls) Fetch(batch *string, r *Reply) error {
+// Fetch returns the copy of a batch.
+func (c *rpcMethods) Fetch(batch *string, r *Reply) error {
 	r.Copy, r.Found = c.server.Copies.Find(*batch)
 	return nil
 }
 
-// PeerCalls calls other instances over their own protocol.
+// PeerCalls implements Peers over the RPC client of the instances.
 type PeerCalls struct {
 	Client *peer.Client
 }
@@ -109,7 +110,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	r := &Reply{}
-	err := p.Client.Call(ctx, address, receiver+"."+method, args, r)
+	err := p.Client.Call(ctx, address, serviceName+"."+method, args, r)
 	return r, err
 }
 
@@ -122,8 +123,8 @@
 	return err
 }
 
-// Ask implements Peers. A connection that broke is opened anew: the answer to the
-// second try tells what listens there now.
+// Ask implements Peers. After a broken connection it dials again: the answer to the
+// second try shows what listens at the address now.
 func (p *PeerCalls) Ask(ctx context.Context, address, incarnation string) Answer {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
--- a/internal/batch/standby/sender.go
+++ b/internal/batch/standby/sender.go
@@ -15,22 +15,23 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// The times of heartbeats.
+// Intervals of heartbeats.
 const (
-	// workEvery is how often an owner at work sends what is new.
-	workEvery = 200 * time.Millisecond
-	// restEvery is how often any other instance shows that it lives. Callers go on
-	// trying the address of one that lost power until it is found out.
-	restEvery = 500 * time.Millisecond
+	// busyInterval is how often an instance with open batches or urgent work sends its
+	// changes.
+	busyInterval = 200 * time.Millisecond
+	// idleInterval is how often any other instance shows that it is alive. Callers keep
+	// trying the address of an instance that lost power until the loss is detected.
+	idleInterval = 500 * time.Millisecond
 )
 
-// Work is the batches of an owner.
+// Work gives access to the batches of an owner.
 type Work interface {
 	// Busy reports whether any batch is open.
 	Busy() bool
-	// Changes returns the open batches, what is new of them since the marks, and
-	// the marks of one that has it.
-	Changes(had Marks) (open []string, news []Delta, has Marks)
+	// Changes returns the open batches, their changes since the marks of a receiver, and
+	// the marks of the receiver once it has these changes.
+	Changes(since Marks) (open []string, deltas []Delta, after Marks)
 }
 
 // Sender sends heartbeats to the successors of this instance.
@@ -39,18 +40,20 @@
 	// Lease returns the number of this instance's lease.
 	Lease func() uint64
 	Work  Work
-	// Urgent reports whether this instance has other work that waits for nobody.
+	// Urgent reports whether this instance has other work whose loss must be detected as
+	// soon as that of batches.
 	Urgent func() bool
-	// Successors returns the peer addresses of those that would take over.
+	// Successors returns the peer addresses of the instances that would take over.
 	Successors func() []string
 	Peers      Peers
 	Timer      timer.Service
 	Journal    *journal.Journal
 
 	mu sync.Mutex
-	// marks are what each successor has; missing ones were never reached.
+	// marks are the marks of each successor by address; nil or missing means that it has
+	// nothing yet or reported a gap.
 	marks map[string]Marks
-	// sending are the successors to which a heartbeat is under way.
+	// sending holds the successors to which a heartbeat is under way.
 	sending map[string]bool
 }
 
@@ -58,12 +61,12 @@
 func (s *Sender) Run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
 	for t.Alive() {
-		timer.Wait(s.Timer, s.beat(ctx, false), t.Dying())
+		timer.Wait(s.Timer, s.sendHeartbeats(ctx, false), t.Dying())
 	}
 	return nil
 }
 
-// Leave sends all successors what this instance has, and that it stops.
+// Leave sends all changes to all successors, and that this instance stops.
 func (s *Sender) Leave(ctx context.Context) {
 	leaves := s.Work.Busy() || s.Urgent()
 	var wg sync.WaitGroup
@@ -73,25 +76,25 @@
 	wg.Wait()
 }
 
-// beat sends one heartbeat to the successors, and returns when the next one is due.
-// It waits for none of them: one that lost power would hold up what the other gets.
-// Without work the first successor alone gets it.
-func (s *Sender) beat(ctx context.Context, wait bool) time.Duration {
-	every := restEvery
+// sendHeartbeats sends one heartbeat to each successor and returns the time until the next
+// one. Unless wait is set it does not wait for the sends, so that a successor that lost
+// power does not delay the others. An idle instance sends to its first successor only.
+func (s *Sender) sendHeartbeats(ctx context.Context, wait bool) time.Duration {
+	interval := idleInterval
 	successors := s.Successors()
 	if s.Work.Busy() || s.Urgent() {
-		every = workEvery
+		interval = busyInterval
 	} else {
 		successors = successors[:min(1, len(successors))]
 	}
 	var wg sync.WaitGroup
-	begin, former := s.begin(successors)
+	due, former := s.startSends(successors)
 	for _, address := range former {
 		wg.Go(func() { s.send(ctx, address, 0, false) })
 	}
-	for _, address := range begin {
+	for _, address := range due {
 		wg.Go(func() {
-			s.send(ctx, address, every, false)
+			s.send(ctx, address, interval, false)
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			delete(s.sending, address)
@@ -100,12 +103,12 @@
 	if wait {
 		wg.Wait()
 	}
-	return every
+	return interval
 }
 
-// begin returns the successors that get a heartbeat now, those to which none is under
-// way, and the former ones, which would miss it.
-func (s *Sender) begin(successors []string) (begin, former []string) {
+// startSends returns the successors that get a heartbeat now, which are those without one
+// under way, and the former successors, which would otherwise miss the heartbeats.
+func (s *Sender) startSends(successors []string) (due, former []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.marks == nil {
@@ -121,43 +124,43 @@
 	for _, address := range successors {
 		if !s.sending[address] {
 			s.sending[address] = true
-			begin = append(begin, address)
+			due = append(due, address)
 		}
 	}
-	return begin, former
+	return due, former
 }
 
-// send sends one heartbeat and notes what the successor has then.
-func (s *Sender) send(ctx context.Context, address string, every time.Duration, leaves bool) {
+// send sends one heartbeat and updates the marks of the successor.
+func (s *Sender) send(ctx context.Context, address string, interval time.Duration, leaves bool) {
 	s.mu.Lock()
-	had := s.marks[address]
+	since := s.marks[address]
 	s.mu.Unlock()
-	open, news, has := s.Work.Changes(had)
+	open, deltas, after := s.Work.Changes(since)
 	err := s.Peers.Send(ctx, address, Heartbeat{
 		Owner:     s.Self,
 		Lease:     s.Lease(),
 		Open:      open,
-		Every:     every,
+		Every:     interval,
 		Leaves:    leaves,
-		Deltas:    news,
+		Deltas:    deltas,
 		UnixMicro: time.Now().UnixMicro(),
 	})
 	switch {
 	case err == nil:
 	case errors.Is(err, ErrGap):
-		has = nil
+		after = nil
 	default:
 		s.Journal.Detail("copy not sent", log.Fields{
 			"successor": address,
 			"error":     err.Error(),
 		})
-		// What of it arrived is not known; what the successor surely has is sent on
-		// from there once more.
-		has = had
+		// How much of the heartbeat arrived is unknown; the next one repeats the changes since
+		// the last marks that are certain.
+		after = since
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if every > 0 {
-		s.marks[address] = has
+	if interval > 0 {
+		s.marks[address] = after
 	}
 }
--- a/internal/batch/standby/watcher.go
+++ b/internal/batch/standby/watcher.go
@@ -17,31 +17,31 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// The times of the watch.
+// Intervals and timeouts of the watch.
 const (
-	// watchEvery is how often the owners' silence is looked at.
-	watchEvery = 100 * time.Millisecond
-	// turnTime is how much later the second successor acts than the first, and so
-	// on: one of them is enough.
-	turnTime = 500 * time.Millisecond
-	// endTimeout bounds the end of a lost owner's lease.
-	endTimeout = 600 * time.Millisecond
-	// askPause is the pause between two questions about the same owner.
+	// watchInterval is how often the time since each owner's last heartbeat is checked.
+	watchInterval = 100 * time.Millisecond
+	// successorDelay is how much later the second successor acts than the first, and so on,
+	// since one of them is enough.
+	successorDelay = 500 * time.Millisecond
+	// revokeTimeout bounds revoking the lease of a lost owner.
+	revokeTimeout = 600 * time.Millisecond
+	// askPause is the pause between two inquiries about the same owner.
 	askPause = 300 * time.Millisecond
 )
 
-// Watcher watches the owners whose copies this instance holds.
+// Watcher detects the loss of owners whose copies this instance holds.
 type Watcher struct {
 	Copies *Copies
 	Peers  Peers
 	Space  keyvalue.Space
-	// Held reports whether this instance's own lease stands: one that does not reach
-	// the service judges nobody.
+	// Held reports whether this instance's own lease is valid. An instance that does not
+	// reach the key-value service declares no owner lost.
 	Held func() bool
-	// Rank returns the place of this instance among the successors of another, 0
-	// for the first.
+	// Rank returns the position of this instance among the successors of another one, 0 for
+	// the first, negative if it is none of them.
 	Rank func(instance string) int
-	// Observers returns the peer addresses of instances that may ask as well.
+	// Observers returns the peer addresses of instances that can ask an owner as well.
 	Observers func(instance string) []string
 	// Lost is called when an owner is lost and its lease has ended.
 	Lost    func(owner ledger.Owner, batches []string)
@@ -49,16 +49,15 @@
 	Journal *journal.Journal
 
 	mu sync.Mutex
-	// asking are the instances about which questions are under way, or were a
-	// moment ago.
-	asking map[string]bool
-	wake   wake.Signal
+	// inquiries holds the instances that an inquiry is under way about, or was a moment ago.
+	inquiries map[string]bool
+	wake      wake.Signal
 }
 
-// Heard wakes the watch.
+// Heard wakes Run after a heartbeat.
 func (w *Watcher) Heard() { w.wake.Set() }
 
-// Run watches until t dies. While nobody sends heartbeats nothing wakes it.
+// Run watches owners until t dies. It sleeps while no owner sends heartbeats.
 func (w *Watcher) Run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
 	for {
@@ -67,68 +66,70 @@
 		case <-t.Dying():
 			return nil
 		}
-		for t.Alive() && w.look(ctx) {
-			timer.Wait(w.Timer, watchEvery, t.Dying())
+		for t.Alive() && w.checkOwners(ctx) {
+			timer.Wait(w.Timer, watchInterval, t.Dying())
 		}
 	}
 }
 
-// look asks about the owners that are silent, and reports whether any is watched.
-func (w *Watcher) look(ctx context.Context) bool {
-	any := false
+// checkOwners starts an inquiry about each suspected owner, and reports whether any owner is
+// watched.
+func (w *Watcher) checkOwners(ctx context.Context) bool {
+	watching := false
 	now := w.Timer.Now()
-	for _, h := range w.Copies.heard() {
+	for _, h := range w.Copies.heardOwners() {
 		if h.Heartbeat.Every == 0 && !h.Heartbeat.Leaves {
-			w.Copies.forget(h.Heartbeat.Owner)
+			w.Copies.forgetOwner(h.Heartbeat.Owner)
 			continue
 		}
 		rank := w.Rank(h.Heartbeat.Owner.Instance)
 		if rank < 0 {
-			// Others succeed it now, and it sends its heartbeats to them.
-			w.Copies.forget(h.Heartbeat.Owner)
+			// Other instances are its successors now and get its heartbeats.
+			w.Copies.forgetOwner(h.Heartbeat.Owner)
 			continue
 		}
-		any = true
+		watching = true
 		e := Evidence{
-			Silence: now.Sub(h.At) - time.Duration(rank)*turnTime,
+			Silence: now.Sub(h.At) - time.Duration(rank)*successorDelay,
 			Every:   h.Heartbeat.Every,
 			Leaves:  h.Heartbeat.Leaves && now.Sub(h.At) > askPause,
 		}
-		if e.Suspect() && w.Held() && w.begin(h.Heartbeat.Owner.Instance) {
-			go w.judge(ctx, h, e)
+		if e.Suspect() && w.Held() && w.startInquiry(h.Heartbeat.Owner.Instance) {
+			go w.judgeOwner(ctx, h, e)
 		}
 	}
-	return any
+	return watching
 }
 
-// begin reports whether nobody asks about an instance yet.
-func (w *Watcher) begin(instance string) bool {
+// startInquiry marks an inquiry about an instance as under way. It returns false if one is
+// already.
+func (w *Watcher) startInquiry(instance string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.asking[instance] {
+	if w.inquiries[instance] {
 		return false
 	}
-	if w.asking == nil {
-		w.asking = make(map[string]bool)
+	if w.inquiries == nil {
+		w.inquiries = make(map[string]bool)
 	}
-	w.asking[instance] = true
+	w.inquiries[instance] = true
 	return true
 }
 
-func (w *Watcher) finish(instance string) {
+func (w *Watcher) finishInquiry(instance string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.asking, instance)
+	delete(w.inquiries, instance)
 }
 
-// judge asks about an owner, and takes over from it if it is lost.
-func (w *Watcher) judge(ctx context.Context, h Heard, e Evidence) {
+// judgeOwner asks an owner, has observers ask it, and takes over from it if it is lost.
+func (w *Watcher) judgeOwner(ctx context.Context, h Heard, e Evidence) {
 	owner := h.Heartbeat.Owner
-	defer w.finish(owner.Instance)
-	e = w.ask(ctx, owner, e)
-	lost, why := e.Lost()
+	defer w.finishInquiry(owner.Instance)
+	e = w.askAll(ctx, owner, e)
+	lost, reason := e.Lost()
 	if w.Copies.heardSince(owner, h.At) {
-		lost, why = false, "its heartbeat came meanwhile"
+		lost, reason = false, "a heartbeat of the owner arrived during the inquiry"
 	}
 	others := make([]string, len(e.Others))
 	for i, a := range e.Others {
@@ -137,7 +138,7 @@
 	w.Journal.Decision("judge_owner", log.Fields{
 		"owner":      owner.Instance,
 		"lost":       lost,
-		"reason":     why,
+		"reason":     reason,
 		"own":        e.Own.String(),
 		"others":     strings.Join(others, " "),
 		"silence_ms": w.Timer.Now().Sub(h.At).Milliseconds(),
@@ -145,16 +146,16 @@
 	})
 	switch {
 	case lost:
-		w.end(ctx, h)
+		w.replaceOwner(ctx, h)
 	case e.Own == Replaced:
-		w.Copies.forget(owner)
+		w.Copies.forgetOwner(owner)
 	default:
-		w.Copies.answered(owner, w.Timer.Now())
+		w.Copies.recordAnswer(owner, w.Timer.Now())
 	}
 }
 
-// ask asks the owner, and has others ask at the same time.
-func (w *Watcher) ask(ctx context.Context, owner ledger.Owner, e Evidence) Evidence {
+// askAll asks the owner and has the observers ask it at the same time.
+func (w *Watcher) askAll(ctx context.Context, owner ledger.Owner, e Evidence) Evidence {
 	observers := w.Observers(owner.Instance)
 	e.Others = make([]Answer, len(observers))
 	var wg sync.WaitGroup
@@ -166,10 +167,10 @@
 	return e
 }
 
-// end ends the lease of a lost owner, so that it can't go on as if it had its
-// batches, and has them taken over.
-func (w *Watcher) end(ctx context.Context, h Heard) {
-	ctx, cancel := context.WithTimeout(ctx, endTimeout)
+// replaceOwner revokes the lease of a lost owner, so that the owner can't go on as if it had
+// its batches, and has the batches taken over.
+func (w *Watcher) replaceOwner(ctx context.Context, h Heard) {
+	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
 	if h.Heartbeat.Lease != 0 {
 		if err := w.Space.Revoke(ctx, h.Heartbeat.Lease); err != nil && !errors.Is(err, keyvalue.ErrLeaseGone) {
@@ -180,6 +181,6 @@
 			return
 		}
 	}
-	w.Copies.forget(h.Heartbeat.Owner)
+	w.Copies.forgetOwner(h.Heartbeat.Owner)
 	w.Lost(h.Heartbeat.Owner, h.Heartbeat.Open)
 }
--- a/internal/batch/standby/watcher_test.go
+++ b/internal/batch/standby/watcher_test.go
@@ -12,11 +12,12 @@
 	"github.com/egretbend/egretbend/internal/standin/space"
 )
 
-// An owner is lost only if nobody hears it, and silence alone is not enough.
+// Guards against declaring an owner lost that some instance reaches, or on silence that no
+// other instance confirms.
 func TestEvidence(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Evidence{Silence: restEvery + silentAfter - 1, Every: restEvery}.Suspect(), false)
-	is.True(Evidence{Silence: restEvery + silentAfter, Every: restEvery}.Suspect())
+	is.Equal(Evidence{Silence: idleInterval + heartbeatGrace - 1, Every: idleInterval}.Suspect(), false)
+	is.True(Evidence{Silence: idleInterval + heartbeatGrace, Every: idleInterval}.Suspect())
 	is.True(Evidence{Leaves: true}.Suspect())
 	for _, c := range []struct {
 		name   string
@@ -24,15 +25,15 @@
 		others []Answer
 		lost   bool
 	}{
-		{"it answers", Alive, []Answer{Silent, Silent}, false},
-		{"another instance reaches it", Silent, []Answer{Silent, Alive}, false},
-		{"refused, but another reaches it", Refused, []Answer{Alive}, false},
-		{"a new life answers", Replaced, []Answer{Silent}, false},
-		{"its process is gone", Refused, nil, true},
-		{"two hear nothing", Silent, []Answer{Unasked, Silent}, true},
-		{"another finds nothing there", Silent, []Answer{Refused}, true},
-		{"nobody else could ask: this instance may be cut off", Silent, []Answer{Unasked, Unasked}, false},
-		{"there is nobody else", Silent, nil, false},
+		{"the owner answers", Alive, []Answer{Silent, Silent}, false},
+		{"an observer reaches it", Silent, []Answer{Silent, Alive}, false},
+		{"refused, but an observer reaches it", Refused, []Answer{Alive}, false},
+		{"another incarnation answers", Replaced, []Answer{Silent}, false},
+		{"its process refuses connections", Refused, nil, true},
+		{"silent to this instance and an observer", Silent, []Answer{Unasked, Silent}, true},
+		{"silent here, refused at an observer", Silent, []Answer{Refused}, true},
+		{"no observer could ask: this instance may be cut off", Silent, []Answer{Unasked, Unasked}, false},
+		{"there is no observer", Silent, nil, false},
 	} {
 		lost, why := Evidence{
 			Own:    c.own,
@@ -44,18 +45,18 @@
 	}
 }
 
-// answers are what questions come to.
-type answers struct {
-	holders
+// fixedAnswers gives the same answers to every question, at this instance and at observers.
+type fixedAnswers struct {
+	copyHolders
 	own, other Answer
 }
 
-func (a answers) Ask(context.Context, string, string) Answer             { return a.own }
-func (a answers) Observe(context.Context, string, string, string) Answer { return a.other }
+func (a fixedAnswers) Ask(context.Context, string, string) Answer             { return a.own }
+func (a fixedAnswers) Observe(context.Context, string, string, string) Answer { return a.other }
 
-// watched returns a successor that has heard one heartbeat of an owner, whose key
-// stands under a lease of a minute.
-func watched(is *is.I, a answers) (*Watcher, *space.Space, uint64, chan ledger.Owner) {
+// newWatcher returns the watcher of a successor that has received one heartbeat of an owner,
+// the owner's lease of a minute, and the channel of lost owners.
+func newWatcher(is *is.I, a fixedAnswers) (*Watcher, *space.Space, uint64, chan ledger.Owner) {
 	clock := &timer.Manual{}
 	clock.Advance(time.Second)
 	store := &space.Space{
@@ -78,7 +79,7 @@
 		Owner: ownerA,
 		Lease: lease,
 		Open:  []string{"b"},
-		Every: workEvery,
+		Every: busyInterval,
 		Deltas: []Delta{
 			{Batch: "b", Whole: true},
 		},
@@ -86,89 +87,93 @@
 	return w, store, lease, lost
 }
 
-// settle looks until no question is under way.
-func settle(w *Watcher) bool {
-	any := w.look(context.Background())
+// checkUntilIdle checks the owners once and waits until no inquiry is under way.
+func checkUntilIdle(w *Watcher) bool {
+	watching := w.checkOwners(context.Background())
 	timer.Until(timer.Real{}, time.Millisecond, 5*time.Second, nil, func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return len(w.asking) == 0
+		return len(w.inquiries) == 0
 	})
-	return any
+	return watching
 }
 
-// Guards against batches that wait for the lease of an instance that lost power.
+// Guards against batches that wait for the lease of an instance that lost power to expire.
 func TestLostOwnerIsReplacedBeforeItsLeaseEnds(t *testing.T) {
 	is := is.New(t)
-	w, store, lease, lost := watched(is, answers{own: Silent, other: Silent})
-	is.True(settle(w))
-	is.Equal(len(lost), 0) // it was heard a moment ago
-	w.Timer.(*timer.Manual).Advance(workEvery + silentAfter)
-	settle(w)
+	w, store, lease, lost := newWatcher(is, fixedAnswers{own: Silent, other: Silent})
+	is.True(checkUntilIdle(w))
+	is.Equal(len(lost), 0) // its heartbeat arrived a moment ago
+	w.Timer.(*timer.Manual).Advance(busyInterval + heartbeatGrace)
+	checkUntilIdle(w)
 	is.Equal(<-lost, ownerA)
 	is.True(store.KeepAlive(context.Background(), lease) != nil)
-	is.Equal(settle(w), false) // nothing is left to watch
+	is.Equal(checkUntilIdle(w), false) // nothing is left to watch
 }
 
-// late answers that an owner is silent after its heartbeat has come.
-type late struct {
-	answers
-	come func()
+// lateHeartbeat answers that an owner is silent, after a heartbeat of it has arrived.
+type lateHeartbeat struct {
+	fixedAnswers
+	arrive func()
 }
 
-func (l late) Ask(context.Context, string, string) Answer {
-	l.come()
+func (l lateHeartbeat) Ask(context.Context, string, string) Answer {
+	l.arrive()
 	return Silent
 }
 
-// Guards against the end of an owner's lease whose heartbeat comes while others are asked about it.
-func TestHeartbeatEndsTheSuspicion(t *testing.T) {
+// Guards against revoking the lease of an owner whose heartbeat arrives during the inquiry
+// about it.
+func TestHeartbeatDuringInquiryClearsSuspicion(t *testing.T) {
 	is := is.New(t)
-	w, store, lease, lost := watched(is, answers{other: Silent})
+	w, store, lease, lost := newWatcher(is, fixedAnswers{other: Silent})
 	clock := w.Timer.(*timer.Manual)
-	clock.Advance(workEvery + silentAfter)
-	w.Peers = late{
-		answers: answers{other: Silent},
-		come: func() {
+	clock.Advance(busyInterval + heartbeatGrace)
+	w.Peers = lateHeartbeat{
+		fixedAnswers: fixedAnswers{other: Silent},
+		arrive: func() {
 			clock.Advance(askTimeout)
 			_ = w.Copies.Take(Heartbeat{
 				Owner: ownerA,
 				Lease: lease,
 				Open:  []string{"b"},
-				Every: workEvery,
+				Every: busyInterval,
 			}, clock.Now())
 		},
 	}
-	settle(w)
+	checkUntilIdle(w)
 	is.Equal(len(lost), 0)
 	is.NoErr(store.KeepAlive(context.Background(), lease))
 }
 
-// Guards against the end of a living owner's lease where only one path between instances is cut.
-func TestOwnerThatAnotherReachesStays(t *testing.T) {
+// Guards against revoking the lease of a live owner when only the path between it and this
+// instance is cut.
+func TestOwnerReachableByObserverIsKept(t *testing.T) {
 	is := is.New(t)
-	w, store, lease, lost := watched(is, answers{own: Silent, other: Alive})
-	w.Timer.(*timer.Manual).Advance(workEvery + silentAfter)
-	settle(w)
+	w, store, lease, lost := newWatcher(is, fixedAnswers{own: Silent, other: Alive})
+	w.Timer.(*timer.Manual).Advance(busyInterval + heartbeatGrace)
+	checkUntilIdle(w)
 	is.Equal(len(lost), 0)
 	is.NoErr(store.KeepAlive(context.Background(), lease))
-	is.True(settle(w)) // it is watched on
+	is.True(checkUntilIdle(w)) // it is still watched
 }
 
-// Guards against an instance that does not reach the service and takes all others for lost.
-func TestInstanceWithoutLeaseJudgesNobody(t *testing.T) {
+// Guards against an instance that does not reach the key-value service and declares all others
+// lost.
+func TestInstanceWithoutLeaseDeclaresNobodyLost(t *testing.T) {
 	is := is.New(t)
-	w, _, _, lost := watched(is, answers{own: Silent, other: Silent})
+	w, _, _, lost := newWatcher(is, fixedAnswers{own: Silent, other: Silent})
 	w.Held = func() bool { return false }
 	w.Timer.(*timer.Manual).Advance(time.Minute / 2)
-	settle(w)
+	checkUntilIdle(w)
 	is.Equal(len(lost), 0)
 }
 
-// Guards against batches that stay behind when their owner stops while the service is away.
-func TestOwnerThatStopsInAnOutageIsReplacedAfterIt(t *testing.T) {
+// Guards against batches that nobody takes over when their owner stops while the key-value
+// service is unavailable.
+func TestOwnerStoppedDuringOutageIsReplacedAfterIt(t *testing.T) {
 	is := is.New(t)
-	w, store, lease, lost := watched(is, answers{own: Refused})
+	w, store, lease, lost := newWatcher(is, fixedAnswers{own: Refused})
 	down := true
 	store.Fault = func(space.Call) space.Fault {
 		if down {
@@ -186,26 +191,26 @@
 	stop := clock.Run(20*time.Millisecond, time.Millisecond)
 	defer stop()
 	clock.Advance(2 * askPause)
-	settle(w)
+	checkUntilIdle(w)
 	is.Equal(len(lost), 0)
 	down = false
-	settle(w)
+	checkUntilIdle(w)
 	is.Equal(<-lost, ownerA)
 }
 
 // Guards against two successors that act at the same time.
 func TestSecondSuccessorActsLater(t *testing.T) {
 	is := is.New(t)
-	w, _, _, lost := watched(is, answers{own: Silent, other: Silent})
+	w, _, _, lost := newWatcher(is, fixedAnswers{own: Silent, other: Silent})
 	w.Rank = func(string) int { return 1 }
 	clock := w.Timer.(*timer.Manual)
-	clock.Advance(workEvery + silentAfter)
-	settle(w)
+	clock.Advance(busyInterval + heartbeatGrace)
+	checkUntilIdle(w)
 	is.Equal(len(lost), 0)
-	clock.Advance(turnTime)
-	settle(w)
+	clock.Advance(successorDelay)
+	checkUntilIdle(w)
 	is.Equal(<-lost, ownerA)
-	w.Copies.owners = map[string]Heard{"a": {Heartbeat: Heartbeat{Owner: ownerA, Every: workEvery}}}
+	w.Copies.owners = map[string]Heard{"a": {Heartbeat: Heartbeat{Owner: ownerA, Every: busyInterval}}}
 	w.Rank = func(string) int { return -1 }
-	is.Equal(settle(w), false) // others succeed it now
+	is.Equal(checkUntilIdle(w), false) // other instances are its successors now
 }
