--- a/internal/batch/desk/read.go
+++ b/internal/batch/desk/read.go
@@ -14,7 +14,8 @@
 )
 
 // readLocal returns results of a batch that runs at this instance. It returns
-// runner.ErrNotHere if the batch does not run here.
+// runner.ErrNotHere if the batch does not run here or may have been lost to another
+// instance.
 func (d *Desk) readLocal(ctx context.Context, id string, after int, wait time.Duration) (runner.Page, error) {
 	page, err := d.Runner.Read(ctx, id, after, wait)
 	if err == nil && len(page.Results) == 0 && (d.claimsUncertain.Load() || !d.Registry.Held()) {
