--- a/internal/route/router/doc.go
+++ b/internal/route/router/doc.go
@@ -1,9 +1,18 @@
-// Package router joins admission, choice and retry budget for one request.
+// Package router decides for each request whether it is admitted and which
+// upstream runs it. It combines the quarantine check, admission control (package
+// limit), a routing policy (package policy) and the retry budget (package retry).
 //
-//	trip, err := r.Enter(job)       // let in, or refused at once
-//	if err != nil { return err }
-//	defer trip.Close(limit.Good)
-//	u, err := trip.Next()           // an upstream not tried yet
+// A Router admits a Job and returns a Trip, which chooses the upstream of each
+// attempt:
 //
-// Each choice writes one log line: what was chosen, from how many, and why.
+//	trip, err := r.Enter(job) // admitted, or refused at once
+//	if err != nil {
+//		return err
+//	}
+//	u, err := trip.Next() // an upstream that was not tried yet
+//	...
+//	trip.Close(limit.Good)
+//
+// Each choice writes one log line with the chosen upstream, the number of
+// candidates and the reason.
 package router
--- a/internal/route/router/part.go
+++ b/internal/route/router/part.go
@@ -24,7 +24,8 @@
 	})
 }
 
-// engineProtocol is the adapter for engines and load reports.
+// engineProtocol is the name of the adapter that talks to engines and reads their
+// load reports.
 const engineProtocol = "completions"
 
 type routerPart struct {
--- a/internal/route/router/router.go
+++ b/internal/route/router/router.go
@@ -22,7 +22,7 @@
 	"github.com/egretbend/egretbend/internal/route/upstream"
 )
 
-// Router decides for each request whether and where it runs.
+// Router admits requests and chooses the upstreams that run them.
 type Router struct {
 	Table   *upstream.Table
 	Holder  *configuration.Holder
@@ -31,16 +31,16 @@
 	Timer   timer.Service
 	Journal *journal.Journal
 	Metrics *Metrics
-	// Crashes finds out which upstreams end under a request, Suspects tells which requests
-	// end them; nil does not.
+	// Crashes finds out whether an upstream crashed when an attempt was cut off, Suspects
+	// tells which requests crash upstreams. Each may be nil, which disables it.
 	Crashes  Crashes
 	Suspects Suspects
 
-	budgets sync.Map // of string to *retry.Budget
-	usage   sync.Map // of string to *usage
+	budgets    sync.Map // deployment name to *retry.Budget
+	capacities sync.Map // deployment name to *capacityCache
 }
 
-// Metrics counts decisions; nil counts nothing.
+// Metrics holds the router's counters. A nil *Metrics counts nothing.
 type Metrics struct {
 	Refusals *prometheus.CounterVec
 	Attempts *prometheus.CounterVec
@@ -64,49 +64,51 @@
 	}
 }
 
-// Job is a request that looks for an upstream.
+// Job describes a request to be admitted and sent to an upstream.
 type Job struct {
 	RequestID  string
 	Caller     string
 	Class      limit.Class
 	Weight     float64
 	Deployment string
-	// Key is the hash of the prompt's prefix, or zero.
+	// Key is the hash of the prompt's prefix, for prefix affinity; zero if there is none.
 	Key uint64
-	// Staleness applies the deployment's bound on weight versions.
+	// Staleness enables the deployment's bound on the age of weight versions.
 	Staleness bool
-	// Lead is how many versions are expected to be published until the result
-	// is handed over.
+	// Lead is how many weight versions are expected to be published before the
+	// result is delivered.
 	Lead uint64
-	// Share is the share of the deployment that the caller may claim while it
-	// is short; zero claims none in particular.
+	// Share is the share of the deployment that the caller may claim while slots
+	// are scarce; zero means no particular share.
 	Share float64
-	// Sum returns the digest by which the request is known when it is sent again; nil is
-	// for one that is never suspected.
+	// Sum returns the digest that identifies the request when it is sent again. If it is
+	// nil, the request is never suspected of crashing upstreams.
 	Sum func() fingerprint.Sum
 }
 
-// usage caches the capacity of a set, which takes a pass over all upstreams.
-type usage struct {
-	mu     sync.Mutex
-	at     timer.Instant
-	set    *upstream.Set
-	slots  float64
-	others float64
+// capacityCache holds the last computed capacity of a set, since computing it visits
+// every upstream.
+type capacityCache struct {
+	mu         sync.Mutex
+	computedAt timer.Instant
+	set        *upstream.Set
+	slots      float64
+	others     float64
 }
 
-// usageAge is how old a cached capacity may be.
-const usageAge = 50 * time.Millisecond
+// capacityMaxAge is the age after which a cached capacity is recomputed.
+const capacityMaxAge = 50 * time.Millisecond
 
-// Enter lets a request in. Errors: problem.NotReady, .UnknownDeployment,
-// .NoUpstream, .Overloaded; none of them has run anything.
+// Enter admits a request. It returns problem.NotReady, problem.UnknownDeployment,
+// problem.NoUpstream, problem.Overloaded, problem.Quarantined or problem.Internal;
+// with any of them nothing has run.
 func (r *Router) Enter(job Job) (*Trip, error) {
 	if r.Holder.Current() == nil {
 		return nil, problem.NotReady.Withf("no configuration yet").WithRetryAfter(time.Second)
 	}
-	verdict, err := r.judge(job)
+	verdict, err := r.checkQuarantine(job)
 	if err != nil {
-		return nil, r.refused(job, err)
+		return nil, r.recordRefusal(job, err)
 	}
 	set := r.Table.Set(job.Deployment)
 	if set == nil {
@@ -114,42 +116,43 @@
 	}
 	slots, others := r.capacity(job.Deployment, set)
 	if slots == 0 {
-		return nil, r.refused(job, problem.NoUpstream.Withf("deployment %q has no usable upstream", job.Deployment).
+		return nil, r.recordRefusal(job, problem.NoUpstream.Withf("deployment %q has no usable upstream", job.Deployment).
 			WithRetryAfter(2*time.Second))
 	}
-	// Others' part is a moment old, but this instance's own is exact: a burst
-	// of work that is given out at once would otherwise see the same free
-	// slots again and again.
-	_, own := r.Limiter.Limit(job.Deployment)
-	pass, err := r.Limiter.Admit(limit.Ask{
+	// The load of other instances may be slightly outdated, but this instance's own
+	// count is exact: with a cached count, every request of a burst would see the
+	// same free slots.
+	_, ownInFlight := r.Limiter.Limit(job.Deployment)
+	permit, err := r.Limiter.Admit(limit.Ask{
 		Deployment: job.Deployment,
 		Caller:     job.Caller,
 		Class:      job.Class,
 		Weight:     max(job.Weight, 0.01),
 		Capacity:   slots * (1 + set.Deployment.QueueShare),
-		Used:       (others + float64(own)) / slots,
+		Used:       (others + float64(ownInFlight)) / slots,
 		Slots:      slots,
 		Share:      job.Share,
 	})
 	if err != nil {
-		return nil, r.refused(job, err)
+		return nil, r.recordRefusal(job, err)
 	}
-	find, err := policy.Find(set.Deployment.Policy)
+	selected, err := policy.Find(set.Deployment.Policy)
 	if err != nil {
-		pass.Close(limit.Neutral)
+		permit.Close(limit.Neutral)
 		return nil, problem.Internal.With(err).WithOutcome(problem.NotRun)
 	}
 	return &Trip{
 		Job:     job,
 		Set:     set,
 		router:  r,
-		pass:    pass,
-		policy:  find,
+		permit:  permit,
+		policy:  selected,
 		verdict: verdict,
 	}, nil
 }
 
-func (r *Router) refused(job Job, err error) error {
+// recordRefusal counts and logs a refused request and returns err.
+func (r *Router) recordRefusal(job Job, err error) error {
 	if r.Metrics != nil {
 		r.Metrics.Refusals.WithLabelValues(job.Deployment, job.Class.String()).Inc()
 	}
@@ -162,24 +165,27 @@
 	return err
 }
 
+// capacity returns the slots of a deployment's usable upstreams and how many of them
+// requests of other instances occupy. The result may be as old as capacityMaxAge.
 func (r *Router) capacity(deployment string, set *upstream.Set) (slots, others float64) {
-	v, ok := r.usage.Load(deployment)
+	v, ok := r.capacities.Load(deployment)
 	if !ok {
-		v, _ = r.usage.LoadOrStore(deployment, &usage{})
+		v, _ = r.capacities.LoadOrStore(deployment, &capacityCache{})
 	}
-	c := v.(*usage)
+	c := v.(*capacityCache)
 	now := r.Timer.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.set != set || now.Sub(c.at) > usageAge {
+	if c.set != set || now.Sub(c.computedAt) > capacityMaxAge {
 		c.set = set
-		c.at = now
+		c.computedAt = now
 		c.slots, c.others = set.Capacity(now)
 	}
 	return c.slots, c.others
 }
 
-func (r *Router) budget(deployment string) *retry.Budget {
+// retryBudget returns the retry budget of a deployment.
+func (r *Router) retryBudget(deployment string) *retry.Budget {
 	if v, ok := r.budgets.Load(deployment); ok {
 		return v.(*retry.Budget)
 	}
@@ -187,63 +193,67 @@
 	return v.(*retry.Budget)
 }
 
-// Trip is a request that was let in, on its way over upstreams.
+// Trip is an admitted request. It chooses the upstream for each attempt and must be
+// closed once.
 type Trip struct {
 	Job Job
 	Set *upstream.Set
 
 	router *Router
-	pass   *limit.Pass
+	permit *limit.Pass
 	policy policy.Policy
 	tried  [policy.MaxTried]*upstream.Upstream
-	// n counts attempts, avoided the upstreams at the front of tried that were
-	// not attempts.
-	n       int
-	avoided int
-	// verdict is what is known of the request, cut how many attempts were cut off.
-	verdict suspect.Verdict
-	cut     int
+	// attempts counts the upstreams chosen so far. The first excluded entries of
+	// tried were set by Avoid and are not attempts.
+	attempts int
+	excluded int
+	// verdict tells whether the request is suspected of crashing upstreams.
+	// cutAttempts counts this trip's attempts that were cut off.
+	verdict     suspect.Verdict
+	cutAttempts int
 }
 
 // Attempts returns how many upstreams were chosen so far.
-func (t *Trip) Attempts() int { return t.n }
+func (t *Trip) Attempts() int { return t.attempts }
 
-// Avoid keeps the trip off an upstream, by name. It is called before Next: a
-// second attempt beside a slow one is of no use at the same engine.
+// Avoid excludes the upstream with the given ID from the choice. It must be called
+// before Next. It is for a second attempt beside a slow one, which is of no use at the
+// same engine. Avoid does nothing if no other upstream would be left, or if
+// policy.MaxTried/2 upstreams are excluded already.
 func (t *Trip) Avoid(id string) {
-	if t.avoided >= policy.MaxTried/2 || len(t.Set.Upstreams) <= t.avoided+1 {
+	if t.excluded >= policy.MaxTried/2 || len(t.Set.Upstreams) <= t.excluded+1 {
 		return
 	}
 	for _, u := range t.Set.Upstreams {
 		if u.ID == id {
-			t.tried[t.avoided] = u
-			t.avoided++
+			t.tried[t.excluded] = u
+			t.excluded++
 			return
 		}
 	}
 }
 
-// Next chooses an upstream that was not tried yet and counts the request
-// there. It returns problem.NoUpstream when there is none.
+// Next chooses an upstream that was not tried yet and counts the request as in flight
+// there. It returns problem.NoUpstream if there is none or all attempts are used.
 func (t *Trip) Next() (*upstream.Upstream, error) {
-	if t.n >= t.Set.Deployment.Attempts || t.avoided+t.n >= policy.MaxTried {
-		return nil, problem.NoUpstream.Withf("all %d attempts of request %s are used", t.n, t.Job.RequestID).
+	if t.attempts >= t.Set.Deployment.Attempts || t.excluded+t.attempts >= policy.MaxTried {
+		return nil, problem.NoUpstream.Withf("all %d attempts of request %s have been used", t.attempts, t.Job.RequestID).
 			WithRetryAfter(time.Second)
 	}
 	choice := t.policy.Choose(t.Set, t.query(t.Job.Lead))
 	if choice.Upstream == nil && t.Job.Lead > 0 {
-		// While versions move on, no engine may have one that will still be
-		// young enough at the hand-over. One that is young enough now is
-		// better than none.
+		// While new versions are being published, possibly no engine has a version
+		// that will still be recent enough on delivery. Fall back to one that is
+		// recent enough now.
 		choice = t.policy.Choose(t.Set, t.query(0))
 	}
 	t.router.logChoice(t, choice)
 	if choice.Upstream == nil {
-		return nil, problem.NoUpstream.Withf("none of %d upstreams of %q can be used", choice.Candidates, t.Job.Deployment).
+		return nil, problem.NoUpstream.Withf("none of the %d upstreams of %q is usable", choice.Candidates, t.Job.Deployment).
 			WithRetryAfter(time.Second)
 	}
-	t.tried[t.avoided+t.n] = choice.Upstream
-	t.n++
+	t.tried[t.excluded+t.attempts] = choice.Upstream
+	t.attempts++
 	choice.Upstream.Begin()
 	return choice.Upstream, nil
 }
@@ -254,7 +264,7 @@
 		Key:    t.Job.Key,
 		Now:    t.router.Timer.Now(),
 		Tried:  t.tried,
-		Draws:  drawsOf(t.Job.Class),
+		Draws:  choicesFor(t.Job.Class),
 	}
 	if !t.Job.Staleness {
 		return q
@@ -269,8 +279,9 @@
 	return q
 }
 
-// Bound returns the newest published version, and the oldest one whose results
-// are young enough after lead more versions.
+// Bound returns the newest published version and the oldest version whose results
+// are still within the staleness bound after lead more versions. ok is false if the
+// job has no staleness bound or no version is published.
 func (t *Trip) Bound(lead uint64) (newest, oldest version.Version, ok bool) {
 	p, ok := t.router.Board.Newest(t.Job.Deployment)
 	if !ok || !t.Job.Staleness {
@@ -282,27 +293,28 @@
 	return p.Version, oldest, true
 }
 
-// drawsOf returns how many upstreams are compared for a request. A trainer's
-// samples all come from one instance, whose own counts are exact; comparing
-// more of them keeps long streams from piling up. Callers' requests come from
-// all instances, where more than two would draw a herd to a late report.
-func drawsOf(c limit.Class) int {
+// choicesFor returns how many upstreams are compared for a request. All samples of a
+// trainer are sent by one instance, whose own counts are exact, so comparing more
+// upstreams keeps long streams from piling up. Callers' requests are sent by all
+// instances: with more than two choices, they would all pick the upstream whose
+// outdated report shows little load.
+func choicesFor(c limit.Class) int {
 	if c == limit.Training {
-		return trainingDraws
+		return trainingChoices
 	}
 	return 2
 }
 
-// trainingDraws is how many upstreams are compared for a sample.
-const trainingDraws = 5
+// trainingChoices is how many upstreams are compared for a trainer's sample.
+const trainingChoices = 5
 
-// MayRetry reports whether the retry budget allows another attempt, and takes
-// it from there.
+// MayRetry reports whether another attempt is allowed by the deployment's limit, the
+// verdict on the request and the retry budget, and if so takes it from the budget.
 func (t *Trip) MayRetry() bool {
-	if t.n >= t.Set.Deployment.Attempts || t.cut > 0 && !t.verdict.MayRepeat(t.cut, 0) {
+	if t.attempts >= t.Set.Deployment.Attempts || t.cutAttempts > 0 && !t.verdict.MayRepeat(t.cutAttempts, 0) {
 		return false
 	}
-	if !t.router.budget(t.Job.Deployment).Take() {
+	if !t.router.retryBudget(t.Job.Deployment).Take() {
 		return false
 	}
 	if t.router.Metrics != nil {
@@ -311,15 +323,17 @@
 	return true
 }
 
-// Close ends the trip.
+// Close ends the trip and releases its admission. A good result also earns retry
+// budget and clears the request of suspicion.
 func (t *Trip) Close(r limit.Result) {
 	if r == limit.Good {
-		t.router.budget(t.Job.Deployment).Earn(t.Set.Deployment.RetryShare)
-		t.answered()
+		t.router.retryBudget(t.Job.Deployment).Earn(t.Set.Deployment.RetryShare)
+		t.clearSuspicion()
 	}
-	t.pass.Close(r)
+	t.permit.Close(r)
 }
 
+// logChoice counts an attempt and logs the choice of its upstream.
 func (r *Router) logChoice(t *Trip, c policy.Choice) {
 	if r.Metrics != nil {
 		r.Metrics.Attempts.WithLabelValues(t.Job.Deployment).Inc()
@@ -334,7 +348,7 @@
 	}
 	r.Journal.Decision("route", log.Fields{
 		"request_id": t.Job.RequestID,
-		"attempt":    t.n + 1,
+		"attempt":    t.attempts + 1,
 		"deployment": t.Job.Deployment,
 		"priority":   t.Job.Class.String(),
 		"chosen":     chosen,
--- a/internal/route/router/suspect.go
+++ b/internal/route/router/suspect.go
@@ -8,22 +8,24 @@
 	"github.com/egretbend/egretbend/internal/route/upstream"
 )
 
-// Crashes hears of requests that were cut before their answer was whole.
+// Crashes is told about attempts whose connection was lost before the answer was
+// complete.
 type Crashes interface {
 	Cut(c crash.Cut)
 }
 
-// Suspects knows which requests crash the upstreams that run them.
+// Suspects tracks which requests crash the upstreams that run them.
 type Suspects interface {
-	// Judge decides about a request. It calls sum only if it knows of any crash.
+	// Judge returns the verdict on a request. It calls sum only if any crash is known.
 	Judge(sum func() fingerprint.Sum) suspect.Verdict
-	// Answered takes it that a request ran to its end. It calls sum only if it knows of any
-	// crash.
+	// Answered records that a request ran to completion, which clears it of suspicion. It
+	// calls sum only if any crash is known.
 	Answered(sum func() fingerprint.Sum)
 }
 
-// judge returns what is known of a request, or an error if no upstream may run it.
-func (r *Router) judge(job Job) (suspect.Verdict, error) {
+// checkQuarantine returns the verdict on a request, or problem.Quarantined if no
+// upstream may run it now.
+func (r *Router) checkQuarantine(job Job) (suspect.Verdict, error) {
 	if r.Suspects == nil || job.Sum == nil {
 		return suspect.Verdict{}, nil
 	}
@@ -38,9 +40,10 @@
 	return v, nil
 }
 
-// CutOff notes that an upstream was lost before its answer was whole.
+// CutOff records that the connection to an upstream was lost before the answer was
+// complete, and reports it as a possible crash of the upstream.
 func (t *Trip) CutOff(u *upstream.Upstream) {
-	t.cut++
+	t.cutAttempts++
 	if t.router.Crashes == nil || t.Job.Sum == nil {
 		return
 	}
@@ -50,12 +53,13 @@
 		Address:     u.Address,
 		Sum:         t.Job.Sum(),
 		At:          t.router.Timer.Now(),
-		Row:         t.verdict.Crashes + t.cut,
+		Row:         t.verdict.Crashes + t.cutAttempts,
 	})
 }
 
-// answered clears the request if anything speaks against it.
-func (t *Trip) answered() {
+// clearSuspicion records that the request was answered, which clears it if it was
+// suspected of crashing upstreams.
+func (t *Trip) clearSuspicion() {
 	if t.router.Suspects != nil && t.Job.Sum != nil {
 		t.router.Suspects.Answered(t.Job.Sum)
 	}
