--- a/internal/route/forward/attempt.go
+++ b/internal/route/forward/attempt.go
@@ -10,54 +10,56 @@
 	"github.com/egretbend/egretbend/internal/route/upstream"
 )
 
-// start sends the request to one more upstream.
-func (t *trip) start(ctx context.Context) error {
-	choice := t.choose()
-	if choice == nil {
-		return problem.NoUpstream.Withf("none of %d upstreams can be used", len(t.group.Upstreams)).
-			WithRetryAfter(retryAfterNone)
+// startAttempt chooses an upstream and sends the request to it in a goroutine, which
+// puts the result into t.results.
+func (t *dispatch) startAttempt(ctx context.Context) error {
+	chosen := t.chooseUpstream()
+	if chosen == nil {
+		return problem.NoUpstream.Withf("none of the %d upstreams is usable", len(t.group.Upstreams)).
+			WithRetryAfter(retryAfterNoUpstream)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	t.cancels = append(t.cancels, cancel)
-	n := t.sent
-	t.tried[n] = choice.Upstream
+	attempt := t.sent
+	t.tried[attempt] = chosen.Upstream
 	t.sent++
-	t.flying++
-	choice.Begin()
-	t.count()
-	begun := t.f.Timer.Now()
-	left := t.ends.Sub(begun)
+	t.inFlight++
+	chosen.Begin()
+	t.recordUsage()
+	startedAt := t.f.Timer.Now()
+	timeLeft := t.deadline.Sub(startedAt)
 	go func() {
-		answer, err := t.f.Sender.Send(ctx, choice, t.req, left)
-		t.results <- result{
-			n:      n,
-			u:      choice,
-			answer: answer,
-			err:    err,
-			took:   t.f.Timer.Now().Sub(begun),
+		answer, err := t.f.Sender.Send(ctx, chosen, t.req, timeLeft)
+		t.results <- attemptResult{
+			attempt: attempt,
+			u:       chosen,
+			answer:  answer,
+			err:     err,
+			took:    t.f.Timer.Now().Sub(startedAt),
 		}
 	}()
 	return nil
 }
 
-// count counts the request when it is first sent.
-func (t *trip) count() {
-	if t.undo == nil && t.f.Usage != nil && t.req.Organisation != "" {
-		t.undo = t.f.Usage.Began(t.req.Organisation)
+// recordUsage counts the request for its organisation when it is first sent.
+func (t *dispatch) recordUsage() {
+	if t.undoUsage == nil && t.f.Usage != nil && t.req.Organisation != "" {
+		t.undoUsage = t.f.Usage.Began(t.req.Organisation)
 	}
 }
 
-// uncount takes that back if no upstream runs it.
-func (t *trip) uncount() {
-	if t.undo != nil && t.ranAttempts() == 0 {
-		t.undo()
-		t.undo = nil
+// revertUsage reverts recordUsage if no upstream runs or may have run the request.
+func (t *dispatch) revertUsage() {
+	if t.undoUsage != nil && t.possibleRuns() == 0 {
+		t.undoUsage()
+		t.undoUsage = nil
 	}
 }
 
-// choose picks an upstream that was not tried yet, or failing that any that is
-// not at work on the request now.
-func (t *trip) choose() *catalog.Upstream {
+// chooseUpstream returns an upstream that was not tried yet. If there is none and no
+// attempt is in flight, it returns one that was tried before, and nil if there is none
+// at all.
+func (t *dispatch) chooseUpstream() *catalog.Upstream {
 	q := policy.Query{
 		Random: rand.Uint64(),
 		Now:    t.f.Timer.Now(),
@@ -65,12 +67,13 @@
 	}
 	var p policy.Policy = policy.TwoChoices{}
 	if t.req.Route.Repeatable() && t.sent == 0 {
-		// What may not be repeated goes over a connection of its own, and a
-		// second attempt looks for the least loaded upstream.
+		// Prefer idle connections only for the first attempt of a repeatable
+		// request: others are sent over a connection of their own, and a second
+		// attempt needs the least loaded upstream.
 		p = policy.Warm{}
 	}
 	c := p.Choose(t.group.Set, q)
-	if c.Upstream == nil && t.flying == 0 {
+	if c.Upstream == nil && t.inFlight == 0 {
 		q.Tried = [policy.MaxTried]*upstream.Upstream{}
 		c = policy.TwoChoices{}.Choose(t.group.Set, q)
 	}
@@ -85,25 +88,26 @@
 	return nil
 }
 
-// cancel ends all attempts but the winner. Their upstreams were slower than
-// another one; they are told to stop.
-func (t *trip) cancel(winner *result) {
+// cancelOthers cancels all attempts except the winner, whose answer may still be
+// streaming; winner is nil if there is none. An attempt that took more than
+// slowAttemptFactor times as long as the winner counts as a failure of its upstream.
+func (t *dispatch) cancelOthers(winner *attemptResult) {
 	for i, cancel := range t.cancels {
-		if winner != nil && i == winner.n && winner.answer != nil && winner.answer.Stream != nil {
+		if winner != nil && i == winner.attempt && winner.answer != nil && winner.answer.Stream != nil {
 			continue
 		}
 		cancel()
 	}
 	t.cancels = nil
-	if t.flying == 0 {
+	if t.inFlight == 0 {
 		return
 	}
-	left := t.flying
-	t.flying = 0
+	pending := t.inFlight
+	t.inFlight = 0
 	go func() {
-		for range left {
+		for range pending {
 			r := <-t.results
-			if winner != nil && r.took > slowLoser*winner.took {
+			if winner != nil && r.took > slowAttemptFactor*winner.took {
 				r.u.Failed(t.f.Timer.Now())
 				continue
 			}
--- a/internal/route/forward/count_test.go
+++ b/internal/route/forward/count_test.go
@@ -13,7 +13,7 @@
 	"github.com/egretbend/egretbend/internal/standin/proof"
 )
 
-// counter counts by organisation.
+// counter is a Counter that keeps the counts by organisation.
 type counter map[string]int
 
 // Began implements Counter.
@@ -22,13 +22,14 @@
 	return func() { c[organisation]-- }
 }
 
-// Guards against a bill for a request that no upstream ran, or twice for one that two ran.
-func TestRequestsCountOnceIfTheyRan(t *testing.T) {
+// Guards against an organisation that is billed for a request that no upstream ran, or
+// billed twice for one that ran at two upstreams.
+func TestRequestIsCountedOnceIfItRan(t *testing.T) {
 	proof.CheckN(t, 200, func(t *rapid.T) {
 		is := is.New(t)
-		all := []fate{answers, fails, refuses, unsent, breaks, redirect}
+		all := []behaviour{answers, fails, refuses, unsent, breaks, misdirects}
 		s := &sender{
-			fates: rapid.SliceOfN(rapid.SampledFrom(all), 1, 5).Draw(t, "fates"),
+			behaviours: rapid.SliceOfN(rapid.SampledFrom(all), 1, 5).Draw(t, "behaviours"),
 		}
 		f, stop := newForwarder(s, 3)
 		defer stop()
@@ -49,10 +50,10 @@
 	})
 }
 
-// A request for nobody counts for nobody.
-func TestRequestsForNobodyDontCount(t *testing.T) {
+// Guards against a count for a request without an organisation.
+func TestRequestsWithoutOrganisationAreNotCounted(t *testing.T) {
 	is := is.New(t)
-	f, stop := newForwarder(&sender{fates: []fate{answers}}, 1)
+	f, stop := newForwarder(&sender{behaviours: []behaviour{answers}}, 1)
 	defer stop()
 	counted := counter{}
 	f.Usage = counted
@@ -66,7 +67,8 @@
 	is.Equal(len(counted), 0)
 }
 
-// statuses is a Sender whose upstreams answer with these statuses in turn.
+// statuses is a Sender whose attempts are answered with these statuses in order, the
+// last one for all further attempts.
 type statuses []int
 
 // Send implements Sender.
@@ -78,10 +80,11 @@
 	return &Answer{Status: status}, nil
 }
 
-// Guards against an item that is dead too early as its reward call ran out of time.
-func TestRunningOutOfTimeIsNoFailure(t *testing.T) {
+// Guards against an item that is given up too early because reward calls that ran out of
+// time were counted as failures.
+func TestGatewayTimeoutIsNotCountedAsFailure(t *testing.T) {
 	is := is.New(t)
-	f, stop := newForwarder(&sender{fates: []fate{answers}}, 3)
+	f, stop := newForwarder(&sender{behaviours: []behaviour{answers}}, 3)
 	defer stop()
 	f.Sender = &statuses{http.StatusInternalServerError, http.StatusGatewayTimeout, http.StatusGatewayTimeout}
 	answer, err := f.Do(context.Background(), Request{
--- /dev/null
+++ b/internal/route/forward/dispatch.go
@@ -0,0 +1,263 @@
+package forward
+
+import (
+	"context"
+	"errors"
+	"maps"
+	"net/http"
+	"time"
+
+	"github.com/apex/log"
+
+	"github.com/egretbend/egretbend/internal/kernel/problem"
+	"github.com/egretbend/egretbend/internal/kernel/timer"
+	"github.com/egretbend/egretbend/internal/outside/engine"
+	"github.com/egretbend/egretbend/internal/route/catalog"
+	"github.com/egretbend/egretbend/internal/route/policy"
+	"github.com/egretbend/egretbend/internal/route/suspect"
+	"github.com/egretbend/egretbend/internal/route/upstream"
+)
+
+// attemptResult is the outcome of one attempt.
+type attemptResult struct {
+	attempt int // index of the attempt, from 0
+	u       *catalog.Upstream
+	answer  *Answer
+	err     error
+	took    time.Duration
+}
+
+// dispatch is the state of one request while it is forwarded. Attempts run in goroutines
+// of their own, which send their results to results.
+type dispatch struct {
+	f        *Forwarder
+	req      Request
+	group    *catalog.Group
+	started  timer.Instant
+	deadline timer.Instant
+	results  chan attemptResult
+	tried    [policy.MaxTried]*upstream.Upstream
+	cancels  []context.CancelFunc
+	// sent counts the attempts, inFlight those without a result yet, and notRun
+	// those that certainly did not run.
+	sent     int
+	notRun   int
+	inFlight int
+	// failures counts the answers with status 500. Running out of time does not count
+	// as a failure of the upstream.
+	failures int
+	// possiblyRun is set once an attempt has ended that may have run.
+	possiblyRun bool
+	// verdict tells whether the request is suspected of crashing upstreams.
+	// cutAttempts counts the attempts that were cut off.
+	verdict     suspect.Verdict
+	cutAttempts int
+	// winner is the upstream whose answer is returned.
+	winner *catalog.Upstream
+	// lastErr is the error of the attempt that ended last.
+	lastErr error
+	// outcomes holds the outcome of each attempt for the log; it is empty while the
+	// attempt is in flight.
+	outcomes [policy.MaxTried]string
+	// undoUsage reverts the usage count of the request; nil if it is not counted.
+	undoUsage func()
+}
+
+// runAttempts sends the request, hedges and retries it, and returns when it is
+// answered, can't be retried, has timed out or ctx has ended.
+func (t *dispatch) runAttempts(ctx context.Context) (*Answer, error) {
+	defer t.cancelOthers(nil)
+	if err := t.startAttempt(ctx); err != nil {
+		return nil, err
+	}
+	deadlineTimer := t.f.Timer.Once(t.deadline.Sub(t.f.Timer.Now()))
+	defer deadlineTimer.Close()
+	hedgeTimer := t.f.Timer.Once(t.hedgeDelay())
+	defer func() { hedgeTimer.Close() }()
+	for {
+		select {
+		case r := <-t.results:
+			if done, answer, err := t.handleResult(ctx, r); done {
+				return answer, err
+			}
+		case <-hedgeTimer.C:
+			hedgeTimer.Close()
+			if t.mayHedge() {
+				_ = t.startAttempt(ctx)
+			}
+			hedgeTimer = t.f.Timer.Once(t.hedgeDelay())
+		case <-deadlineTimer.C:
+			return nil, t.timeoutError()
+		case <-ctx.Done():
+			t.possiblyRun = true
+			return nil, problem.UpstreamTimeout.Withf("the caller cancelled the request: %w", ctx.Err())
+		}
+	}
+}
+
+// handleResult handles the result of one attempt. It reports whether the dispatch is
+// finished and, if so, the answer or error for the caller; otherwise it may have
+// started another attempt.
+func (t *dispatch) handleResult(ctx context.Context, r attemptResult) (bool, *Answer, error) {
+	t.inFlight--
+	t.recordResult(r)
+	t.outcomes[r.attempt] = outcomeOf(r)
+	if errors.Is(r.err, engine.ErrCut) {
+		t.reportCut(r.u)
+	}
+	if r.answer != nil {
+		r.answer.Upstream = r.u.ID
+		r.answer.Attempts = t.sent
+	}
+	if r.err == nil && !t.retriable(r.answer.Status) {
+		t.winner = r.u
+		t.cancelOthers(&r)
+		return true, r.answer, nil
+	}
+	if r.err == nil {
+		if r.answer.Status == http.StatusInternalServerError {
+			t.failures++
+		}
+		r.answer.Failures = t.failures
+		r.err = problem.UpstreamFailed.Withf("upstream %s answered with status %d", r.u.ID, r.answer.Status)
+	}
+	t.lastErr = r.err
+	if mayHaveRun(r.err) {
+		t.possiblyRun = true
+	} else {
+		t.notRun++
+		t.revertUsage()
+	}
+	if t.inFlight > 0 {
+		return false, nil, nil
+	}
+	if !t.mayRetry() {
+		if r.answer != nil {
+			return true, r.answer, nil
+		}
+		return true, nil, t.finalError(nil)
+	}
+	if err := t.startAttempt(ctx); err != nil {
+		if r.answer != nil {
+			return true, r.answer, nil
+		}
+		return true, nil, t.finalError(err)
+	}
+	return false, nil, nil
+}
+
+// retriable reports whether an answer with this status may be followed by another
+// attempt: it is a failure of the upstream and the request is repeatable.
+func (t *dispatch) retriable(status int) bool {
+	return status >= http.StatusInternalServerError && t.req.Route.Repeatable()
+}
+
+// mayRetry reports whether another attempt may be started after a failed one.
+func (t *dispatch) mayRetry() bool {
+	if t.possiblyRun && (!t.req.Route.Repeatable() || !t.verdict.MayRepeat(t.cutAttempts, 0)) {
+		return false
+	}
+	if t.possibleRuns() >= max(1, t.req.Route.Attempts) || t.sent >= maxSends {
+		return false
+	}
+	return t.deadline.Sub(t.f.Timer.Now()) > minTimeLeft
+}
+
+// mayHedge reports whether a second attempt may be started while the first is in
+// flight.
+func (t *dispatch) mayHedge() bool {
+	return t.inFlight == 1 && t.req.Route.Repeatable() && t.req.Route.Kind != catalog.Streaming &&
+		t.verdict.MayRepeat(t.cutAttempts, t.inFlight) && t.mayRetry()
+}
+
+// possibleRuns returns how many attempts may have run or may still run.
+func (t *dispatch) possibleRuns() int { return t.sent - t.notRun }
+
+// recordResult updates the upstream's state and the metrics with the result of an
+// attempt.
+func (t *dispatch) recordResult(r attemptResult) {
+	now := t.f.Timer.Now()
+	if r.answer != nil && r.answer.Load != nil {
+		r.u.Heard(*r.answer.Load, now)
+	}
+	var refused *engine.RefusedError
+	switch {
+	case r.err == nil && r.answer.Status < http.StatusInternalServerError:
+		r.u.Succeeded(r.took)
+		r.u.Kept(now, r.answer.Keeps)
+	case r.err == nil:
+		r.u.Failed(now)
+	case errors.Is(r.err, engine.ErrMisdirected):
+		r.u.MarkLeaving()
+		r.u.Ended()
+	case errors.As(r.err, &refused), errors.Is(r.err, context.Canceled):
+		r.u.Ended()
+	case errors.Is(r.err, engine.ErrNotSent):
+		r.u.Unreachable(now)
+	default:
+		r.u.Failed(now)
+	}
+	t.f.Metrics.attempt(r)
+}
+
+// mayHaveRun reports whether an attempt that failed with err may have run.
+func mayHaveRun(err error) bool {
+	var refused *engine.RefusedError
+	return !errors.Is(err, engine.ErrNotSent) && !errors.Is(err, engine.ErrMisdirected) && !errors.As(err, &refused)
+}
+
+// timeoutError returns the error for the caller when the request has timed out. An
+// attempt in flight may have run.
+func (t *dispatch) timeoutError() error {
+	t.possiblyRun = t.possiblyRun || t.inFlight > 0
+	if t.lastErr == nil {
+		t.lastErr = problem.UpstreamTimeout.Withf("no answer in %s", t.deadline.Sub(t.started))
+	}
+	if t.possiblyRun {
+		return problem.UpstreamTimeout.Withf("no answer in %s: %w", t.deadline.Sub(t.started), t.lastErr)
+	}
+	return problem.DeadlineBeforeRun.Withf("no upstream accepted the request in %s: %w", t.deadline.Sub(t.started), t.lastErr)
+}
+
+// finalError returns the error for the caller when no attempt is in flight and none can
+// be started. Its outcome is problem.NotRun only if no attempt may have run.
+func (t *dispatch) finalError(startErr error) error {
+	if t.possiblyRun {
+		return problem.UpstreamFailed.Withf("after %d attempts: %w", t.sent, t.lastErr)
+	}
+	if t.lastErr != nil {
+		return problem.UpstreamRefused.Withf("after %d attempts: %w", t.sent, t.lastErr).WithRetryAfter(retryAfterRefused)
+	}
+	return startErr
+}
+
+// logOutcome logs the finished request and updates its metrics.
+func (t *dispatch) logOutcome(service string, answer *Answer, err error) {
+	fields := log.Fields{
+		"request_id": t.req.ID,
+		"route":      t.req.Route.Name,
+		"service":    service,
+		"for":        t.req.Organisation,
+		"attempts":   t.sent,
+		"of":         len(t.group.Upstreams),
+		"took_ms":    t.f.Timer.Now().Sub(t.started).Milliseconds(),
+	}
+	outcome := "answered"
+	if err != nil {
+		outcome = problem.From(err).Kind.Code
+		fields["error"] = err.Error()
+	}
+	if t.sent > 1 || err != nil {
+		fields["tried"] = t.attemptHistory()
+	}
+	if t.verdict.Suspects() {
+		maps.Copy(fields, t.verdict.Fields())
+	}
+	if answer != nil {
+		fields["upstream"] = answer.Upstream
+		fields["status"] = answer.Status
+	}
+	fields["outcome"] = outcome
+	t.f.Metrics.request(t.req.Route, outcome, t.f.Timer.Now().Sub(t.started))
+	t.f.Journal.Decision("forward", fields)
+}
--- a/internal/route/forward/forward.go
+++ b/internal/route/forward/forward.go
@@ -27,14 +27,15 @@
 	Header http.Header
 	Body   []byte
 	Route  catalog.Route
-	// Organisation is on whose behalf it is made; empty for nobody's.
+	// Organisation is the organisation on whose behalf the request is made; it may
+	// be empty.
 	Organisation string
-	// Deadline is when the caller stops waiting; zero if it did not say.
+	// Deadline is when the caller stops waiting; zero if unknown.
 	Deadline time.Time
 }
 
-// sum returns the digest by which the request is known when it is sent again.
-func (r *Request) sum() fingerprint.Sum {
+// fingerprintSum returns the digest that identifies the request when it is sent again.
+func (r *Request) fingerprintSum() fingerprint.Sum {
 	return fingerprint.Of(fingerprint.Parts{
 		Organisation: r.Organisation,
 		Method:       r.Method,
@@ -44,88 +45,95 @@
 	})
 }
 
-// Answer is an upstream's answer. Body is read to its end by whoever passes it
-// on; for other than streaming routes it was read whole before.
+// Answer is an upstream's answer. On routes that don't stream, Body is the complete
+// answer. On streaming routes whoever returns the answer to the caller must read
+// Stream to its end.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Stream is the rest of a streaming answer; nil if Body is all.
+	// Stream is the rest of a streaming answer; nil if Body is complete.
 	Stream io.ReadCloser
-	// Proof is the upstream's signature of a whole answer.
+	// Proof is the upstream's signature of a complete answer.
 	Proof string
-	// Keeps is how long the connection may stay idle; 0 if it is closed.
+	// Keeps is how long the connection may stay idle before the upstream closes
+	// it; 0 if it is closed already.
 	Keeps time.Duration
-	// Load is the upstream's load, if it told.
+	// Load is the load that the upstream reported, if any.
 	Load     *engine.Report
 	Upstream string
 	Attempts int
-	// Failures is how many upstreams answered that they failed; running out of time is
-	// no failure of theirs.
+	// Failures is how many upstreams answered with status 500; running out of time
+	// does not count as a failure.
 	Failures int
 }
 
-// Sender sends one attempt. It returns an answer only if it is whole and
-// belongs to this attempt. Errors: engine.ErrNotSent, ErrMisdirected,
-// *RefusedError (all three: not run), ErrBroken, ErrCrossed (may have run).
+// Sender sends one attempt, which may take up to left. It returns an answer only if it
+// is complete, or streaming, and belongs to this attempt. Its errors wrap
+// engine.ErrNotSent, engine.ErrMisdirected or *engine.RefusedError if the request did
+// not run, and engine.ErrBroken or engine.ErrCrossed if it may have run.
 type Sender interface {
 	Send(ctx context.Context, u *catalog.Upstream, req Request, left time.Duration) (*Answer, error)
 }
 
-// Forwarder sends requests on.
+// Forwarder sends requests to the upstreams of their route.
 type Forwarder struct {
 	Book    *catalog.Book
 	Sender  Sender
 	Timer   timer.Service
 	Journal *journal.Journal
 	Metrics *Metrics
-	// Usage counts the requests that begin to run; nil counts nothing.
+	// Usage counts the requests that start to run; nil counts nothing.
 	Usage Counter
-	// Crashes finds out which upstreams end under a request; nil does not.
+	// Crashes finds out whether an upstream crashed when an attempt was cut off; nil
+	// disables it.
 	Crashes Crashes
-	// Suspects tells which requests crash upstreams; nil suspects none.
+	// Suspects tells which requests crash upstreams; nil disables it.
 	Suspects Suspects
 }
 
-// Crashes hears of requests that were cut before their answer was whole.
+// Crashes is told about attempts whose connection was lost before the answer was
+// complete.
 type Crashes interface {
 	Cut(c crash.Cut)
 }
 
-// Suspects knows which requests crash the upstreams that run them.
+// Suspects tracks which requests crash the upstreams that run them.
 type Suspects interface {
-	// Judge decides about a request. It calls sum only if it knows of any crash.
+	// Judge returns the verdict on a request. It calls sum only if any crash is known.
 	Judge(sum func() fingerprint.Sum) suspect.Verdict
-	// Answered takes it that a request ran to its end. It calls sum only if it knows of any
-	// crash.
+	// Answered records that a request ran to completion, which clears it of suspicion. It
+	// calls sum only if any crash is known.
 	Answered(sum func() fingerprint.Sum)
 }
 
 // Counter counts requests by organisation.
 type Counter interface {
-	// Began counts one that is sent to an upstream; undo takes that back.
+	// Began counts a request that is sent to an upstream; undo reverts the count.
 	Began(organisation string) (undo func())
 }
 
-// Do sends a request until it is answered or given up.
+// Do sends a request to an upstream of its route, hedges and retries it as allowed, and
+// returns the answer or the final error.
 func (f *Forwarder) Do(ctx context.Context, req Request) (*Answer, error) {
 	service := req.Route.Choose(rand.Float64())
 	now := f.Timer.Now()
-	t := &trip{
-		f:       f,
-		req:     req,
-		group:   f.Book.Group(service),
-		started: now,
-		ends:    now.Add(limitOf(req, time.Now())),
-		results: make(chan result, policy.MaxTried),
+	t := &dispatch{
+		f:        f,
+		req:      req,
+		group:    f.Book.Group(service),
+		started:  now,
+		deadline: now.Add(timeoutFor(req, time.Now())),
+		results:  make(chan attemptResult, policy.MaxTried),
 	}
-	answer, err := t.judged(ctx)
-	t.log(service, answer, err)
+	answer, err := t.runUnlessQuarantined(ctx)
+	t.logOutcome(service, answer, err)
 	return answer, err
 }
 
-// limitOf returns how long a request may take.
-func limitOf(req Request, now time.Time) time.Duration {
+// timeoutFor returns how long a request may take: until the route's timeout or the
+// caller's deadline, whichever is earlier.
+func timeoutFor(req Request, now time.Time) time.Duration {
 	limit := req.Route.Timeout
 	if !req.Deadline.IsZero() {
 		left := req.Deadline.Sub(now)
--- a/internal/route/forward/forward_test.go
+++ b/internal/route/forward/forward_test.go
@@ -18,36 +18,39 @@
 	"github.com/egretbend/egretbend/internal/standin/proof"
 )
 
-// fate is what an upstream does with an attempt.
-type fate string
+// behaviour is what a test upstream does with an attempt.
+type behaviour string
 
 const (
-	answers  fate = "answers"
-	fails    fate = "fails"
-	refuses  fate = "refuses"
-	unsent   fate = "unsent"
-	breaks   fate = "breaks"
-	redirect fate = "misdirected"
-	hangs    fate = "hangs"
-	cuts     fate = "cuts"
+	answers    behaviour = "answers"
+	fails      behaviour = "fails"
+	refuses    behaviour = "refuses"
+	unsent     behaviour = "unsent"
+	breaks     behaviour = "breaks"
+	misdirects behaviour = "misdirected"
+	hangs      behaviour = "hangs"
+	cuts       behaviour = "cuts"
 )
 
-// ran reports whether the upstream has run the request.
-func (f fate) ran() bool { return f == answers || f == fails || f == breaks || f == cuts || f == hangs }
+// ran reports whether an upstream with this behaviour runs the request.
+func (f behaviour) ran() bool {
+	return f == answers || f == fails || f == breaks || f == cuts || f == hangs
+}
 
-// sender hands out fates in order and counts the runs.
+// sender is a Sender whose attempts behave as listed, in order, the last one for all
+// further attempts. It counts attempts and runs.
 type sender struct {
-	mu    sync.Mutex
-	fates []fate
-	sent  int
-	runs  int
-	ids   []string
+	mu         sync.Mutex
+	behaviours []behaviour
+	sent       int
+	runs       int
+	ids        []string
 }
 
 // Send implements Sender.
 func (s *sender) Send(ctx context.Context, u *catalog.Upstream, _ Request, _ time.Duration) (*Answer, error) {
 	s.mu.Lock()
-	f := s.fates[min(s.sent, len(s.fates)-1)]
+	f := s.behaviours[min(s.sent, len(s.behaviours)-1)]
 	s.sent++
 	s.ids = append(s.ids, u.ID)
 	if f.ran() {
@@ -63,7 +66,7 @@
 		return nil, &engine.RefusedError{}
 	case unsent:
 		return nil, engine.ErrNotSent
-	case redirect:
+	case misdirects:
 		return nil, engine.ErrMisdirected
 	case cuts:
 		return nil, engine.ErrCut
@@ -74,7 +77,8 @@
 	return nil, engine.ErrBroken
 }
 
-// newForwarder returns a forwarder with n upstreams on a clock that runs.
+// newForwarder returns a forwarder with n upstreams on a manual clock that is advanced
+// in the background until the returned function is called.
 func newForwarder(s *sender, n int) (*Forwarder, func()) {
 	clock := &timer.Manual{}
 	book := &catalog.Book{
@@ -97,6 +101,7 @@
 	}, clock.Run(10*time.Millisecond, 200*time.Microsecond)
 }
 
+// route returns a route of a kind with an objective, a timeout and two attempts.
 func route(kind catalog.Kind) catalog.Route {
 	return catalog.Route{
 		Name:      "r",
@@ -108,13 +113,13 @@
 	}
 }
 
-// truthful drives a request through upstreams that refuse, break, hang and fail.
-// What a caller is told must be true: "not run" only if no upstream ran it, and a
-// request that may not be repeated runs once.
-func truthful(kind catalog.Kind) func(*rapid.T) {
+// checkReportedOutcome sends a request to upstreams that refuse, break, hang and fail at
+// random. It checks that the caller is told "not run" only if no upstream ran the
+// request, and that a request that may not be repeated runs at most once.
+func checkReportedOutcome(kind catalog.Kind) func(*rapid.T) {
 	return func(t *rapid.T) {
 		s := &sender{
-			fates: rapid.SliceOfN(rapid.SampledFrom([]fate{answers, fails, refuses, unsent, breaks, redirect, hangs}), 1, 6).Draw(t, "fates"),
+			behaviours: rapid.SliceOfN(rapid.SampledFrom([]behaviour{answers, fails, refuses, unsent, breaks, misdirects, hangs}), 1, 6).Draw(t, "behaviours"),
 		}
 		f, stop := newForwarder(s, rapid.IntRange(1, 4).Draw(t, "upstreams"))
 		defer stop()
@@ -125,34 +130,36 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if err != nil && problem.From(err).Kind.Outcome == problem.NotRun && s.runs > 0 {
-			t.Fatalf("told not run, and it ran %d times: %v", s.runs, s.fates)
+			t.Fatalf("reported as not run, but it ran %d times: %v", s.runs, s.behaviours)
 		}
 		if kind == catalog.NonIdempotent && s.runs > 1 {
-			t.Fatalf("a request that may not be repeated ran %d times: %v", s.runs, s.fates)
+			t.Fatalf("a request that may not be repeated ran %d times: %v", s.runs, s.behaviours)
 		}
 		if s.runs > 2 {
-			t.Fatalf("it ran %d times with 2 attempts: %v", s.runs, s.fates)
+			t.Fatalf("it ran %d times with 2 attempts: %v", s.runs, s.behaviours)
 		}
 		if err == nil && answer.Status == http.StatusOK && s.runs == 0 {
-			t.Fatalf("an answer without a run")
+			t.Fatalf("the caller got an answer although no upstream ran the request")
 		}
 	}
 }
 
-// A hide cut that is told "not run" and was run is cut twice; one that may not be
-// repeated must not run at a second upstream after the first one broke.
-func TestWhatCallersAreToldIsTrue(t *testing.T) {
+// Guards against a request that runs twice: because it is reported as "not run" although
+// it ran, so that the caller repeats it, or because it is sent to a second upstream after
+// the first one broke although it may not be repeated.
+func TestReportedOutcomeMatchesRuns(t *testing.T) {
 	for _, kind := range []catalog.Kind{catalog.Idempotent, catalog.NonIdempotent} {
-		proof.CheckN(t, 150, truthful(kind))
+		proof.CheckN(t, 150, checkReportedOutcome(kind))
 	}
 }
 
-// An upstream goes dark with an order confirmation. The craftsman's confirmation
-// comes from another one, within its objective, and not after the timeout.
-func TestDarkUpstreamIsHedged(t *testing.T) {
+// Guards against a request that waits for its timeout at an upstream that stopped
+// responding: a second attempt at another upstream must answer it within the route's
+// objective.
+func TestUnresponsiveUpstreamIsHedged(t *testing.T) {
 	is := is.New(t)
 	s := &sender{
-		fates: []fate{hangs, answers},
+		behaviours: []behaviour{hangs, answers},
 	}
 	f, stop := newForwarder(s, 3)
 	defer stop()
@@ -167,11 +174,11 @@
 	is.True(f.Timer.Now().Sub(begun) < 400*time.Millisecond)
 }
 
-// All upstreams are gone. The caller hears so at once, with a time to come back;
-// held until its deadline it could do nothing else.
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
+// Guards against a request that is held until its deadline when there are no upstreams:
+// the caller must be refused at once, with a retry delay.
+func TestRequestWithoutUpstreamIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	f, stop := newForwarder(&sender{fates: []fate{answers}}, 0)
+	f, stop := newForwarder(&sender{behaviours: []behaviour{answers}}, 0)
 	defer stop()
 	begun := f.Timer.Now()
 	_, err := f.Do(context.Background(), Request{
--- a/internal/route/forward/metrics.go
+++ b/internal/route/forward/metrics.go
@@ -8,14 +8,14 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// Metrics counts requests; nil counts nothing.
+// Metrics holds the forwarder's metrics. A nil *Metrics records nothing.
 type Metrics struct {
 	requests *prometheus.CounterVec
 	attempts *prometheus.CounterVec
 	latency  *prometheus.HistogramVec
 }
 
-// NewMetrics registers the forwarder's counters.
+// NewMetrics registers the forwarder's metrics.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -36,6 +36,7 @@
 	return m
 }
 
+// request records a finished request.
 func (m *Metrics) request(r catalog.Route, outcome string, took time.Duration) {
 	if m == nil {
 		return
@@ -44,7 +45,8 @@
 	m.latency.WithLabelValues(r.Name).Observe(took.Seconds())
 }
 
-func (m *Metrics) attempt(r result) {
+// attempt records a finished attempt.
+func (m *Metrics) attempt(r attemptResult) {
 	if m == nil {
 		return
 	}
--- a/internal/route/forward/outcome.go
+++ b/internal/route/forward/outcome.go
@@ -9,8 +9,8 @@
 	"github.com/egretbend/egretbend/internal/outside/engine"
 )
 
-// outcomeOf says in a word how an attempt ended.
-func outcomeOf(r result) string {
+// outcomeOf returns the keyword for the outcome of an attempt in logs and metrics.
+func outcomeOf(r attemptResult) string {
 	var refused *engine.RefusedError
 	switch {
 	case r.err == nil && r.answer.Status < http.StatusInternalServerError:
@@ -31,8 +31,9 @@
 	return "broken"
 }
 
-// history says where the request was sent, and how each attempt ended.
-func (t *trip) history() string {
+// attemptHistory lists the upstreams the request was sent to, each with the outcome of
+// its attempt.
+func (t *dispatch) attemptHistory() string {
 	var b strings.Builder
 	for i, u := range t.tried[:t.sent] {
 		if i > 0 {
--- a/internal/route/forward/suspect.go
+++ b/internal/route/forward/suspect.go
@@ -10,19 +10,21 @@
 	"github.com/egretbend/egretbend/internal/route/crash"
 )
 
-// judged runs the trip unless upstreams are known to end under its request.
-func (t *trip) judged(ctx context.Context) (*Answer, error) {
+// runUnlessQuarantined sends the request unless it is refused because it is known to
+// crash upstreams. It reports a request that was answered, which clears it of suspicion;
+// a streaming answer is reported when its stream ends.
+func (t *dispatch) runUnlessQuarantined(ctx context.Context) (*Answer, error) {
 	if t.f.Suspects == nil {
-		return t.run(ctx)
+		return t.runAttempts(ctx)
 	}
-	sum := t.req.sum
-	t.verdict = t.f.Suspects.Judge(sum)
+	fingerprintSum := t.req.fingerprintSum
+	t.verdict = t.f.Suspects.Judge(fingerprintSum)
 	if t.verdict.Refused() {
 		return nil, problem.Quarantined.Withf("%s", t.verdict).WithRetryAfter(t.verdict.RetryAfter)
 	}
-	answer, err := t.run(ctx)
+	answer, err := t.runAttempts(ctx)
 	if answer != nil && answer.Stream != nil {
-		answer.Stream = &watched{
+		answer.Stream = &trackedStream{
 			ReadCloser: answer.Stream,
 			ctx:        ctx,
 			t:          t,
@@ -30,14 +32,15 @@
 		return answer, err
 	}
 	if answer != nil {
-		t.f.Suspects.Answered(sum)
+		t.f.Suspects.Answered(fingerprintSum)
 	}
 	return answer, err
 }
 
-// cutOff notes that an upstream was lost before its answer was whole.
-func (t *trip) cutOff(u *catalog.Upstream) {
-	t.cut++
+// reportCut counts and reports an upstream whose connection was lost before the answer
+// was complete, as it may have crashed.
+func (t *dispatch) reportCut(u *catalog.Upstream) {
+	t.cutAttempts++
 	if t.f.Crashes == nil {
 		return
 	}
@@ -45,22 +48,24 @@
 		RequestID:   t.req.ID,
 		Incarnation: crash.IncarnationOf(u.ID, u.Incarnation),
 		Address:     u.Address,
-		Sum:         t.req.sum(),
+		Sum:         t.req.fingerprintSum(),
 		At:          t.f.Timer.Now(),
-		Row:         t.verdict.Crashes + t.cut,
+		Row:         t.verdict.Crashes + t.cutAttempts,
 	})
 }
 
-// watched is a streaming answer, of which it is seen how it ends.
-type watched struct {
+// trackedStream wraps a streaming answer and reports how the stream ends: at its end the
+// request is cleared of suspicion, on an error that the caller did not cause the
+// upstream may have crashed.
+type trackedStream struct {
 	io.ReadCloser
 	ctx   context.Context
-	t     *trip
+	t     *dispatch
 	ended bool
 }
 
 // Read implements io.Reader.
-func (w *watched) Read(p []byte) (int, error) {
+func (w *trackedStream) Read(p []byte) (int, error) {
 	n, err := w.ReadCloser.Read(p)
 	if err == nil || w.ended {
 		return n, err
@@ -68,9 +73,9 @@
 	w.ended = true
 	switch {
 	case errors.Is(err, io.EOF):
-		w.t.f.Suspects.Answered(w.t.req.sum)
+		w.t.f.Suspects.Answered(w.t.req.fingerprintSum)
 	case w.ctx.Err() == nil:
-		w.t.cutOff(w.t.winner)
+		w.t.reportCut(w.t.winner)
 	}
 	return n, err
 }
--- a/internal/route/forward/suspect_test.go
+++ b/internal/route/forward/suspect_test.go
@@ -22,8 +22,9 @@
 	"github.com/egretbend/egretbend/internal/route/upstream"
 )
 
-// court judges all requests alike, and notes what it hears.
-type court struct {
+// fakeSuspects returns the same verdict on every request and counts the cuts and
+// completed requests that are reported to it.
+type fakeSuspects struct {
 	verdict suspect.Verdict
 
 	mu      sync.Mutex
@@ -32,28 +33,28 @@
 }
 
 // Judge implements Suspects.
-func (c *court) Judge(func() fingerprint.Sum) suspect.Verdict {
+func (c *fakeSuspects) Judge(func() fingerprint.Sum) suspect.Verdict {
 	return c.verdict
 }
 
 // Answered implements Suspects.
-func (c *court) Answered(func() fingerprint.Sum) {
+func (c *fakeSuspects) Answered(func() fingerprint.Sum) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cleared++
 }
 
 // Cut implements Crashes.
-func (c *court) Cut(crash.Cut) {
+func (c *fakeSuspects) Cut(crash.Cut) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cuts++
 }
 
-// counts is what a sender saw.
+// counts is how many attempts a sender got and how many of them ran.
 type counts struct{ sent, runs int }
 
-// counted returns what the sender saw so far; attempts may be under way.
+// counted returns the counts so far; attempts may still be in flight.
 func (s *sender) counted() counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,8 +64,8 @@
 	}
 }
 
-// send sends one request that may be repeated.
-func (c *court) send(s *sender, attempts int) (*Answer, error) {
+// send forwards one repeatable request with up to that many attempts.
+func (c *fakeSuspects) send(s *sender, attempts int) (*Answer, error) {
 	f, stop := newForwarder(s, 6)
 	defer stop()
 	f.Crashes, f.Suspects = c, c
@@ -76,12 +77,12 @@
 	})
 }
 
-// Guards against a request that is known to crash upstreams and is offered to one more, or
+// Guards against a request that is known to crash upstreams but is sent to another one or
 // held until its deadline.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	s := &sender{fates: []fate{answers}}
-	c := &court{verdict: suspect.Verdict{Crashes: 4, RetryAfter: time.Minute}}
+	s := &sender{behaviours: []behaviour{answers}}
+	c := &fakeSuspects{verdict: suspect.Verdict{Crashes: 4, RetryAfter: time.Minute}}
 	_, err := c.send(s, 2)
 	e := problem.From(err)
 	is.True(problem.Is(err, problem.Quarantined))
@@ -91,60 +92,60 @@
 	is.Equal(s.counted().sent, 0)
 }
 
-// Guards against a request that crashes as many upstreams as its route allows attempts,
-// and against a second attempt beside one on trial.
+// Guards against a suspected request that crashes as many upstreams as its route allows
+// attempts, and against hedging one that may go to a single upstream only.
 func TestSuspectedRequestIsNotRepeated(t *testing.T) {
 	is := is.New(t)
 	for before, runs := range map[int]int{0: 3, 1: 2, 2: 1, 3: 1} {
-		s := &sender{fates: []fate{cuts}}
-		c := &court{verdict: suspect.Verdict{Crashes: before}}
+		s := &sender{behaviours: []behaviour{cuts}}
+		c := &fakeSuspects{verdict: suspect.Verdict{Crashes: before}}
 		_, err := c.send(s, 6)
 		is.True(problem.Is(err, problem.UpstreamFailed))
 		is.Equal(s.counted().runs, runs)
 		is.Equal(c.cuts, runs)
 		is.Equal(c.cleared, 0)
 	}
-	s := &sender{fates: []fate{hangs}}
-	c := &court{verdict: suspect.Verdict{Crashes: 3}}
+	s := &sender{behaviours: []behaviour{hangs}}
+	c := &fakeSuspects{verdict: suspect.Verdict{Crashes: 3}}
 	_, err := c.send(s, 6)
 	is.True(problem.Is(err, problem.UpstreamTimeout))
 	is.Equal(s.counted().runs, 1)
 }
 
-// Guards against a suspected request that is given up since an upstream that never ran it
-// was full.
+// Guards against a suspected request that is not retried after upstreams refused it or
+// could not be reached, although none of them ran it.
 func TestSuspectedRequestIsOfferedUntilItRuns(t *testing.T) {
 	is := is.New(t)
-	s := &sender{fates: []fate{refuses, unsent, answers}}
-	c := &court{verdict: suspect.Verdict{Crashes: 3}}
+	s := &sender{behaviours: []behaviour{refuses, unsent, answers}}
+	c := &fakeSuspects{verdict: suspect.Verdict{Crashes: 3}}
 	_, err := c.send(s, 2)
 	is.NoErr(err)
 	is.Equal(c.cleared, 1)
 }
 
-// Guards against requests that stay suspected though an upstream answered them, be it that
-// another one of the same kind was cut off meanwhile.
+// Guards against requests that stay suspected although an upstream answered them, also
+// when an earlier attempt of the same request was cut off.
 func TestAnsweredRequestIsCleared(t *testing.T) {
 	is := is.New(t)
-	for _, fates := range [][]fate{{cuts, answers}, {cuts, fails}, {answers}} {
-		c := &court{}
-		_, err := c.send(&sender{fates: fates}, 2)
+	for _, behaviours := range [][]behaviour{{cuts, answers}, {cuts, fails}, {answers}} {
+		c := &fakeSuspects{}
+		_, err := c.send(&sender{behaviours: behaviours}, 2)
 		is.NoErr(err)
 		is.Equal(c.cleared, 1)
 	}
 }
 
-// Guards against an upstream that ends in the middle of a stream and counts as one that
-// answered.
+// Guards against an upstream that crashes in the middle of a stream and is counted as
+// having answered the request.
 func TestStreamThatIsCutOffIsACrash(t *testing.T) {
 	is := is.New(t)
 	for err, cuts := range map[error]int{io.EOF: 0, engine.ErrBroken: 1} {
-		c := &court{verdict: suspect.Verdict{Crashes: 1}}
+		c := &fakeSuspects{verdict: suspect.Verdict{Crashes: 1}}
 		f := &Forwarder{Crashes: c, Suspects: c, Timer: &timer.Manual{}}
-		w := &watched{
-			ReadCloser: io.NopCloser(io.MultiReader(strings.NewReader("id: 1"), failing{err})),
+		w := &trackedStream{
+			ReadCloser: io.NopCloser(io.MultiReader(strings.NewReader("id: 1"), errorReader{err})),
 			ctx:        context.Background(),
-			t:          &trip{f: f, verdict: c.verdict, winner: &catalog.Upstream{Upstream: &upstream.Upstream{}}},
+			t:          &dispatch{f: f, verdict: c.verdict, winner: &catalog.Upstream{Upstream: &upstream.Upstream{}}},
 		}
 		_, got := io.ReadAll(w)
 		is.True(got == nil || errors.Is(got, err))
@@ -153,7 +154,7 @@
 	}
 }
 
-// failing is a stream that ends in an error.
-type failing struct{ err error }
+// errorReader is a reader that always returns err.
+type errorReader struct{ err error }
 
-func (f failing) Read([]byte) (int, error) { return 0, f.err }
+func (f errorReader) Read([]byte) (int, error) { return 0, f.err }
