--- a/internal/route/relay/call.go
+++ b/internal/route/relay/call.go
@@ -7,7 +7,7 @@
 	"github.com/egretbend/egretbend/internal/route/limit"
 )
 
-// The headers that travel with a request.
+// The headers of requests to services and of their answers.
 const (
 	HeaderRequestID  = "Egretbend-Request-Id"
 	HeaderAttempt    = "Egretbend-Attempt"
@@ -19,7 +19,8 @@
 	HeaderNextTicket = "Egretbend-Next-Ticket"
 	HeaderUpstream   = "Egretbend-Upstream"
 	HeaderAttempts   = "Egretbend-Attempts"
-	// HeaderLoad is set by services: running, waiting and slots with commas.
+	// HeaderLoad is set by services to their load: the numbers of running and
+	// waiting requests and of slots, separated by commas.
 	HeaderLoad = "X-Load"
 )
 
@@ -37,8 +38,8 @@
 	Idempotent bool
 }
 
-// sum returns the digest by which the call is known when it is sent again.
-func (c *Call) sum() fingerprint.Sum {
+// fingerprintSum returns the digest that identifies the call when it is sent again.
+func (c *Call) fingerprintSum() fingerprint.Sum {
 	return fingerprint.Of(fingerprint.Parts{
 		Organisation: c.Caller,
 		Method:       c.Method,
@@ -48,7 +49,7 @@
 	})
 }
 
-// Answer is a service's whole answer.
+// Answer is the complete answer of a service.
 type Answer struct {
 	Status   int
 	Header   http.Header
@@ -57,13 +58,14 @@
 	Attempts int
 }
 
-// copied are the headers of the caller that the service sees, and those of the
-// service that the caller sees.
+// requestHeaders are the headers of the caller that are forwarded to the service,
+// responseHeaders those of the service that are returned to the caller.
 var (
-	copiedIn  = []string{"Content-Type", "Accept"}
-	copiedOut = []string{"Content-Type"}
+	requestHeaders  = []string{"Content-Type", "Accept"}
+	responseHeaders = []string{"Content-Type"}
 )
 
+// copyHeaders copies the named headers that are set.
 func copyHeaders(to, from http.Header, names []string) {
 	for _, name := range names {
 		if v := from.Get(name); v != "" {
--- a/internal/route/relay/crash_test.go
+++ b/internal/route/relay/crash_test.go
@@ -32,9 +32,10 @@
 	"github.com/egretbend/egretbend/internal/route/wire"
 )
 
-// services starts services that end when they run a deadly call, and counts the ends.
-func services(t *testing.T, n int) (list []roster.Instance, ends *atomic.Int32) {
-	ends = &atomic.Int32{}
+// startServices starts n services that close when they receive the body "deadly", and
+// counts how often that happened.
+func startServices(t *testing.T, n int) (list []roster.Instance, crashes *atomic.Int32) {
+	crashes = &atomic.Int32{}
 	for i := range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -46,7 +47,7 @@
 		server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
 			if string(body) == "deadly" {
-				ends.Add(1)
+				crashes.Add(1)
 				_ = server.Close()
 				return
 			}
@@ -62,10 +63,10 @@
 			Incarnation: 1,
 		})
 	}
-	return list, ends
+	return list, crashes
 }
 
-// instance is one that takes calls, and tells others by gossip of what it sees.
+// instance relays calls and reports the crashes it sees to other instances by gossip.
 type instance struct {
 	relay *relay.Relay
 	board *bulletin.Board
@@ -143,23 +144,24 @@
 	return err
 }
 
-// Guards against a call that ends services and is sent on by one instance after another.
-func TestCallThatEndsServicesIsStopped(t *testing.T) {
+// Guards against a call that crashes services and is sent to more of them by one
+// instance after another.
+func TestCallThatCrashesServicesIsQuarantined(t *testing.T) {
 	is := is.New(t)
-	list, ends := services(t, 20)
+	list, crashes := startServices(t, 20)
 	var state gossip.State
 	a, b := newInstance(t, "a", &state, list), newInstance(t, "b", &state, list)
 	is.True(problem.Is(a.call("deadly"), problem.UpstreamFailed))
-	is.Equal(ends.Load(), int32(3)) // as many as its deployment allows
+	is.Equal(crashes.Load(), int32(3)) // the number of attempts that the deployment allows
 	sum := func() fingerprint.Sum {
 		return fingerprint.Of(fingerprint.Parts{Method: http.MethodPost, Host: "s", Target: "/x", Body: []byte("deadly")})
 	}
-	heard := func() bool { return b.board.Judge(sum).Crashes == 3 }
-	is.True(timer.Until(timer.Real{}, time.Millisecond, 20*time.Second, nil, heard))
+	reported := func() bool { return b.board.Judge(sum).Crashes == 3 }
+	is.True(timer.Until(timer.Real{}, time.Millisecond, 20*time.Second, nil, reported))
 	is.True(problem.Is(b.call("deadly"), problem.UpstreamFailed))
-	is.Equal(ends.Load(), int32(4)) // one is enough to convict it
-	stopped := func() bool { return a.board.Judge(sum).Refused() && b.board.Judge(sum).Refused() }
-	is.True(timer.Until(timer.Real{}, time.Millisecond, 20*time.Second, nil, stopped))
+	is.Equal(crashes.Load(), int32(4)) // one more crash is enough to quarantine the call
+	quarantined := func() bool { return a.board.Judge(sum).Refused() && b.board.Judge(sum).Refused() }
+	is.True(timer.Until(timer.Real{}, time.Millisecond, 20*time.Second, nil, quarantined))
 	for _, i := range []*instance{a, b} {
 		err := i.call("deadly")
 		is.True(problem.Is(err, problem.Quarantined))
--- a/internal/route/relay/doc.go
+++ b/internal/route/relay/doc.go
@@ -1,9 +1,11 @@
-// Package relay carries a caller's request to a plain service and brings back
-// the whole answer.
+// Package relay sends a caller's request to a plain service and returns the complete
+// answer.
 //
 //	answer, err := relay.Do(ctx, relay.Call{Deployment: "order-desk", ...})
 //
-// A request that is not idempotent is sent to at most one upstream, ever: it
-// is repeated only while no byte of the attempt before can have left. An
-// answer counts only when it is whole and belongs to the attempt that asked.
+// A Relay gets the upstream of each attempt from a router.Router. A call that is not
+// idempotent runs at most once: it is sent to another upstream only if the attempt
+// before it can't have run, as no byte of it was sent or the upstream refused it. An
+// answer is accepted only if it is complete and belongs to the attempt that asked for
+// it.
 package relay
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -21,14 +21,15 @@
 	"github.com/egretbend/egretbend/internal/route/wire"
 )
 
-// Relay sends calls to services.
+// Relay sends calls to plain services.
 type Relay struct {
 	Router *router.Router
 	Client *wire.Client
 	Timer  timer.Service
 }
 
-// Do sends a call until it is answered or given up. ctx carries the deadline.
+// Do sends a call and repeats it at other upstreams until it is answered or may not be
+// repeated. The deadline is that of ctx.
 func (r *Relay) Do(ctx context.Context, c Call) (*Answer, error) {
 	trip, err := r.Router.Enter(router.Job{
 		RequestID:  c.RequestID,
@@ -36,7 +37,7 @@
 		Class:      c.Class,
 		Weight:     c.Weight,
 		Deployment: c.Deployment,
-		Sum:        c.sum,
+		Sum:        c.fingerprintSum,
 	})
 	if err != nil {
 		return nil, err
@@ -45,46 +46,47 @@
 		trip.Close(limit.Neutral)
 		return nil, problem.UnknownDeployment.Withf("deployment %q is not a service", c.Deployment)
 	}
-	answer, err := r.attempts(ctx, trip, c)
-	trip.Close(result(err))
+	answer, err := r.runAttempts(ctx, trip, c)
+	trip.Close(limitResult(err))
 	return answer, err
 }
 
-// attempts sends the call to one upstream after the other. ran remembers that
-// an earlier attempt may have run, which no later refusal can take back.
-func (r *Relay) attempts(ctx context.Context, trip *router.Trip, c Call) (*Answer, error) {
-	var last error
-	ran := false
+// runAttempts sends the call to one upstream after the other. Once an attempt may have
+// run, possiblyRun stays true, whatever the outcome of later attempts.
+func (r *Relay) runAttempts(ctx context.Context, trip *router.Trip, c Call) (*Answer, error) {
+	var lastErr error
+	possiblyRun := false
 	for {
 		u, err := trip.Next()
 		if err != nil {
-			return nil, final(err, last, ran)
+			return nil, finalError(err, lastErr, possiblyRun)
 		}
-		answer, failure := r.once(ctx, trip, c, u)
+		answer, failure := r.sendAttempt(ctx, trip, c, u)
 		if failure == nil {
 			answer.Upstream = u.ID
 			answer.Attempts = trip.Attempts()
 			return answer, nil
 		}
-		last = failure
+		lastErr = failure
 		if errors.Is(failure, engine.ErrCut) {
 			trip.CutOff(u)
 		}
-		ran = ran || problem.From(failure).Kind.Outcome == problem.Unknown
-		if ctx.Err() != nil || (ran && !c.Idempotent) || !trip.MayRetry() {
-			return nil, final(nil, last, ran)
+		possiblyRun = possiblyRun || problem.From(failure).Kind.Outcome == problem.Unknown
+		if ctx.Err() != nil || (possiblyRun && !c.Idempotent) || !trip.MayRetry() {
+			return nil, finalError(nil, lastErr, possiblyRun)
 		}
 	}
 }
 
-// final chooses the error for the caller: the last attempt's, unless there was
-// none. "Not run" is said only if no attempt may have run.
-func final(choice, last error, ran bool) error {
-	if last == nil {
-		last = choice
-	}
-	e := problem.From(last)
-	if ran {
+// finalError returns the error for the caller: that of the last attempt, or choiceErr
+// if there was no attempt. Its outcome is problem.NotRun only if no attempt may have
+// run.
+func finalError(choiceErr, lastErr error, possiblyRun bool) error {
+	if lastErr == nil {
+		lastErr = choiceErr
+	}
+	e := problem.From(lastErr)
+	if possiblyRun {
 		e = e.WithOutcome(problem.Unknown)
 	}
 	if e.RetryAfter == 0 && e.Kind.Status >= http.StatusInternalServerError {
@@ -93,7 +95,8 @@
 	return e
 }
 
-func result(err error) limit.Result {
+// limitResult returns what the call's error tells the limiter about the load.
+func limitResult(err error) limit.Result {
 	switch {
 	case err == nil:
 		return limit.Good
@@ -103,11 +106,11 @@
 	return limit.Neutral
 }
 
-// once makes one attempt.
-func (r *Relay) once(ctx context.Context, trip *router.Trip, c Call, u *upstream.Upstream) (*Answer, error) {
+// sendAttempt makes one attempt at an upstream.
+func (r *Relay) sendAttempt(ctx context.Context, trip *router.Trip, c Call, u *upstream.Upstream) (*Answer, error) {
 	d := trip.Set.Deployment
 	attempt := c.RequestID + "." + strconv.Itoa(trip.Attempts())
-	req, err := request(ctx, c, u.Address, attempt)
+	req, err := newRequest(ctx, c, u.Address, attempt)
 	if err != nil {
 		u.Ended()
 		return nil, problem.BadRequest.With(err)
@@ -116,25 +119,26 @@
 	started := r.Timer.Now()
 	res, sent, err := r.Client.Do(req, reuse)
 	if err != nil {
-		return nil, r.failed(ctx, u, sent, err)
+		return nil, r.classifyFailure(ctx, u, sent, err)
 	}
-	answer, err := receive(res, d, attempt, reuse)
+	answer, err := readAnswer(res, d, attempt, reuse)
 	if err != nil {
-		return nil, r.failed(ctx, u, true, err)
+		return nil, r.classifyFailure(ctx, u, true, err)
 	}
-	r.noteLoad(u, res.Header)
-	return r.judge(u, answer, res, started)
+	r.recordLoad(u, res.Header)
+	return r.classifyAnswer(u, answer, res, started)
 }
 
-// judge turns a whole answer into the result of the attempt. Only an upstream
-// that vouches for it has not run a request that it answered with 503.
-func (r *Relay) judge(u *upstream.Upstream, answer *Answer, res *http.Response, started timer.Instant) (*Answer, error) {
+// classifyAnswer turns a complete answer into the result of the attempt. A request
+// answered with 503 counts as not run only if the upstream says so in
+// engine.HeaderNotRun.
+func (r *Relay) classifyAnswer(u *upstream.Upstream, answer *Answer, res *http.Response, started timer.Instant) (*Answer, error) {
 	now := r.Timer.Now()
 	switch res.StatusCode {
 	case http.StatusServiceUnavailable:
 		if res.Header.Get(engine.HeaderNotRun) != "" {
 			u.Ended()
-			return nil, problem.UpstreamRefused.Withf("upstream %s refused", u.ID).
+			return nil, problem.UpstreamRefused.Withf("upstream %s refused the request", u.ID).
 				WithRetryAfter(max(time.Second, engine.RetryAfter(res.Header)))
 		}
 		fallthrough
@@ -146,10 +150,11 @@
 	return answer, nil
 }
 
-// failed classifies an attempt without a whole answer.
-func (r *Relay) failed(ctx context.Context, u *upstream.Upstream, sent bool, err error) error {
-	// A caller that went away or ran out of time is no fault of the upstream,
-	// unless the time went by at the upstream.
+// classifyFailure returns the error of an attempt without a complete answer and records
+// the failure at the upstream.
+func (r *Relay) classifyFailure(ctx context.Context, u *upstream.Upstream, sent bool, err error) error {
+	// A call that its caller cancelled does not count against the upstream. One
+	// that ran out of time does, since the time was spent at the upstream.
 	if errors.Is(ctx.Err(), context.Canceled) {
 		u.Ended()
 	} else {
@@ -162,20 +167,21 @@
 	case !sent && ctx.Err() != nil:
 		return problem.DeadlineBeforeRun.Withf("upstream %s: %w", u.ID, err)
 	case !sent:
-		return problem.UpstreamRefused.Withf("upstream %s was not reached: %w", u.ID, err)
+		return problem.UpstreamRefused.Withf("upstream %s could not be reached: %w", u.ID, err)
 	case ctx.Err() != nil:
 		return problem.UpstreamTimeout.Withf("upstream %s: %w", u.ID, err)
 	}
 	return problem.UpstreamFailed.Withf("upstream %s: %w: %w", u.ID, engine.ErrCut, err)
 }
 
-func request(ctx context.Context, c Call, address, attempt string) (*http.Request, error) {
+// newRequest returns the HTTP request of one attempt.
+func newRequest(ctx context.Context, c Call, address, attempt string) (*http.Request, error) {
 	url := "http://" + address + "/" + strings.TrimPrefix(c.Path, "/")
 	req, err := http.NewRequestWithContext(ctx, c.Method, url, bytes.NewReader(c.Body))
 	if err != nil {
 		return nil, err
 	}
-	copyHeaders(req.Header, c.Header, copiedIn)
+	copyHeaders(req.Header, c.Header, requestHeaders)
 	req.Header.Set(HeaderRequestID, c.RequestID)
 	req.Header.Set(HeaderAttempt, attempt)
 	req.Header.Set(HeaderPriority, c.Class.String())
@@ -186,29 +192,31 @@
 	return req, nil
 }
 
-// belongs reports whether an answer is for an attempt. Without the upstream's
-// word that is sure only on a connection that carried no other request.
-func belongs(echo, attempt string, echoes bool, reuse wire.Reuse) bool {
+// matchesAttempt reports whether an answer belongs to an attempt. echo is the attempt
+// that the answer names, mustEcho whether the upstream is configured to name it.
+// Without an echo from such an upstream, only a connection that carried no other
+// request makes it certain.
+func matchesAttempt(echo, attempt string, mustEcho bool, reuse wire.Reuse) bool {
 	if echo == "" {
-		return !echoes || reuse == wire.Fresh
+		return !mustEcho || reuse == wire.Fresh
 	}
 	return echo == attempt
 }
 
-// receive reads the whole answer. A body without a declared end may have been
-// cut short by a dying upstream without any sign of it, so it is refused.
-func receive(res *http.Response, d configuration.Deployment, attempt string, reuse wire.Reuse) (*Answer, error) {
+// readAnswer reads the complete answer. It rejects a body with neither a length nor
+// chunked encoding, since a crashing upstream could truncate it without any sign.
+func readAnswer(res *http.Response, d configuration.Deployment, attempt string, reuse wire.Reuse) (*Answer, error) {
 	defer res.Body.Close()
-	if echo := res.Header.Get(HeaderAttempt); !belongs(echo, attempt, d.EchoesAttempt, reuse) {
+	if echo := res.Header.Get(HeaderAttempt); !matchesAttempt(echo, attempt, d.EchoesAttempt, reuse) {
 		return nil, problem.AnswerRejected.Withf("the answer is for attempt %q, not %q", echo, attempt)
 	}
 	chunked := len(res.TransferEncoding) > 0 && res.TransferEncoding[0] == "chunked"
 	if res.ContentLength < 0 && !chunked {
-		return nil, problem.AnswerRejected.Withf("the answer does not say where it ends")
+		return nil, problem.AnswerRejected.Withf("the answer has neither a content length nor chunked encoding")
 	}
 	body, err := io.ReadAll(io.LimitReader(res.Body, d.MaxAnswerBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("the answer was cut short: %w", err)
+		return nil, fmt.Errorf("the answer was truncated: %w", err)
 	}
 	if int64(len(body)) > d.MaxAnswerBytes {
 		return nil, problem.AnswerRejected.Withf("the answer is larger than %d bytes", d.MaxAnswerBytes)
@@ -218,12 +226,12 @@
 		Header: make(http.Header),
 		Body:   body,
 	}
-	copyHeaders(answer.Header, res.Header, copiedOut)
+	copyHeaders(answer.Header, res.Header, responseHeaders)
 	return answer, nil
 }
 
-// noteLoad takes the load that came along with an answer.
-func (r *Relay) noteLoad(u *upstream.Upstream, h http.Header) {
+// recordLoad records the load that the service reported with its answer, if it did.
+func (r *Relay) recordLoad(u *upstream.Upstream, h http.Header) {
 	var report engine.Report
 	n, _ := fmt.Sscanf(h.Get(HeaderLoad), "%d,%d,%d", &report.Running, &report.Waiting, &report.Slots)
 	if n == 3 {
--- a/internal/route/relay/relay_test.go
+++ b/internal/route/relay/relay_test.go
@@ -8,16 +8,17 @@
 	"github.com/egretbend/egretbend/internal/route/wire"
 )
 
-// An upstream that is full refuses before it looks at the request, and so does
-// not name the attempt. On a connection of its own the refusal can only be for
-// this request; a caller who is told "unknown" instead would have to check at
-// the service. On a shared connection it may be a late answer to another one.
-func TestAnswerBelongsByEchoOrOwnConnection(t *testing.T) {
+// Guards against a refusal that is rejected as an answer to another request, which
+// would tell the caller "unknown" so that it had to check at the service. A full
+// upstream refuses before it reads the request and so can't name the attempt. On a
+// fresh connection the refusal can only be for this request; on a shared one it may be
+// a late answer to another request.
+func TestAnswerMatchesAttemptByEchoOrFreshConnection(t *testing.T) {
 	is := is.New(t)
-	is.True(belongs("", "r.1", true, wire.Fresh))
-	is.True(!belongs("", "r.1", true, wire.Shared))
-	is.True(belongs("", "r.1", false, wire.Fresh))
-	is.True(belongs("r.1", "r.1", true, wire.Shared))
-	is.True(!belongs("r.2", "r.1", true, wire.Fresh))
-	is.True(!belongs("r.2", "r.1", false, wire.Fresh))
+	is.True(matchesAttempt("", "r.1", true, wire.Fresh))
+	is.True(!matchesAttempt("", "r.1", true, wire.Shared))
+	is.True(matchesAttempt("", "r.1", false, wire.Fresh))
+	is.True(matchesAttempt("r.1", "r.1", true, wire.Shared))
+	is.True(!matchesAttempt("r.2", "r.1", true, wire.Fresh))
+	is.True(!matchesAttempt("r.2", "r.1", false, wire.Fresh))
 }
