--- a/internal/route/wire/client.go
+++ b/internal/route/wire/client.go
@@ -18,30 +18,35 @@
 	maxHeaderBytes  = 64 << 10
 )
 
-// Client sends requests to upstreams. Its zero value works.
+// Client sends requests to upstreams. Its zero value is ready to use.
 type Client struct {
-	// TLS is for https; nil takes the system's roots.
+	// TLS configures https connections; with nil the system's root certificates
+	// are used.
 	TLS *tls.Config
 
 	once   sync.Once
-	reused http.Transport
+	shared http.Transport
 	fresh  http.Transport
 }
 
-// Reuse says whether a request may use a connection that carried others.
+// Reuse says whether a request may use a connection that carried other requests.
 type Reuse bool
 
-// The two ways to get a connection. A fresh one is for requests that may not
-// be repeated, as an upstream may close an idle connection just when the
-// request is written to it, and for upstreams that don't say which request
-// they answer.
+// The two kinds of connections.
 const (
+	// Shared may reuse an idle connection and keeps it open afterwards.
 	Shared Reuse = true
-	Fresh  Reuse = false
+	// Fresh opens a connection for this request only. It is for requests that may
+	// not be repeated, as an upstream may close an idle connection just when the
+	// request is written to it, and for upstreams that don't say which request
+	// they answer.
+	Fresh Reuse = false
 )
 
-func (c *Client) prepare() {
-	for _, t := range []*http.Transport{&c.reused, &c.fresh} {
+// configureTransports sets up both transports; only the shared one keeps connections
+// alive.
+func (c *Client) configureTransports() {
+	for _, t := range []*http.Transport{&c.shared, &c.fresh} {
 		t.DialContext = dial
 		t.MaxIdleConnsPerHost = idlePerUpstream
 		t.IdleConnTimeout = idleTime
@@ -52,6 +57,7 @@
 	c.fresh.DisableKeepAlives = true
 }
 
+// dial opens a connection whose written bytes are counted.
 func dial(ctx context.Context, network, address string) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout: dialTimeout,
@@ -65,71 +71,74 @@
 	}, nil
 }
 
-// Do sends req and reports whether a byte of it may have left. A response is
+// Do sends req and reports whether any byte of it may have been sent. A response is
 // returned only with a nil error.
 func (c *Client) Do(req *http.Request, reuse Reuse) (res *http.Response, sent bool, err error) {
-	c.once.Do(c.prepare)
-	var track tracker
+	c.once.Do(c.configureTransports)
+	var tracker connTracker
 	trace := &httptrace.ClientTrace{
-		GotConn: track.got,
+		GotConn: tracker.gotConn,
 	}
 	req = req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
-	// Without GetBody the standard client can't silently repeat a request
-	// whose body it has begun to send.
+	// Without GetBody the transport can't silently repeat a request whose body
+	// it has begun to send.
 	req.GetBody = nil
-	transport := &c.reused
+	transport := &c.shared
 	if reuse == Fresh {
 		transport = &c.fresh
 	}
 	res, err = transport.RoundTrip(req)
 	if err != nil {
-		return nil, track.sealAll(), err
+		return nil, tracker.sealAll(), err
 	}
 	return res, true, nil
 }
 
-// CloseIdle closes the connections that carry no request.
+// CloseIdle closes the connections that are not in use.
 func (c *Client) CloseIdle() {
-	c.reused.CloseIdleConnections()
+	c.shared.CloseIdleConnections()
 	c.fresh.CloseIdleConnections()
 }
 
-// tracker remembers the connections that an attempt was given.
-type tracker struct {
-	mu     sync.Mutex
-	used   []use
-	hidden bool
+// connTracker records the connections that the transport gave to one request.
+type connTracker struct {
+	mu   sync.Mutex
+	uses []connUse
+	// uncounted is set once a connection was given whose bytes are not counted.
+	uncounted bool
 }
 
-type use struct {
-	conn  *conn
-	start uint64
+// connUse is a connection and the bytes written to it before the request.
+type connUse struct {
+	conn          *conn
+	writtenBefore uint64
 }
 
-func (t *tracker) got(info httptrace.GotConnInfo) {
+// gotConn is called by httptrace with each connection that the request is given.
+func (t *connTracker) gotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*conn)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !ok {
-		// TLS hides the connection below it. What can't be counted may have
-		// left.
-		t.hidden = true
+		// A TLS connection hides the counted one below it, so bytes of the
+		// request may have been sent without being counted.
+		t.uncounted = true
 		return
 	}
-	t.used = append(t.used, use{
-		conn:  c,
-		start: c.count(),
+	t.uses = append(t.uses, connUse{
+		conn:          c,
+		writtenBefore: c.bytesWritten(),
 	})
 }
 
-// sealAll seals the attempt's connections and reports whether any of them was
-// written to.
-func (t *tracker) sealAll() bool {
+// sealAll seals all connections of the request and reports whether any of them may
+// have been written to on its behalf.
+func (t *connTracker) sealAll() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	sent := t.hidden
-	for _, u := range t.used {
-		if u.conn.seal() > u.start {
+	sent := t.uncounted
+	for _, u := range t.uses {
+		if u.conn.seal() > u.writtenBefore {
 			sent = true
 		}
 	}
--- a/internal/route/wire/conn.go
+++ b/internal/route/wire/conn.go
@@ -6,9 +6,11 @@
 	"sync"
 )
 
-var errSealed = errors.New("the connection's request was given up")
+// errSealed is returned by writes to a sealed connection.
+var errSealed = errors.New("the connection is closed for writing: its request was abandoned")
 
-// conn is a connection that can be sealed against further writes.
+// conn counts the bytes written to a connection and can be sealed, after which
+// every write fails.
 type conn struct {
 	net.Conn
 
@@ -24,19 +26,21 @@
 	if c.sealed {
 		return 0, errSealed
 	}
-	// Counted before the write: after a failed one some bytes may have left.
+	// Count before the write: even if it fails, some bytes may have been sent.
 	c.written += uint64(len(p))
 	return c.Conn.Write(p)
 }
 
-func (c *conn) count() uint64 {
+// bytesWritten returns how many bytes were passed to Write so far.
+func (c *conn) bytesWritten() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-// seal stops all further writes and returns the count of bytes so far. It
-// waits for a write in progress, so the connection is closed first.
+// seal closes the connection, makes further writes fail and returns how many bytes
+// were written. A write in progress holds the lock, so the connection is closed first
+// to end that write.
 func (c *conn) seal() uint64 {
 	_ = c.Close()
 	c.mu.Lock()
--- a/internal/route/wire/proof_test.go
+++ b/internal/route/wire/proof_test.go
@@ -20,7 +20,7 @@
 	"github.com/egretbend/egretbend/internal/standin/proof"
 )
 
-// behaviour is what an upstream does with its next connection.
+// behaviour is what the test upstream does with its next connection or request.
 type behaviour string
 
 const (
@@ -33,7 +33,8 @@
 	refuse      behaviour = "refuse"
 )
 
-// upstream is a raw server that notes whether a byte of a request reached it.
+// upstream is a TCP server that counts the requests of which at least one byte
+// arrived.
 type upstream struct {
 	ln       net.Listener
 	next     atomic.Pointer[behaviour]
@@ -98,18 +99,20 @@
 	}
 }
 
+// reset makes the connection send a TCP reset when it is closed.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 }
 
-// sender sends a request and says whether it may have left.
+// sender sends a request and reports whether any byte of it may have been sent.
 type sender func(req *http.Request) (res *http.Response, sent bool, err error)
 
-// told drives an upstream through random behaviours. The oracle is the
-// upstream's own count of requests of which a byte arrived.
-func told(newSender func() sender) func(*rapid.T) {
+// checkSentReport runs requests against an upstream with random behaviours and
+// compares what the sender reports with the upstream's own count of requests of
+// which a byte arrived.
+func checkSentReport(newSender func() sender) func(*rapid.T) {
 	return func(t *rapid.T) {
 		u, err := newUpstream()
 		if err != nil {
@@ -134,37 +137,38 @@
 				res.Body.Close()
 			}
 			cancel()
-			got := u.received.Load() - before
-			if err != nil && !sent && got > 0 {
-				t.Fatalf("told not sent, but a byte arrived (%s)", b)
+			arrived := u.received.Load() - before
+			if err != nil && !sent && arrived > 0 {
+				t.Fatalf("reported as not sent, but a byte arrived (%s)", b)
 			}
-			if got > 1 {
-				t.Fatalf("the request arrived %d times (%s)", got, b)
+			if arrived > 1 {
+				t.Fatalf("the request arrived %d times (%s)", arrived, b)
 			}
 			if b == cutShort && err == nil {
-				t.Fatalf("an answer that was cut short was taken for a whole one")
+				t.Fatalf("a truncated answer was accepted as complete")
 			}
 		}
 	}
 }
 
-// An upstream resets the connection before, during or after it reads a
-// request, closes an idle connection just when the next request is sent, or
-// cuts its answer short. A caller who is told "not run" though a byte arrived
-// would ask again, and a hide would be cut twice.
-func TestNotSentIsTrue(t *testing.T) {
+// Guards against a request that is reported as not sent although a byte of it
+// arrived: the caller would repeat it and it could run twice. The upstream resets
+// the connection before, during or after it reads a request, closes an idle
+// connection just when the next request is sent, or truncates its answer.
+func TestNotSentMeansNoByteArrived(t *testing.T) {
 	for _, reuse := range []wire.Reuse{wire.Shared, wire.Fresh} {
-		proof.CheckN(t, 150, told(func() sender {
+		proof.CheckN(t, 150, checkSentReport(func() sender {
 			c := &wire.Client{}
 			return func(req *http.Request) (*http.Response, bool, error) { return c.Do(req, reuse) }
 		}))
 	}
 }
 
-// A caller of the standard client that takes every error before an answer for
-// "not sent" is wrong as soon as an upstream resets after reading.
-func TestErrorBeforeAnswerIsNotNotSent(t *testing.T) {
-	proof.Refute(t, told(func() sender {
+// Shows that checkSentReport detects a wrong report: a sender that takes every error
+// of the standard transport for "not sent" is wrong as soon as an upstream resets the
+// connection after reading.
+func TestErrorBeforeAnswerDoesNotMeanNotSent(t *testing.T) {
+	proof.Refute(t, checkSentReport(func() sender {
 		c := &http.Transport{}
 		return func(req *http.Request) (*http.Response, bool, error) {
 			res, err := c.RoundTrip(req)
@@ -173,9 +177,10 @@
 	}))
 }
 
-// The standard client silently repeats a request with an Idempotency-Key when
-// a kept connection breaks. The client below must not, whatever the headers.
-func TestNoSilentRepeat(t *testing.T) {
+// Guards against requests that are repeated silently: the standard transport repeats
+// a request with an Idempotency-Key header when a reused connection breaks. Client
+// must not, whatever the headers.
+func TestClientDoesNotRepeatRequests(t *testing.T) {
 	is := is.New(t)
 	u, err := newUpstream()
 	is.NoErr(err)
@@ -199,10 +204,10 @@
 	}
 }
 
-// A deadline passes while the upstream has the request. The connection must
-// not be used for another request, or its late answer would be taken for the
-// answer to that one.
-func TestGivenUpConnectionIsClosed(t *testing.T) {
+// Guards against reuse of the connection of a request that was cancelled or timed out
+// while the upstream had it: the late answer would be taken for the answer to the next
+// request.
+func TestConnectionOfCancelledRequestIsClosed(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	entered := make(chan struct{})
@@ -246,9 +251,9 @@
 	is.Equal(conns.Load(), int64(2))
 }
 
-// Instances talk over TLS, which hides what was written. A request of which
-// nothing can be counted must not be told as "not sent".
-func TestHiddenConnectionMayHaveSent(t *testing.T) {
+// Guards against a request over TLS that is reported as not sent although it arrived:
+// instances talk over TLS, where the bytes written can't be counted.
+func TestFailedTLSRequestMayHaveBeenSent(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewTLSServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
