--- a/internal/route/retry/budget.go
+++ b/internal/route/retry/budget.go
@@ -2,22 +2,25 @@
 
 import "sync/atomic"
 
-// Budget is an account of retries in thousandths. Its zero value begins with
-// the reserve.
+// Budget counts the retries that are available to a deployment. Its zero value holds
+// the full reserve of 10 retries, which is also the most it can hold.
 type Budget struct {
+	// spent is how much of the reserve is used, in thousandths of a retry.
 	spent atomic.Int64
 }
 
 const (
-	unit = 1000
-	// reserve lets a quiet deployment retry a few requests at once.
-	reserve = 10 * unit
+	// unitsPerRetry makes one retry 1000 units, so that fractions can be earned.
+	unitsPerRetry = 1000
+	// reserve, in units, lets a deployment with little traffic retry a few requests
+	// at once.
+	reserve = 10 * unitsPerRetry
 )
 
-// Earn notes a request that succeeded; share is the fraction of a retry that
-// it allows.
+// Earn records a request that succeeded. share is the fraction of a retry that it
+// adds to the budget.
 func (b *Budget) Earn(share float64) {
-	earned := int64(share * unit)
+	earned := int64(share * unitsPerRetry)
 	for {
 		old := b.spent.Load()
 		if b.spent.CompareAndSwap(old, max(0, old-earned)) {
@@ -26,14 +29,14 @@
 	}
 }
 
-// Take takes one retry and reports whether there was one.
+// Take takes one retry from the budget and reports whether one was left.
 func (b *Budget) Take() bool {
 	for {
 		old := b.spent.Load()
-		if old+unit > reserve {
+		if old+unitsPerRetry > reserve {
 			return false
 		}
-		if b.spent.CompareAndSwap(old, old+unit) {
+		if b.spent.CompareAndSwap(old, old+unitsPerRetry) {
 			return true
 		}
 	}
--- a/internal/route/retry/doc.go
+++ b/internal/route/retry/doc.go
@@ -1,9 +1,12 @@
-// Package retry bounds how many requests are sent a second time.
+// Package retry limits how many requests are sent a second time.
 //
-// A Budget earns a fraction of a retry for each request that succeeds. When
-// upstreams fail, retries stop by themselves, so an overload can't feed itself:
+// A Budget earns a fraction of a retry for each request that succeeds, and each retry
+// is taken from it. When upstreams fail, the budget runs out and retries stop, so
+// they can't amplify an overload:
 //
+//	var budget retry.Budget
+//	budget.Earn(0.1) // a request succeeded and adds a tenth of a retry
 //	if !budget.Take() {
-//		return lastError
+//		return lastErr // no retry left
 //	}
 package retry
