--- a/internal/route/policy/doc.go
+++ b/internal/route/policy/doc.go
@@ -1,11 +1,15 @@
-// Package policy chooses an upstream for a request.
+// Package policy chooses the upstream that runs a request.
 //
-// A Policy is a pure function of a set, a query and the time, so a decision
-// can be explained and repeated afterwards:
+// A Policy depends only on an upstream set, a query and the upstreams' current state,
+// with its randomness and the time passed in the query, so that a choice can be
+// explained and reproduced:
 //
 //	p, err := policy.Find("two_choices")
-//	choice := p.Choose(set, policy.Query{Random: r.Uint64(), Now: now})
+//	if err != nil {
+//		return err
+//	}
+//	choice := p.Choose(set, policy.Query{Random: rand.Uint64(), Now: now})
 //
-// Policies register themselves; adding one is one new file in this package.
-// A choice takes no lock and allocates nothing.
+// Each policy registers itself in an init function; a new one is one new file in this
+// package. Choosing takes no lock and allocates nothing.
 package policy
--- a/internal/route/policy/least_reported.go
+++ b/internal/route/policy/least_reported.go
@@ -4,8 +4,9 @@
 
 func init() { registry.Add("least_reported", LeastReported{}) }
 
-// LeastReported chooses the upstream whose last report shows the least load.
-// It is a baseline for measurements: late reports draw a herd.
+// LeastReported chooses the upstream whose last report shows the least load. It is a
+// baseline for measurements: until the next report, all instances pick the same
+// upstream (thundering herd).
 type LeastReported struct{}
 
 // Choose implements Policy.
@@ -19,7 +20,7 @@
 		}
 	}
 	if best == nil {
-		return lastHope(s, &q)
+		return chooseEjected(s, &q)
 	}
 	return Choice{
 		Upstream:   best,
--- a/internal/route/policy/policy.go
+++ b/internal/route/policy/policy.go
@@ -7,70 +7,87 @@
 	"github.com/egretbend/egretbend/internal/route/upstream"
 )
 
-// Query is what a decision depends on besides the set.
+// Query holds the inputs of a choice other than the upstream set.
 type Query struct {
-	// Random is a fresh random number; it stands for the seed of this choice.
+	// Random is a fresh random number that seeds this choice.
 	Random uint64
-	// Key is the hash of the prompt's prefix, or zero.
+	// Key is the hash of the prompt's prefix, or zero if there is none.
 	Key uint64
 	Now timer.Instant
-	// Oldest is the oldest weight version that is of use.
+	// Oldest is the oldest acceptable weight version; the zero version accepts all.
 	Oldest version.Version
-	// Newest makes upstreams with older weights than this less attractive,
-	// if PreferNewest is set.
+	// Newest is the newest weight version. If PreferNewest is set, upstreams with
+	// older weights score worse.
 	Newest       version.Version
 	PreferNewest bool
-	// Draws is how many upstreams are compared; less than two means two.
+	// Draws is how many randomly drawn upstreams are compared; less than two means
+	// two.
 	Draws int
-	// Tried are upstreams that this request was already sent to.
+	// Tried holds the upstreams that must not be chosen, such as those that the
+	// request was already sent to. The first nil entry ends the list.
 	Tried [MaxTried]*upstream.Upstream
 }
 
-// MaxTried is the most attempts of one request.
+// MaxTried is the maximum number of attempts of one request, and so of upstreams in
+// Query.Tried.
 const MaxTried = 10
 
-// Reason says why an upstream was chosen, in a word for the log.
+// Reason is the logged keyword for why an upstream was chosen.
 type Reason string
 
-// The reasons.
+// The reasons of the policies.
 const (
-	ReasonNone     Reason = "none"
-	ReasonRandom   Reason = "random"
-	ReasonLeast    Reason = "least_reported"
-	ReasonTwo      Reason = "less_loaded_of_two"
-	ReasonPrefix   Reason = "prefix"
-	ReasonSpill    Reason = "prefix_spill"
-	ReasonWarm     Reason = "idle_connection"
+	// ReasonNone means that no upstream matched the query.
+	ReasonNone Reason = "none"
+	// ReasonRandom means that the upstream was drawn at random.
+	ReasonRandom Reason = "random"
+	// ReasonLeast means that its last report showed the least load.
+	ReasonLeast Reason = "least_reported"
+	// ReasonTwo means that it was the least loaded of those drawn.
+	ReasonTwo Reason = "less_loaded_of_two"
+	// ReasonPrefix means that it was chosen for the prompt's prefix.
+	ReasonPrefix Reason = "prefix"
+	// ReasonSpill means that no upstream for the prefix was eligible, fast and
+	// free enough, and that the choice of TwoChoices was taken.
+	ReasonSpill Reason = "prefix_spill"
+	// ReasonWarm means that there was an idle connection to it.
+	ReasonWarm Reason = "idle_connection"
+	// ReasonLastHope means that no matching upstream was usable, since all were
+	// ejected for failures, and one of them was chosen nevertheless.
 	ReasonLastHope Reason = "all_out"
 )
 
-// Choice is a decision. Upstream is nil when none can be used.
+// Choice is the result of a policy.
 type Choice struct {
-	Upstream   *upstream.Upstream
+	// Upstream is nil if none can be used.
+	Upstream *upstream.Upstream
+	// Candidates is the number of upstreams in the set.
 	Candidates int
 	Reason     Reason
 }
 
-// Policy chooses an upstream.
+// Policy chooses an upstream of a set for a query.
 type Policy interface {
 	Choose(s *upstream.Set, q Query) Choice
 }
 
 var registry part.Registry[Policy]
 
-// Find returns the policy called name.
+// Find returns the policy registered under name.
 func Find(name string) (Policy, error) { return registry.Find(name) }
 
-// Names returns the names of all policies.
+// Names returns the names of all registered policies.
 func Names() []string { return registry.Names() }
 
-// eligible reports whether u may serve the query.
+// eligible reports whether u may serve the query and is not ejected for failures.
 func (q *Query) eligible(u *upstream.Upstream) bool {
-	return u.Usable(q.Now) && q.suits(u)
+	return u.Usable(q.Now) && q.matches(u)
 }
 
-// suits reports whether u has not been tried and has weights of use.
-func (q *Query) suits(u *upstream.Upstream) bool {
+// matches reports whether u is not leaving, has not been tried and has recent enough
+// weights, whether or not it is ejected. An upstream whose weight version is unknown
+// counts as recent enough.
+func (q *Query) matches(u *upstream.Upstream) bool {
 	if u.Leaving() {
 		return false
 	}
@@ -89,7 +106,8 @@
 	return !ok || !v.Less(q.Oldest)
 }
 
-// score is the load that the query sees; lower is better.
+// score returns the load by which upstreams are compared; lower is better. With
+// PreferNewest, an upstream with weights older than Newest scores 0.5 worse.
 func (q *Query) score(u *upstream.Upstream) float64 {
 	load := u.Load(q.Now)
 	if !q.PreferNewest || q.Newest.Zero() {
@@ -101,43 +119,43 @@
 	return load
 }
 
-// probes is how many random places are looked at before a scan.
-const probes = 6
+// maxRandomDraws is how many random positions are tried before a linear scan.
+const maxRandomDraws = 6
 
-// draw returns the eligible upstream at a random place, other than not. It
-// falls back to a scan, so that it finds one if there is any.
-func draw(s *upstream.Set, q *Query, random uint64, not *upstream.Upstream) *upstream.Upstream {
+// drawEligible returns a random eligible upstream other than exclude. It falls back to
+// a linear scan, so that it finds one if there is any, and returns nil otherwise.
+func drawEligible(s *upstream.Set, q *Query, random uint64, exclude *upstream.Upstream) *upstream.Upstream {
 	n := uint64(len(s.Upstreams))
 	if n == 0 {
 		return nil
 	}
-	for i := uint64(0); i < probes; i++ {
-		random = next(random)
+	for i := uint64(0); i < maxRandomDraws; i++ {
+		random = splitMix64(random)
 		u := s.Upstreams[(random>>32)%n]
-		if u != not && q.eligible(u) {
+		if u != exclude && q.eligible(u) {
 			return u
 		}
 	}
 	start := (random >> 32) % n
 	for i := range n {
 		u := s.Upstreams[(start+i)%n]
-		if u != not && q.eligible(u) {
+		if u != exclude && q.eligible(u) {
 			return u
 		}
 	}
 	return nil
 }
 
-// lastHope chooses among those that are out for failures, when all are. To
-// refuse everything on the word of a failure count would turn a short fault of
-// the network into an outage.
-func lastHope(s *upstream.Set, q *Query) Choice {
+// chooseEjected is the fallback when no upstream is eligible: it chooses one that
+// matches the query although it is ejected for failures. Refusing all requests because
+// of failure counts would turn a short network fault into an outage.
+func chooseEjected(s *upstream.Set, q *Query) Choice {
 	n := uint64(len(s.Upstreams))
 	for i := range n {
-		// The remainder comes first: the sum of a large random number and i
-		// would wrap around and leave places out.
+		// Take the remainder before adding i: the sum of a large random number
+		// and i would overflow and skip positions.
 		u := s.Upstreams[(q.Random%n+i)%n]
-		if q.suits(u) {
+		if q.matches(u) {
 			return Choice{
 				Upstream:   u,
 				Candidates: len(s.Upstreams),
@@ -151,8 +169,8 @@
 	}
 }
 
-// next is a step of a generator of random numbers.
-func next(x uint64) uint64 {
+// splitMix64 returns the output of the SplitMix64 pseudo-random generator for state x.
+func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	z := x
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
--- a/internal/route/policy/policy_test.go
+++ b/internal/route/policy/policy_test.go
@@ -20,6 +20,7 @@
 	"github.com/egretbend/egretbend/internal/standin/proof"
 )
 
+// set returns a set of n upstreams in four failure domains with 8 slots each.
 func set(n int, now timer.Instant) *upstream.Set {
 	var table upstream.Table
 	var list []roster.Instance
@@ -46,9 +47,9 @@
 	return table.Set("m")
 }
 
-// Upstreams leave, fail and come back with old weights while requests are
-// routed. A caller would notice a request that fails at an upstream which was
-// known to be leaving, or a refusal while one could have served it.
+// Guards against a request that is sent to an upstream known to be leaving, tried or
+// too old, and against a refusal although an upstream could have served it. Upstreams
+// leave, fail and report old weights at random.
 func TestChoiceIsUsableIfAnyIs(t *testing.T) {
 	proof.Check(t, func(t *rapid.T) {
 		clock := &timer.Manual{}
@@ -101,19 +102,19 @@
 		c := p.Choose(s, q)
 		switch {
 		case c.Upstream == nil && any:
-			t.Fatalf("none was chosen of %d though one is usable", len(s.Upstreams))
+			t.Fatalf("none of %d upstreams was chosen although one is usable", len(s.Upstreams))
 		case c.Upstream != nil && !usable(c.Upstream):
 			t.Fatalf("%s was chosen, which is leaving, tried or too old", c.Upstream.ID)
 		case c.Upstream != nil && healthy && c.Upstream.Out(q.Now):
-			t.Fatalf("%s was chosen, which is out, though others are not", c.Upstream.ID)
+			t.Fatalf("%s was chosen, which is ejected, although others are not", c.Upstream.ID)
 		}
 	})
 }
 
-// All upstreams but one are leaving, that one is out, and the random number is
-// so large that counting on from it wraps around. A caller would be refused
-// though the one could serve it. Found by fuzzing with fresh seeds.
-func TestLastHopeLooksEverywhere(t *testing.T) {
+// Guards against a request that is refused although the only remaining upstream could
+// serve it: all others are leaving, that one is ejected, and the random number is so
+// large that adding to it overflows.
+func TestFallbackConsidersEveryUpstream(t *testing.T) {
 	is := is.New(t)
 	clock := &timer.Manual{}
 	clock.Advance(time.Hour)
@@ -141,9 +142,9 @@
 	}
 }
 
-// One upstream fails every request. Callers would notice that a share of their
-// requests goes on failing.
-func TestFailingUpstreamIsTakenOutAndComesBack(t *testing.T) {
+// Guards against an upstream that fails every request and keeps getting some, and
+// against one that is never used again after its ejection.
+func TestFailingUpstreamIsEjectedAndReturns(t *testing.T) {
 	is := is.New(t)
 	clock := &timer.Manual{}
 	clock.Advance(time.Hour)
@@ -159,7 +160,7 @@
 	is.True(u.Load(clock.Now()) > 0)
 }
 
-// BenchmarkChoose measures one decision.
+// BenchmarkChoose measures one choice of each policy for 10 and 900 upstreams.
 func BenchmarkChoose(b *testing.B) {
 	for _, name := range policy.Names() {
 		for _, n := range []int{10, 900} {
--- a/internal/route/policy/prefix_affinity.go
+++ b/internal/route/policy/prefix_affinity.go
@@ -4,35 +4,36 @@
 
 func init() { registry.Add("prefix_affinity", PrefixAffinity{}) }
 
-// PrefixAffinity sends prompts with the same prefix to the same upstream, so
-// that its cache is of use, as long as that one is not much fuller than the
-// others.
+// PrefixAffinity sends prompts with the same prefix to the same upstream, so that its
+// prompt cache is hit, as long as that upstream is not much more loaded than the
+// choice of TwoChoices.
 type PrefixAffinity struct{}
 
 const (
-	// affinitySteps is how many points of the ring are looked at.
-	affinitySteps = 4
-	// affinityBound is how much more load than the alternative an upstream may
-	// have and still keep its prefixes, unless it has a free slot. Reading a
-	// prompt again costs some tokens' time; waiting for a slot costs a whole
-	// generation's.
-	affinityBound = 0.13
-	// freeSlot is the score up to which a slot is free for the request.
-	freeSlot = 1
+	// affinityRingPoints is how many points of the hash ring are tried.
+	affinityRingPoints = 4
+	// affinityMaxExtraLoad is how much more loaded than the alternative an
+	// upstream may be and still be chosen for its prefixes, unless it has a free
+	// slot. Processing a prompt again costs the time of some tokens; waiting for a
+	// slot costs that of a whole generation.
+	affinityMaxExtraLoad = 0.13
+	// freeSlotScore is the score up to which an upstream has a slot free for the
+	// request.
+	freeSlotScore = 1
 )
 
 // Choose implements Policy.
 func (PrefixAffinity) Choose(s *upstream.Set, q Query) Choice {
-	other := TwoChoices{}.Choose(s, q)
-	if q.Key == 0 || other.Upstream == nil || other.Reason == ReasonLastHope {
-		return other
+	alternative := TwoChoices{}.Choose(s, q)
+	if q.Key == 0 || alternative.Upstream == nil || alternative.Reason == ReasonLastHope {
+		return alternative
 	}
-	bound := max(freeSlot, q.score(other.Upstream)+affinityBound)
-	choice := other
+	maxScore := max(freeSlotScore, q.score(alternative.Upstream)+affinityMaxExtraLoad)
+	choice := alternative
 	choice.Reason = ReasonSpill
-	s.Walk(q.Key, affinitySteps, func(u *upstream.Upstream) bool {
-		// A slow engine costs more with every token than a cached prompt saves.
-		if u.Slow() || !q.eligible(u) || q.score(u) > bound {
+	s.Walk(q.Key, affinityRingPoints, func(u *upstream.Upstream) bool {
+		// A slow engine loses more time on each token than the cached prompt saves.
+		if u.Slow() || !q.eligible(u) || q.score(u) > maxScore {
 			return true
 		}
 		choice.Upstream = u
--- a/internal/route/policy/random.go
+++ b/internal/route/policy/random.go
@@ -4,14 +4,14 @@
 
 func init() { registry.Add("random", Random{}) }
 
-// Random chooses any usable upstream. It is a baseline for measurements.
+// Random chooses an eligible upstream at random. It is a baseline for measurements.
 type Random struct{}
 
 // Choose implements Policy.
 func (Random) Choose(s *upstream.Set, q Query) Choice {
-	u := draw(s, &q, q.Random, nil)
+	u := drawEligible(s, &q, q.Random, nil)
 	if u == nil {
-		return lastHope(s, &q)
+		return chooseEjected(s, &q)
 	}
 	return Choice{
 		Upstream:   u,
--- a/internal/route/policy/two_choices.go
+++ b/internal/route/policy/two_choices.go
@@ -4,21 +4,21 @@
 
 func init() { registry.Add("two_choices", TwoChoices{}) }
 
-// TwoChoices draws two upstreams, or a few more where the query says so, and
-// takes the one with the least estimated load. A late report then misleads
-// only those who happened to draw that upstream.
+// TwoChoices draws two upstreams at random, or Query.Draws if that is more, and
+// chooses the one with the least estimated load (power of two choices). An outdated
+// report then misleads only the requests that happened to draw its upstream.
 type TwoChoices struct{}
 
 // Choose implements Policy.
 func (TwoChoices) Choose(s *upstream.Set, q Query) Choice {
-	a := draw(s, &q, q.Random, nil)
+	a := drawEligible(s, &q, q.Random, nil)
 	if a == nil {
-		return lastHope(s, &q)
+		return chooseEjected(s, &q)
 	}
 	random := q.Random
 	for range max(2, q.Draws) - 1 {
-		random = next(random ^ 1)
-		if b := draw(s, &q, random, a); b != nil && q.score(b) < q.score(a) {
+		random = splitMix64(random ^ 1)
+		if b := drawEligible(s, &q, random, a); b != nil && q.score(b) < q.score(a) {
 			a = b
 		}
 	}
--- a/internal/route/policy/warm.go
+++ b/internal/route/policy/warm.go
@@ -4,23 +4,23 @@
 
 func init() { registry.Add("warm", Warm{}) }
 
-// Warm sends a request to an upstream that this instance has an idle connection
-// to, as long as that one is not busy. Many small instances with a request a
-// second each would otherwise open a connection for nearly every request: with
-// 90 instances before 37 upstreams 2,500 of them in a minute, each of which
-// takes a round trip and may hold a slot.
+// Warm chooses an upstream to which this instance has an idle connection, as long as
+// that upstream is not busy, and falls back to TwoChoices. Many small instances with
+// a request a second each would otherwise open a connection for nearly every request:
+// 90 instances with 37 upstreams open 2,500 connections a minute, each of which takes
+// a round trip and may hold a slot.
 type Warm struct{}
 
-// warmBound is the load up to which an upstream with an idle connection is
-// preferred: with half of its slots free a request does not wait.
-const warmBound = 0.6
+// idleConnMaxLoad is the load up to which an upstream with an idle connection is
+// preferred: with half of its slots free, a request does not wait.
+const idleConnMaxLoad = 0.6
 
 // Choose implements Policy.
 func (Warm) Choose(s *upstream.Set, q Query) Choice {
 	n := uint64(len(s.Upstreams))
 	for i := range n {
 		u := s.Upstreams[(q.Random%n+i)%n]
-		if u.Warm(q.Now) && !u.Slow() && q.eligible(u) && q.score(u) <= warmBound {
+		if u.Warm(q.Now) && !u.Slow() && q.eligible(u) && q.score(u) <= idleConnMaxLoad {
 			return Choice{
 				Upstream:   u,
 				Candidates: len(s.Upstreams),
--- a/internal/route/policy/warm_test.go
+++ b/internal/route/policy/warm_test.go
@@ -10,10 +10,11 @@
 	"github.com/egretbend/egretbend/internal/route/upstream"
 )
 
-// A small instance has a request a second for 37 upstreams. Drawn at random,
-// nearly each one would need a new connection, which costs a round trip and may
-// hold a slot of the upstream; a busy upstream is still left alone.
-func TestIdleConnectionsAreUsedAgain(t *testing.T) {
+// Guards against an instance that opens a connection for nearly every request, which
+// costs a round trip and may hold a slot of the upstream. It sends one request a second
+// to 37 upstreams, of which a random choice would rarely hit one with an idle
+// connection. A busy upstream must still be avoided.
+func TestIdleConnectionsAreReused(t *testing.T) {
 	is := is.New(t)
 	s := &upstream.Set{}
 	for range 37 {
@@ -23,7 +24,7 @@
 	opened := 0
 	for i := range uint64(60) {
 		now = now.Add(time.Second)
-		u := Warm{}.Choose(s, Query{Random: next(i), Now: now}).Upstream
+		u := Warm{}.Choose(s, Query{Random: splitMix64(i), Now: now}).Upstream
 		if !u.Warm(now) {
 			opened++
 		}
@@ -39,7 +40,7 @@
 			warm = u
 		}
 	}
-	is.True(!warm.Warm(now.Add(6 * time.Second))) // the upstream closes it
+	is.True(!warm.Warm(now.Add(6 * time.Second))) // the upstream has closed the connection
 	for range 4 {
 		warm.Begin()
 	}
