--- a/internal/route/limit/class.go
+++ b/internal/route/limit/class.go
@@ -5,15 +5,15 @@
 // Class is the priority class of a request.
 type Class int
 
-// The classes, most urgent first.
+// The classes, from the highest priority to the lowest.
 const (
 	Interactive Class = iota
 	Training
 	Background
-	classCount
+	classCount // number of classes
 )
 
-// String returns the class' name.
+// String returns the name of the class, or "unknown".
 func (c Class) String() string {
 	switch c {
 	case Interactive:
@@ -26,21 +26,22 @@
 	return "unknown"
 }
 
-// ParseClass returns the class called name.
+// ParseClass returns the class with the given name.
 func ParseClass(name string) (Class, error) {
 	for c := range classCount {
 		if c.String() == name {
 			return c, nil
 		}
 	}
-	return Background, fmt.Errorf("no priority %q; use interactive, training or background", name)
+	return Background, fmt.Errorf("unknown priority %q; use interactive, training or background", name)
 }
 
-// EnginePriority is the number that engines are given; higher is more urgent.
+// EnginePriority returns the priority number that is sent to engines; a higher number
+// is a higher priority.
 func (c Class) EnginePriority() int { return int(classCount - c) }
 
-// room is the share of the limit that a class may fill.
-func (c Class) room() float64 {
+// limitShare returns the share of the concurrency limit up to which a class is admitted.
+func (c Class) limitShare() float64 {
 	switch c {
 	case Interactive:
 		return 1
@@ -50,8 +51,9 @@
 	return 0.6
 }
 
-// ceiling is the use of the whole deployment above which a class is refused.
-func (c Class) ceiling() float64 {
+// maxUsage returns the usage of the whole deployment, as a multiple of its slots, above
+// which a class is refused.
+func (c Class) maxUsage() float64 {
 	switch c {
 	case Interactive:
 		return 8
--- a/internal/route/limit/doc.go
+++ b/internal/route/limit/doc.go
@@ -1,14 +1,15 @@
-// Package limit decides which requests are let in, before any work is done.
+// Package limit is the admission control: it decides which requests are admitted,
+// before any work is done for them.
 //
-// A Limiter keeps one gate for each deployment. The gate's limit adapts: it
-// grows while requests are answered and shrinks when upstreams refuse or time
-// out, so that the instances of a fleet share the upstreams without talking to
-// each other. Lower priorities are let in only while there is room to spare,
-// and callers above their fair share go first when room is short.
+// A Limiter keeps an adaptive concurrency limit for each deployment. The limit grows
+// while requests are answered and shrinks when upstreams refuse or time out, so that
+// instances share the upstreams without coordination. Lower priorities are admitted
+// only while part of the limit is unused. When the limit is nearly used up, callers
+// above their fair share are refused first.
 //
-//	pass, err := limiter.Admit(ask)
+//	permit, err := limiter.Admit(limit.Ask{Deployment: "d", Caller: "c", Weight: 1, Capacity: 40})
 //	if err != nil {
-//		return err // problem.Overloaded, with when to come back
+//		return err // problem.Overloaded, with the time to retry after
 //	}
-//	defer pass.Close(limit.Good)
+//	defer permit.Close(limit.Good)
 package limit
--- a/internal/route/limit/limit_test.go
+++ b/internal/route/limit/limit_test.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// Requests come and go in all classes while upstreams refuse. Callers would
-// notice a limit that leaks until nothing is let in, one that lets in more
-// than the upstreams hold, or a refusal that doesn't say when to come back.
+// Guards against a limit that leaks until nothing is admitted, one that exceeds the
+// capacity of the upstreams, and a refusal without a retry delay. Requests of all
+// classes start and end at random while upstreams refuse.
 func TestLimitNeitherLeaksNorOverflows(t *testing.T) {
 	proof.Check(t, func(t *rapid.T) {
 		clock := &timer.Manual{}
@@ -44,7 +44,7 @@
 				}
 				e := problem.From(err)
 				if e.Kind.Outcome != problem.NotRun || e.RetryAfter <= 0 {
-					t.Fatalf("a refusal without outcome or time: %v", err)
+					t.Fatalf("a refusal without outcome or retry delay: %v", err)
 				}
 			},
 			"close": func(t *rapid.T) {
@@ -59,7 +59,7 @@
 			"": func(t *rapid.T) {
 				lim, inFlight := l.Limit("d")
 				if inFlight != int64(len(open)) {
-					t.Fatalf("%d requests are counted, %d are open", inFlight, len(open))
+					t.Fatalf("%d requests are counted as in flight, %d are open", inFlight, len(open))
 				}
 				if lim > 40 || (lim < 2 && lim != 0) {
 					t.Fatalf("the limit is %v", lim)
@@ -70,14 +70,14 @@
 			p.Close(limit.Neutral)
 		}
 		if _, err := l.Admit(ask("a", limit.Background)); err != nil {
-			t.Fatalf("an empty limit refuses: %v", err)
+			t.Fatalf("refused without any request in flight: %v", err)
 		}
 	})
 }
 
-// One caller sends far more than its share. The others would notice that they
-// are refused for its sake.
-func TestGreedyCallerLeavesRoom(t *testing.T) {
+// Guards against a caller that sends far more than its share and causes the requests of
+// others to be refused.
+func TestCallerAboveShareIsRefusedFirst(t *testing.T) {
 	is := is.New(t)
 	clock := &timer.Manual{}
 	clock.Advance(time.Hour)
@@ -96,18 +96,19 @@
 	}
 	is.True(refused > 0)
 	_, err = l.Admit(ask("modest", limit.Interactive))
-	is.NoErr(err) // there is room for the other one
+	is.NoErr(err) // the other caller's share is free
 }
 
-// Upstreams are full. Background work would notice first, panels last.
-func TestBackgroundGivesWayFirst(t *testing.T) {
+// Guards against refusals in the wrong order when upstreams are full: background
+// requests are refused first, interactive ones last.
+func TestBackgroundIsRefusedFirst(t *testing.T) {
 	is := is.New(t)
 	clock := &timer.Manual{}
 	clock.Advance(time.Hour)
 	l := &limit.Limiter{
 		Timer: clock,
 	}
-	busy := func(class limit.Class, used float64) error {
+	admitAt := func(class limit.Class, used float64) error {
 		a := ask("a", class)
 		a.Used = used
 		p, err := l.Admit(a)
@@ -116,13 +117,13 @@
 		}
 		return err
 	}
-	is.True(busy(limit.Background, 0.8) != nil)
-	is.NoErr(busy(limit.Training, 0.8))
-	is.True(busy(limit.Training, 1.5) != nil)
-	is.NoErr(busy(limit.Interactive, 1.5))
+	is.True(admitAt(limit.Background, 0.8) != nil)
+	is.NoErr(admitAt(limit.Training, 0.8))
+	is.True(admitAt(limit.Training, 1.5) != nil)
+	is.NoErr(admitAt(limit.Interactive, 1.5))
 }
 
-// BenchmarkAdmit measures one admission.
+// BenchmarkAdmit measures admitting and closing one request.
 func BenchmarkAdmit(b *testing.B) {
 	l := &limit.Limiter{
 		Timer: timer.Real{},
@@ -137,10 +138,10 @@
 	}
 }
 
-// Two trainers on different instances want the same engines, and each knows
-// the other's use only late. The one with the smaller weight would notice that
-// it gets nothing, the other one that its weight is of no use.
-func TestShareBoundsAndOpens(t *testing.T) {
+// Guards against two trainers on different instances that share the engines regardless
+// of their weights: each learns the other's usage only late, so the one with the smaller
+// weight could get nothing, and the weight of the other could have no effect.
+func TestClaimedShareBoundsAndAdmits(t *testing.T) {
 	is := is.New(t)
 	clock := &timer.Manual{}
 	clock.Advance(time.Hour)
@@ -150,7 +151,7 @@
 	a := ask("cutting", limit.Training)
 	a.Slots = 16
 	a.Share = 0.25
-	a.Used = 1.5 // above the ceiling of its class: others have filled the slots
+	a.Used = 1.5 // above the maximum usage of its class: others have filled the slots
 	n := 0
 	for range 20 {
 		if _, err := l.Admit(a); err == nil {
@@ -160,8 +161,8 @@
 	is.Equal(n, 5) // a quarter of 1.25 times 16 slots
 	a.Share = 1
 	_, err := l.Admit(a)
-	is.True(err != nil) // alone it has no claim above the ceiling
+	is.True(err != nil) // a caller that is alone has no claim above the maximum usage
 	a.Used = 0.5
 	_, err = l.Admit(a)
-	is.NoErr(err) // and no bound below it
+	is.NoErr(err) // and is not bounded below it
 }
--- a/internal/route/limit/limiter.go
+++ b/internal/route/limit/limiter.go
@@ -10,132 +10,137 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// Limiter decides which requests are let in. Its zero value needs a Timer.
+// Limiter decides which requests are admitted. Only Timer must be set.
 type Limiter struct {
 	Timer timer.Service
 
-	gates sync.Map // of string to *gate
+	deployments sync.Map // deployment name to *deploymentLimiter
 }
 
-// Ask is a request that wants to be let in.
+// Ask describes a request to be admitted.
 type Ask struct {
 	Deployment string
 	Caller     string
 	Class      Class
 	Weight     float64
-	// Capacity is the number of requests that the deployment's upstreams
-	// serve or hold at once, as far as this instance knows.
+	// Capacity is the number of requests that the deployment's upstreams can run
+	// or queue at once, as far as this instance knows.
 	Capacity float64
-	// Used is the share of the slots that is in use, as far as known.
+	// Used is the fraction of the slots that is in use, as far as this instance
+	// knows; it exceeds 1 when requests queue.
 	Used float64
-	// Slots is what Used is a share of.
+	// Slots is the number of the deployment's slots.
 	Slots float64
-	// Share is the share of the slots that the caller may claim while they are
-	// short, in the whole fleet; zero claims none in particular.
+	// Share is the share of the slots, in the whole fleet, that the caller may
+	// claim while slots are scarce; zero means no particular share.
 	Share float64
 }
 
-// Result says how an admitted request went.
+// Result is the outcome of an admitted request, as far as it concerns the limit.
 type Result int
 
-// The results.
+// The results of an admitted request.
 const (
-	// Good means that it was answered.
+	// Good means that it was answered; the limit may grow.
 	Good Result = iota
-	// Pushed means that upstreams refused it or were too slow.
+	// Pushed means that upstreams refused it or were too slow; the limit shrinks.
 	Pushed
-	// Neutral tells nothing about the load.
+	// Neutral means that the outcome tells nothing about the load; the limit stays.
 	Neutral
 )
 
-// Pass is an admitted request. It must be closed once.
+// Pass is the permit of an admitted request. It must be closed exactly once.
 type Pass struct {
-	limiter  *Limiter
-	gate     *gate
-	share    *share
-	capacity float64
+	limiter    *Limiter
+	deployment *deploymentLimiter
+	caller     *callerState
+	capacity   float64
 }
 
-// Admit lets a request in or refuses it at once with problem.Overloaded.
+// Admit admits a request or refuses it at once with problem.Overloaded.
 func (l *Limiter) Admit(a Ask) (*Pass, error) {
 	now := l.Timer.Now()
-	g := l.gate(a.Deployment)
-	g.begin(a.Capacity)
-	s := g.caller(a.Caller, a.Weight, now)
-	limit := g.load()
+	g := l.forDeployment(a.Deployment)
+	g.initLimit(a.Capacity)
+	s := g.trackCaller(a.Caller, a.Weight, now)
+	limit := g.currentLimit()
 	n := float64(g.inFlight.Add(1))
-	if reason := refuse(g, s, &a, limit, n); reason != "" {
+	if reason := refusalReason(g, s, &a, limit, n); reason != "" {
 		g.inFlight.Add(-1)
 		return nil, problem.Overloaded.Withf("deployment %q: %s", a.Deployment, reason).
-			WithRetryAfter(comeBack(n/limit, a.Used))
+			WithRetryAfter(retryDelay(n/limit, a.Used))
 	}
 	s.inFlight.Add(1)
 	return &Pass{
-		limiter:  l,
-		gate:     g,
-		share:    s,
-		capacity: a.Capacity,
+		limiter:    l,
+		deployment: g,
+		caller:     s,
+		capacity:   a.Capacity,
 	}, nil
 }
 
-// refuse returns why a request is not let in, or nothing.
-func refuse(g *gate, s *share, a *Ask, limit, n float64) string {
-	if n > math.Max(1, limit*a.Class.room()) {
-		return "its limit is reached for priority " + a.Class.String()
+// refusalReason returns why a request is refused, or "" if it is admitted. n is the
+// number of requests in flight, including this one.
+func refusalReason(g *deploymentLimiter, s *callerState, a *Ask, limit, n float64) string {
+	if n > math.Max(1, limit*a.Class.limitShare()) {
+		return "the concurrency limit is reached for priority " + a.Class.String()
 	}
-	if a.beyondShare(s) {
-		return "others claim their share and this caller has its own"
+	if a.reachedClaim(s) {
+		return "the caller's share of the slots is in use and other callers claim the rest"
 	}
-	if a.Used > a.ceiling() {
+	if a.Used > a.maxUsage() {
 		return "its upstreams are too busy for priority " + a.Class.String()
 	}
-	if n > limit*crowded && g.overShare(s, limit) {
-		return "the caller has its fair share in flight"
+	if n > limit*fairShareThreshold && g.reachedFairShare(s, limit) {
+		return "the caller's fair share of the limit is in use"
 	}
 	return ""
 }
 
-// claimCeiling is the ceiling for a caller with a claim to a share that it
-// does not use up, so that it gets in where others have filled all slots.
-const claimCeiling = 1.6
-
-// claims reports whether others want the same slots.
-func (a *Ask) claims() bool { return a.Share > 0 && a.Share < 1 }
-
-// beyondShare reports whether the caller has as much as its share. The share
-// is taken of what the class may use in all, so the claims of all fill it. How
-// much the others have now is not asked: it is known late, and each of two who
-// go by it takes what the other one seems to leave.
-func (a *Ask) beyondShare(s *share) bool {
-	return a.claims() && float64(s.inFlight.Load()) >= max(1, a.Share*a.Slots*a.Class.ceiling())
+// claimMaxUsage is the usage limit for a caller that has not used up the share it
+// claims, so that it is admitted although others have filled all slots.
+const claimMaxUsage = 1.6
+
+// contended reports whether the request claims a share of the slots and other callers
+// claim the rest.
+func (a *Ask) contended() bool { return a.Share > 0 && a.Share < 1 }
+
+// reachedClaim reports whether the caller's requests in flight have reached the share
+// it claims. The share is taken of the usage that the class is allowed in total, so
+// that all claims together fill it. The current usage of others is not considered: it
+// is known late, and two callers that relied on it would each take what the other one
+// seems to leave free.
+func (a *Ask) reachedClaim(s *callerState) bool {
+	return a.contended() && float64(s.inFlight.Load()) >= max(1, a.Share*a.Slots*a.Class.maxUsage())
 }
 
-// ceiling is the use of the deployment above which the request is refused.
-func (a *Ask) ceiling() float64 {
-	if a.claims() {
-		return claimCeiling
+// maxUsage returns the usage of the deployment above which the request is refused.
+func (a *Ask) maxUsage() float64 {
+	if a.contended() {
+		return claimMaxUsage
 	}
-	return a.Class.ceiling()
+	return a.Class.maxUsage()
 }
 
-// Close ends the request.
+// Close releases the permit and adapts the limit to the result.
 func (p *Pass) Close(r Result) {
-	p.share.inFlight.Add(-1)
-	p.gate.inFlight.Add(-1)
+	p.caller.inFlight.Add(-1)
+	p.deployment.inFlight.Add(-1)
 	switch r {
 	case Good:
-		p.gate.grew(p.capacity)
+		p.deployment.increase(p.capacity)
 	case Pushed:
-		p.gate.shrank(p.limiter.Timer.Now())
+		p.deployment.decrease(p.limiter.Timer.Now())
 	}
 }
 
-// Load returns the use of the fullest gate, from 0 to 1.
+// Load returns the used fraction of the limit of the most loaded deployment, from 0
+// to 1.
 func (l *Limiter) Load() float64 {
 	most := 0.0
-	l.gates.Range(func(_, v any) bool {
-		g := v.(*gate)
-		if limit := g.load(); limit > 0 {
+	l.deployments.Range(func(_, v any) bool {
+		g := v.(*deploymentLimiter)
+		if limit := g.currentLimit(); limit > 0 {
 			most = max(most, float64(g.inFlight.Load())/limit)
 		}
 		return true
@@ -143,30 +148,32 @@
 	return min(1, most)
 }
 
-// Limit returns the limit and the requests in flight of a deployment.
+// Limit returns the limit of a deployment and its requests in flight.
 func (l *Limiter) Limit(deployment string) (limit float64, inFlight int64) {
-	g := l.gate(deployment)
-	return g.load(), g.inFlight.Load()
+	g := l.forDeployment(deployment)
+	return g.currentLimit(), g.inFlight.Load()
 }
 
-func (l *Limiter) gate(deployment string) *gate {
-	if v, ok := l.gates.Load(deployment); ok {
-		return v.(*gate)
+// forDeployment returns the limiter of a deployment, which it creates if needed.
+func (l *Limiter) forDeployment(deployment string) *deploymentLimiter {
+	if v, ok := l.deployments.Load(deployment); ok {
+		return v.(*deploymentLimiter)
 	}
-	v, _ := l.gates.LoadOrStore(deployment, &gate{})
-	return v.(*gate)
+	v, _ := l.deployments.LoadOrStore(deployment, &deploymentLimiter{})
+	return v.(*deploymentLimiter)
 }
 
-// Bounds of the time that a refused caller is told to wait.
+// Bounds of the delay after which a refused caller is told to retry.
 const (
-	comeBackLeast = 200 * time.Millisecond
-	comeBackMost  = 10 * time.Second
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 10 * time.Second
 )
 
-// comeBack is when a refused caller should ask again: later the fuller it is,
-// and spread, so that the refused don't all come back at one moment.
-func comeBack(fill, used float64) time.Duration {
-	base := float64(comeBackLeast) * (1 + max(0, fill-1) + max(0, used))
+// retryDelay returns after what delay a refused caller should retry. It grows with
+// fill, the requests in flight relative to the limit, and with used, the used fraction
+// of the slots. It is randomized, so that refused callers don't all retry at once.
+func retryDelay(fill, used float64) time.Duration {
+	base := float64(minRetryDelay) * (1 + max(0, fill-1) + max(0, used))
 	d := time.Duration(base * (0.5 + rand.Float64()))
-	return min(max(d, comeBackLeast), comeBackMost)
+	return min(max(d, minRetryDelay), maxRetryDelay)
 }
