--- a/internal/route/forward/forward_test.go
+++ b/internal/route/forward/forward_test.go
@@ -154,8 +154,8 @@
 }
 
 // Guards against a request that waits for its timeout at an upstream that stopped
-// responding: a second attempt at another upstream must answer it within the route's
-// objective.
+// responding: a second attempt at another upstream must answer it well before the
+// timeout, so that the route's objective can still be met.
 func TestUnresponsiveUpstreamIsHedged(t *testing.T) {
 	is := is.New(t)
 	s := &sender{
--- a/internal/route/forward/suspect_test.go
+++ b/internal/route/forward/suspect_test.go
@@ -92,8 +92,8 @@
 	is.Equal(s.counted().sent, 0)
 }
 
-// Guards against a suspected request that crashes as many upstreams as its route allows
-// attempts, and against hedging one that may go to a single upstream only.
+// Guards against a request that crashes as many upstreams as its route allows attempts,
+// and against hedging one that is suspected and may go to a single upstream only.
 func TestSuspectedRequestIsNotRepeated(t *testing.T) {
 	is := is.New(t)
 	for before, runs := range map[int]int{0: 3, 1: 2, 2: 1, 3: 1} {
--- a/internal/route/limit/limiter.go
+++ b/internal/route/limit/limiter.go
@@ -31,8 +31,8 @@
 	Used float64
 	// Slots is the number of the deployment's slots.
 	Slots float64
-	// Share is the share of the slots, in the whole fleet, that the caller may
-	// claim while slots are scarce; zero means no particular share.
+	// Share is the share of the slots that the caller may claim across all
+	// instances while slots are scarce; zero means no particular share.
 	Share float64
 }
 
--- a/internal/route/router/router.go
+++ b/internal/route/router/router.go
@@ -258,6 +258,8 @@
 	return choice.Upstream, nil
 }
 
+// query returns the policy query for the next attempt. It requires a weight version that
+// is still within the staleness bound after lead more versions.
 func (t *Trip) query(lead uint64) policy.Query {
 	q := policy.Query{
 		Random: rand.Uint64(),
@@ -308,8 +310,9 @@
 // trainingChoices is how many upstreams are compared for a trainer's sample.
 const trainingChoices = 5
 
-// MayRetry reports whether another attempt is allowed by the deployment's limit, the
-// verdict on the request and the retry budget, and if so takes it from the budget.
+// MayRetry reports whether another attempt is allowed by the deployment's maximum number
+// of attempts, the verdict on the request and the retry budget. If so, it takes the
+// retry from the budget.
 func (t *Trip) MayRetry() bool {
 	if t.attempts >= t.Set.Deployment.Attempts || t.cutAttempts > 0 && !t.verdict.MayRepeat(t.cutAttempts, 0) {
 		return false
--- a/internal/route/wire/client_test.go
+++ b/internal/route/wire/client_test.go
@@ -130,7 +130,7 @@
 			}
 			u.next.Store(&b)
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-			req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/", bytes.NewReader([]byte("one hide cut")))
+			req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/", bytes.NewReader([]byte("request body")))
 			res, sent, err := send(req)
 			if err == nil {
 				_, err = io.ReadAll(res.Body)
@@ -262,7 +262,7 @@
 	c := &wire.Client{
 		TLS: server.Client().Transport.(*http.Transport).TLSClientConfig,
 	}
-	req, _ := http.NewRequest(http.MethodPost, server.URL, bytes.NewReader([]byte("one hide cut")))
+	req, _ := http.NewRequest(http.MethodPost, server.URL, bytes.NewReader([]byte("request body")))
 	_, sent, err := c.Do(req, wire.Fresh)
 	is.True(err != nil)
 	is.True(sent)
