--- a/internal/route/suspect/doc.go
+++ b/internal/route/suspect/doc.go
@@ -1,20 +1,23 @@
-// Package suspect decides which request crashes the upstreams that run it.
+// Package suspect detects poison requests, which crash the upstreams that run them, and
+// quarantines them.
 //
 //	var e suspect.Evidence
 //	e.Add(suspect.Crash{
 //		Incarnation:  "desk-4/1774870592702",
-//		Print: print,
-//		At:    now,
+//		Print:       print,
+//		At:          now,
+//		Row:         1,
 //	})
 //	if v := e.Judge(print, now); v.Refused() {
 //		return problem.Quarantined.Withf("%s", v).WithRetryAfter(v.RetryAfter)
 //	}
 //
-// An upstream that ends takes all its requests along, so that a request is not guilty
-// for having been there. The blame for each end is divided among the requests that were
-// at it, by how much each is to blame for other ends; what runs to its end anywhere is
-// cleared. Until its guilt is known a request is served, but no longer sent to several
-// upstreams one after the other.
+// A crash fails every request that the upstream was running, so being in flight during a
+// crash does not by itself make a request a poison request. Evidence distributes the blame
+// for each crash among the requests in flight, in proportion to their blame for all crashes,
+// and clears a request that completes on any upstream. After several crashes a request is
+// still served, but no longer retried or hedged on further upstreams, until it is cleared or
+// quarantined. Evidence.Judge returns the Verdict on a request.
 //
-// Evidence does no I/O. Its owner guards it.
+// Evidence does no I/O and is not safe for concurrent use.
 package suspect
--- a/internal/route/suspect/evidence.go
+++ b/internal/route/suspect/evidence.go
@@ -9,124 +9,135 @@
 	"github.com/egretbend/egretbend/internal/route/fingerprint"
 )
 
-// The bounds of Evidence.
+// Limits of Evidence.
 const (
-	// MaxCrashes bounds the ends of upstreams that are remembered.
+	// MaxCrashes is the maximum number of upstream crashes kept.
 	MaxCrashes = 256
-	// maxPrints bounds the requests of one end.
-	maxPrints = 16
-	// maxCleared bounds the requests that were cleared lately.
+	// maxRequestsPerCrash is the maximum number of requests kept for one upstream crash.
+	maxRequestsPerCrash = 16
+	// maxCleared is the maximum number of cleared requests kept.
 	maxCleared = 256
-	// keepsCleared is for how long a cleared request is known as such, longer than
-	// word of a crash before it may be on its way.
-	keepsCleared = 30 * time.Second
+	// clearedTTL is how long a cleared request is kept. It exceeds the time that a report of
+	// an earlier crash may take to arrive.
+	clearedTTL = 30 * time.Second
 )
 
-// Crash is one request that was at an upstream when that ended.
+// Crash is the observation that one request was in flight at an upstream when the upstream
+// crashed.
 type Crash struct {
 	Incarnation crash.Incarnation
 	Print       fingerprint.Print
 	At          timer.Instant
-	// Row is how many upstreams, with this one, ended under it one after the other, as far as
-	// was known when it was sent there. Upstreams that are lost together under what many ask
-	// for at that moment may have had one cause.
+	// Row is the number of consecutive upstream crashes during this request, including this
+	// one, as known when the request was sent. Upstreams that are lost at the same time while
+	// running a popular request may share one cause, so they don't add to each other's Row.
 	Row int
 }
 
-// Evidence is what is known of crashes. Its zero value is empty.
+// Evidence holds the known upstream crashes and the requests suspected of causing them. Its
+// zero value is empty.
 type Evidence struct {
-	// ends are in order of their times.
-	ends    []*end
+	// crashes is sorted by time.
+	crashes []*upstreamCrash
+	// cleared maps a request to the time of its last completion.
 	cleared map[fingerprint.Print]timer.Instant
-	blame   map[fingerprint.Print]blame
-	stale   bool
+	// blame is derived from crashes; stale marks it as out of date.
+	blame map[fingerprint.Print]blame
+	stale bool
 }
 
-// end is the end of one upstream.
-type end struct {
+// upstreamCrash is the crash of one upstream incarnation with the requests in flight there.
+type upstreamCrash struct {
 	incarnation crash.Incarnation
-	at          timer.Instant
-	seen        []Crash
+	// at is the time given by the first observation.
+	at       timer.Instant
+	requests []Crash
 }
 
-// find returns the place of a request among those that were there, or -1.
-func (x *end) find(p fingerprint.Print) int {
-	return slices.IndexFunc(x.seen, func(c Crash) bool { return c.Print == p })
+// indexOf returns the index of a request in x.requests, or -1.
+func (x *upstreamCrash) indexOf(p fingerprint.Print) int {
+	return slices.IndexFunc(x.requests, func(c Crash) bool { return c.Print == p })
 }
 
-// blame is how far one request is to blame.
+// blame is the crash record of one request.
 type blame struct {
-	// ends is how many upstreams ended under it, row how many of them one after the other.
-	ends, row int
+	// total is the number of upstreams that crashed while running the request; consecutive is
+	// the number of those that crashed one after the other.
+	total, consecutive int
+	// share is the blame attributed to the request, summed over all crashes; each crash
+	// contributes 1 in all.
 	share     float64
-	last      timer.Instant
+	lastCrash timer.Instant
 }
 
-// crashes is how many ends count against the request.
-func (b blame) crashes() int { return min(b.ends, b.row) }
+// countedCrashes returns the number of crashes that count against the request.
+func (b blame) countedCrashes() int { return min(b.total, b.consecutive) }
 
-// Empty reports whether nothing is known.
-func (e *Evidence) Empty() bool { return len(e.ends) == 0 }
+// Empty reports whether no crash is known.
+func (e *Evidence) Empty() bool { return len(e.crashes) == 0 }
 
-// Len returns how many ends of upstreams are known.
-func (e *Evidence) Len() int { return len(e.ends) }
+// Len returns the number of known upstream crashes.
+func (e *Evidence) Len() int { return len(e.crashes) }
 
-// Ends returns how many upstreams ended under a request.
+// Ends returns the number of upstreams that crashed while running a request.
 func (e *Evidence) Ends(p fingerprint.Print) int {
-	e.assess()
-	return e.blame[p].ends
+	e.updateBlame()
+	return e.blame[p].total
 }
 
-// Add takes a crash and reports whether it was news.
+// Add records a crash and reports whether it was added. A crash is not added if it is known
+// already, if the request was cleared at or after it, or if the upstream crash has
+// maxRequestsPerCrash requests.
 func (e *Evidence) Add(c Crash) bool {
 	if at, ok := e.cleared[c.Print]; ok && c.At <= at {
 		return false
 	}
-	at := slices.IndexFunc(e.ends, func(x *end) bool { return x.incarnation == c.Incarnation })
+	at := slices.IndexFunc(e.crashes, func(x *upstreamCrash) bool { return x.incarnation == c.Incarnation })
 	if at < 0 {
-		e.insert(&end{
+		e.insert(&upstreamCrash{
 			incarnation: c.Incarnation,
 			at:          c.At,
-			seen:        []Crash{c},
+			requests:    []Crash{c},
 		})
 		return true
 	}
-	x := e.ends[at]
-	if i := x.find(c.Print); i >= 0 {
-		e.stale = e.stale || c.Row > x.seen[i].Row
-		x.seen[i].Row = max(x.seen[i].Row, c.Row)
+	x := e.crashes[at]
+	if i := x.indexOf(c.Print); i >= 0 {
+		e.stale = e.stale || c.Row > x.requests[i].Row
+		x.requests[i].Row = max(x.requests[i].Row, c.Row)
 		return false
 	}
-	if len(x.seen) >= maxPrints {
+	if len(x.requests) >= maxRequestsPerCrash {
 		return false
 	}
-	x.seen = append(x.seen, c)
+	x.requests = append(x.requests, c)
 	e.stale = true
 	return true
 }
 
-// insert adds an end in its place.
-func (e *Evidence) insert(x *end) {
+// insert adds x at its position by time, and evicts another crash if there are more than
+// MaxCrashes.
+func (e *Evidence) insert(x *upstreamCrash) {
 	e.stale = true
-	at, _ := slices.BinarySearchFunc(e.ends, x.at, func(a *end, t timer.Instant) int { return int(a.at - t) })
-	e.ends = slices.Insert(e.ends, at, x)
-	if len(e.ends) > MaxCrashes {
+	at, _ := slices.BinarySearchFunc(e.crashes, x.at, func(a *upstreamCrash, t timer.Instant) int { return int(a.at - t) })
+	e.crashes = slices.Insert(e.crashes, at, x)
+	if len(e.crashes) > MaxCrashes {
 		e.evict()
 	}
 }
 
-// evict drops the oldest end that convicts nobody.
+// evict removes the oldest crash without a poison request, or the oldest one if all have one.
 func (e *Evidence) evict() {
-	e.assess()
-	at := slices.IndexFunc(e.ends, func(x *end) bool {
-		return !slices.ContainsFunc(x.seen, func(c Crash) bool { return e.blame[c.Print].guilty() })
+	e.updateBlame()
+	at := slices.IndexFunc(e.crashes, func(x *upstreamCrash) bool {
+		return !slices.ContainsFunc(x.requests, func(c Crash) bool { return e.blame[c.Print].isPoison() })
 	})
-	e.ends = slices.Delete(e.ends, max(0, at), max(0, at)+1)
+	e.crashes = slices.Delete(e.crashes, max(0, at), max(0, at)+1)
 	e.stale = true
 }
 
-// Clear takes it that a request ran to its end at an instant, and reports whether
-// anything had spoken against it.
+// Clear records that a request completed at the given time, removes it from earlier crashes,
+// and reports whether it was in any.
 func (e *Evidence) Clear(p fingerprint.Print, at timer.Instant) bool {
 	if e.cleared == nil {
 		e.cleared = make(map[fingerprint.Print]timer.Instant)
@@ -135,99 +146,102 @@
 		clear(e.cleared)
 	}
 	e.cleared[p] = max(at, e.cleared[p])
-	return e.drop(p, func(x *end) bool { return x.at <= at })
+	return e.remove(p, func(x *upstreamCrash) bool { return x.at <= at })
 }
 
-// drop takes a request out of the ends that match, and reports whether it was in any.
-func (e *Evidence) drop(p fingerprint.Print, matches func(x *end) bool) bool {
-	dropped := false
-	for _, x := range e.ends {
-		if at := x.find(p); at >= 0 && matches(x) {
-			x.seen = slices.Delete(x.seen, at, at+1)
-			dropped = true
+// remove deletes a request from the matching crashes, and reports whether it was in any.
+func (e *Evidence) remove(p fingerprint.Print, matches func(x *upstreamCrash) bool) bool {
+	removed := false
+	for _, x := range e.crashes {
+		if at := x.indexOf(p); at >= 0 && matches(x) {
+			x.requests = slices.Delete(x.requests, at, at+1)
+			removed = true
 		}
 	}
-	if dropped {
-		e.ends = slices.DeleteFunc(e.ends, func(x *end) bool { return len(x.seen) == 0 })
+	if removed {
+		e.crashes = slices.DeleteFunc(e.crashes, func(x *upstreamCrash) bool { return len(x.requests) == 0 })
 		e.stale = true
 	}
-	return dropped
+	return removed
 }
 
-// Expire forgets what is over, and reports whether that was anything.
+// Expire deletes expired cleared requests and expired crashes, and reports whether any crash
+// record was deleted.
 func (e *Evidence) Expire(now timer.Instant) bool {
 	for p, at := range e.cleared {
-		if now.Sub(at) >= keepsCleared {
+		if now.Sub(at) >= clearedTTL {
 			delete(e.cleared, p)
 		}
 	}
-	e.assess()
-	dropped := false
+	e.updateBlame()
+	removed := false
 	for p, b := range e.blame {
-		if now >= b.forgotten() {
-			dropped = e.drop(p, func(*end) bool { return true }) || dropped
+		if now >= b.expiry() {
+			removed = e.remove(p, func(*upstreamCrash) bool { return true }) || removed
 		}
 	}
-	return dropped
+	return removed
 }
 
-// rounds is how often the blame is divided anew. Who stood beside the guilty loses a
-// good part of it each time.
-const rounds = 12
+// blameIterations is the number of times that updateBlame redistributes the blame. Each
+// iteration moves a good part of a bystander's blame to the poison requests beside it.
+const blameIterations = 12
 
-// assess divides the blame for each end among its requests: equally at first, then by
-// what each is to blame for in all.
-func (e *Evidence) assess() {
+// updateBlame recomputes the blame if crashes changed. It weights each request by its number
+// of crashes at first, then repeatedly distributes the blame for each crash among the
+// requests in flight, in proportion to their blame for all crashes.
+func (e *Evidence) updateBlame() {
 	if !e.stale {
 		return
 	}
 	e.stale = false
-	var d division
+	var d blameSolver
 	e.blame = make(map[fingerprint.Print]blame)
-	place := make(map[fingerprint.Print]int)
-	for _, x := range e.ends {
-		at := make([]int, len(x.seen))
-		for i, c := range x.seen {
+	index := make(map[fingerprint.Print]int)
+	for _, x := range e.crashes {
+		members := make([]int, len(x.requests))
+		for i, c := range x.requests {
 			p := c.Print
-			if _, ok := place[p]; !ok {
-				place[p] = len(d.shares)
+			if _, ok := index[p]; !ok {
+				index[p] = len(d.shares)
 				d.shares = append(d.shares, 0)
 			}
-			at[i] = place[p]
-			d.shares[place[p]]++
+			members[i] = index[p]
+			d.shares[index[p]]++
 			b := e.blame[p]
-			b.ends++
-			b.row = max(b.row, c.Row)
-			b.last = max(b.last, c.At)
+			b.total++
+			b.consecutive = max(b.consecutive, c.Row)
+			b.lastCrash = max(b.lastCrash, c.At)
 			e.blame[p] = b
 		}
-		d.ends = append(d.ends, at)
+		d.crashes = append(d.crashes, members)
 	}
-	for range rounds {
-		d.divide()
+	for range blameIterations {
+		d.redistribute()
 	}
 	for p, b := range e.blame {
-		b.share = d.shares[place[p]]
+		b.share = d.shares[index[p]]
 		e.blame[p] = b
 	}
 }
 
-// division is the blame of requests, which have numbers here.
-type division struct {
+// blameSolver holds the state of the iteration. Requests are identified by their index in
+// shares.
+type blameSolver struct {
 	shares []float64
-	// ends are the requests that were at each.
-	ends [][]int
+	// crashes holds the indexes of the requests in flight at each crash.
+	crashes [][]int
 }
 
-// divide divides the blame anew by the shares so far.
-func (d *division) divide() {
+// redistribute distributes the blame for each crash in proportion to the current shares.
+func (d *blameSolver) redistribute() {
 	next := make([]float64, len(d.shares))
-	for _, at := range d.ends {
+	for _, members := range d.crashes {
 		sum := 0.0
-		for _, i := range at {
+		for _, i := range members {
 			sum += d.shares[i]
 		}
-		for _, i := range at {
+		for _, i := range members {
 			next[i] += d.shares[i] / sum
 		}
 	}
--- a/internal/route/suspect/verdict.go
+++ b/internal/route/suspect/verdict.go
@@ -11,94 +11,97 @@
 	"github.com/egretbend/egretbend/internal/route/fingerprint"
 )
 
-// When a request is suspected, and when refused.
+// Thresholds for limiting and refusing a request.
 const (
-	// trialFrom is from how many crashes on a request goes to one upstream only. Three
-	// upstreams may end under a request without its doing.
-	trialFrom = 3
-	// guiltyFrom and guiltyShare are how many crashes convict a request, and the part of
-	// the blame that it must bear for them.
-	guiltyFrom  = 4
-	guiltyShare = 2
-	// quarantineFirst is how long a convicted request is refused after its last crash,
-	// before one instance tries it again: a service that is lost as a whole takes down
-	// what all ask for. Each further crash makes that quarantineTimes as long, up to
-	// quarantineMost.
-	quarantineFirst = 60 * time.Second
-	quarantineTimes = 8
-	quarantineMost  = time.Hour
-	// remembers is for how long crashes are remembered at least, and how many quarantines.
-	remembers      = 10 * time.Minute
-	remembersTimes = 2
+	// singleAttemptFrom is the number of crashes from which a request is sent to one upstream
+	// only. Three upstreams may crash during a request without being crashed by it.
+	singleAttemptFrom = 3
+	// poisonMinCrashes and poisonMinBlame are the number of crashes and the blame for them
+	// from which a request is a poison request.
+	poisonMinCrashes = 4
+	poisonMinBlame   = 2
+	// initialQuarantine is how long a poison request is refused after its last crash, before
+	// one instance tries it again. The quarantine is temporary because an outage of a whole
+	// service puts crashes on popular requests too. Each further crash multiplies it by
+	// quarantineFactor, up to maxQuarantine.
+	initialQuarantine = 60 * time.Second
+	quarantineFactor  = 8
+	maxQuarantine     = time.Hour
+	// A request's crashes are kept for minRetention or retentionQuarantines quarantines after
+	// the last one, whichever is longer.
+	minRetention         = 10 * time.Minute
+	retentionQuarantines = 2
 )
 
-// Verdict is what is decided about a request, and why. Its zero value suspects nothing.
+// Verdict is the decision on a request with its reasons. The zero value means that the
+// request is not suspected.
 type Verdict struct {
 	Print fingerprint.Print
-	// Crashes is how many upstreams ended under it, one after the other.
+	// Crashes is the number of upstreams that crashed one after the other while running the
+	// request.
 	Crashes int
-	// Ends is how many ended under it in all.
+	// Ends is the total number of upstreams that crashed while running the request.
 	Ends int
-	// Blame is the part that it bears in them.
+	// Blame is the blame attributed to the request, where each crash contributes 1 in all.
 	Blame float64
-	// Age is the time since the last one.
+	// Age is the time since the last crash.
 	Age time.Duration
-	// RetryAfter is how long it is refused; zero if it is not.
+	// RetryAfter is the remaining quarantine; zero if the request is not refused.
 	RetryAfter time.Duration
-	// Trial says that it was refused long enough for one instance to try it.
+	// Trial reports that the quarantine is over and one instance may try the request again.
 	Trial bool
 }
 
-// Judge decides about a request.
+// Judge returns the verdict on a request.
 func (e *Evidence) Judge(p fingerprint.Print, now timer.Instant) Verdict {
-	e.assess()
+	e.updateBlame()
 	b, ok := e.blame[p]
-	if !ok || now >= b.forgotten() {
+	if !ok || now >= b.expiry() {
 		return Verdict{}
 	}
 	v := Verdict{
 		Print:   p,
-		Crashes: b.crashes(),
-		Ends:    b.ends,
+		Crashes: b.countedCrashes(),
+		Ends:    b.total,
 		Blame:   b.share,
-		Age:     now.Sub(b.last),
+		Age:     now.Sub(b.lastCrash),
 	}
-	if b.guilty() {
-		v.RetryAfter = max(0, b.last.Add(b.quarantine()).Sub(now))
+	if b.isPoison() {
+		v.RetryAfter = max(0, b.lastCrash.Add(b.quarantine()).Sub(now))
 		v.Trial = v.RetryAfter == 0
 	}
 	return v
 }
 
-// Guilty returns how many requests are convicted.
+// Guilty returns the number of poison requests.
 func (e *Evidence) Guilty() int {
-	e.assess()
+	e.updateBlame()
 	n := 0
 	for _, b := range e.blame {
-		if b.guilty() {
+		if b.isPoison() {
 			n++
 		}
 	}
 	return n
 }
 
-// Refused reports whether no upstream may run the request now.
+// Refused reports whether the request is in quarantine.
 func (v Verdict) Refused() bool { return v.RetryAfter > 0 }
 
-// Suspects reports whether anything speaks against the request.
+// Suspects reports whether any crash counts against the request.
 func (v Verdict) Suspects() bool { return v.Crashes > 0 }
 
-// MayRepeat reports whether the request may go to one more upstream after some cut it,
-// beside some that are still at work on it.
-func (v Verdict) MayRepeat(cut, atWork int) bool { return v.Crashes+cut+atWork < trialFrom }
+// MayRepeat reports whether the request may be sent to one more upstream, given the number
+// of its connections that were cut and the number of its attempts still in flight.
+func (v Verdict) MayRepeat(cut, inFlight int) bool { return v.Crashes+cut+inFlight < singleAttemptFrom }
 
-// String says why, for a caller and for the log.
+// String returns the reason for the verdict, for callers and the log.
 func (v Verdict) String() string {
-	return fmt.Sprintf("%d upstreams ended while they ran this request, the last one %s ago",
+	return fmt.Sprintf("%d upstreams crashed while running this request, the last one %s ago",
 		v.Crashes, v.Age.Round(time.Millisecond))
 }
 
-// Fields returns what the log says of the request.
+// Fields returns the log fields of the verdict.
 func (v Verdict) Fields() log.Fields {
 	return log.Fields{
 		"fingerprint":    v.Print.String(),
@@ -110,18 +113,21 @@
 	}
 }
 
-func (b blame) guilty() bool { return b.crashes() >= guiltyFrom && b.share >= guiltyShare }
+// isPoison reports whether the request has enough crashes and blame to be quarantined.
+func (b blame) isPoison() bool {
+	return b.countedCrashes() >= poisonMinCrashes && b.share >= poisonMinBlame
+}
 
-// quarantine returns how long after its last crash the request is refused.
+// quarantine returns how long a poison request is refused after its last crash.
 func (b blame) quarantine() time.Duration {
-	d := quarantineFirst
-	for range b.crashes() - guiltyFrom {
-		d = min(d*quarantineTimes, quarantineMost)
+	d := initialQuarantine
+	for range b.countedCrashes() - poisonMinCrashes {
+		d = min(d*quarantineFactor, maxQuarantine)
 	}
 	return d
 }
 
-// forgotten returns when the crashes are forgotten.
-func (b blame) forgotten() timer.Instant {
-	return b.last.Add(max(remembers, remembersTimes*b.quarantine()))
+// expiry returns the time at which the request's crashes expire.
+func (b blame) expiry() timer.Instant {
+	return b.lastCrash.Add(max(minRetention, retentionQuarantines*b.quarantine()))
 }
