--- a/internal/route/crash/doc.go
+++ b/internal/route/crash/doc.go
@@ -1,17 +1,18 @@
-// Package crash finds out whether an upstream ended while it ran a request.
+// Package crash detects whether an upstream crashed while it was running a request.
 //
 //	reporter := &crash.Reporter{
 //		Secret: secret,
 //		Timer:  clock,
 //	}
 //	reporter.Cut(crash.Cut{
-//		RequestID: "9c41d07be2a35f68",
-//		Incarnation:      crash.IncarnationOf(u),
-//		Address:   u.Address,
-//		Sum:       sum,
+//		RequestID:   "9c41d07be2a35f68",
+//		Incarnation: crash.IncarnationOf(u.ID, u.Incarnation),
+//		Address:     u.Address,
+//		Sum:         sum,
 //	})
 //
-// A connection that is cut before an answer says little: its path may be cut, or the
-// upstream may close what was idle. Only an upstream whose port is closed has ended. It
-// is asked once, whatever the number of requests that were cut there.
+// A connection that is cut before an answer is no proof of a crash: the network path may be
+// down, or the upstream may have closed an idle connection. A Reporter therefore dials the
+// upstream, and takes it for crashed only if the port refuses the connection. It dials once
+// for all requests that were cut at an upstream.
 package crash
--- a/internal/route/crash/reporter.go
+++ b/internal/route/crash/reporter.go
@@ -16,28 +16,27 @@
 	"github.com/egretbend/egretbend/internal/route/fingerprint"
 )
 
-// The limits of a Reporter.
+// Limits of a Reporter.
 const (
-	// dialTimeout bounds the question whether a port is closed. A closed one answers
-	// within a round trip.
+	// dialTimeout bounds a probe. A closed port refuses the connection within a round trip.
 	dialTimeout = 300 * time.Millisecond
 	// secretTimeout bounds the call for the secret.
 	secretTimeout = time.Second
-	// keepsEnds is for how long an upstream's end is remembered, longer than any
-	// request that it cut takes to be noticed.
-	keepsEnds = 10 * time.Second
-	// askAgain is how soon an upstream whose port was open is asked again.
-	askAgain = time.Second
-	// maxUpstreams bounds the upstreams that are remembered or asked at a time.
-	maxUpstreams = 256
-	// maxWaiting bounds the requests that wait for the answer of one upstream.
-	maxWaiting = 32
+	// crashTTL is how long the result of a probe that found a crash is kept. It exceeds the
+	// time until all requests that the crash cut are noticed.
+	crashTTL = 10 * time.Second
+	// openTTL is how long the result of a probe that found no crash is kept.
+	openTTL = time.Second
+	// maxProbes bounds the probes that are running or whose result is kept.
+	maxProbes = 256
+	// maxWaitingCuts bounds the cut requests that wait for the result of one probe.
+	maxWaitingCuts = 32
 )
 
-// Incarnation names one life of an upstream: one that starts again is another.
+// Incarnation identifies an upstream between a start and its next restart.
 type Incarnation string
 
-// IncarnationOf returns the name of an incarnation.
+// IncarnationOf returns the Incarnation of the upstream id with the given incarnation number.
 func IncarnationOf(id string, number uint64) Incarnation {
 	return Incarnation(fmt.Sprintf("%s/%d", id, number))
 }
@@ -48,115 +47,117 @@
 	Incarnation Incarnation
 	Address     string
 	Sum         fingerprint.Sum
-	// At is when it was cut off.
+	// At is when the connection was cut.
 	At timer.Instant
-	// Row is the number of this end if the upstream has ended: one more than were known to
-	// have ended under the request when it was sent there.
+	// Row is the number of consecutive upstream crashes during this request if this upstream
+	// crashed: one more than were known when the request was sent to it.
 	Row int
 }
 
-// Secret is what prints are made with.
+// Secret provides the key for fingerprints of requests.
 type Secret interface {
 	Get(ctx context.Context) ([]byte, error)
 }
 
-// Reporter finds out which upstreams have ended.
+// Reporter probes the upstreams at which requests were cut, and reports those that crashed.
 type Reporter struct {
 	Secret  Secret
 	Timer   timer.Service
 	Journal *journal.Journal
 	Metrics *Metrics
-	// Ended is called for each request that an upstream ended under, and returns what
-	// else the log says of it; nil is not called.
+	// Ended, if not nil, is called for each request that was cut by a crash. It returns
+	// additional fields for the log line.
 	Ended func(c Cut, print fingerprint.Print) log.Fields
-	// Dial asks an address for a connection and closes it; nil does so over TCP.
+	// Dial opens a connection to an address and closes it; nil does so over TCP.
 	Dial func(ctx context.Context, address string) error
 
-	mu        sync.Mutex
-	upstreams map[Incarnation]*upstream
+	mu     sync.Mutex
+	probes map[Incarnation]*probe
 }
 
-// upstream is what is known of one incarnation.
-type upstream struct {
-	asking bool
-	ended  bool
-	// at is when it was known.
-	at      timer.Instant
-	waiting []Cut
+// probe is a check whether one upstream incarnation crashed, with its result.
+type probe struct {
+	running bool
+	crashed bool
+	// finishedAt is the time of the result.
+	finishedAt timer.Instant
+	waiting    []Cut
 }
 
-// Cut notes a request that was cut. It does not wait.
+// Cut reports a request that was cut once a probe tells whether its upstream crashed. It does
+// not block.
 func (r *Reporter) Cut(c Cut) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Timer.Now()
-	u := r.upstreams[c.Incarnation]
-	if u != nil && !u.asking && !u.knows(now) {
-		delete(r.upstreams, c.Incarnation)
+	u := r.probes[c.Incarnation]
+	if u != nil && !u.running && !u.valid(now) {
+		delete(r.probes, c.Incarnation)
 		u = nil
 	}
 	switch {
 	case u == nil:
-		r.ask(c, now)
-	case u.asking && len(u.waiting) < maxWaiting:
+		r.startProbe(c, now)
+	case u.running && len(u.waiting) < maxWaitingCuts:
 		u.waiting = append(u.waiting, c)
-	case u.asking:
-		r.Metrics.dropped()
+	case u.running:
+		r.Metrics.countDropped()
 	default:
-		go r.report(c, u.ended)
+		go r.report(c, u.crashed)
 	}
 }
 
-// knows reports whether what is known still holds.
-func (u *upstream) knows(now timer.Instant) bool {
-	keeps := askAgain
-	if u.ended {
-		keeps = keepsEnds
+// valid reports whether the result of a finished probe may still be used.
+func (u *probe) valid(now timer.Instant) bool {
+	ttl := openTTL
+	if u.crashed {
+		ttl = crashTTL
 	}
-	return now.Sub(u.at) < keeps
+	return now.Sub(u.finishedAt) < ttl
 }
 
-// ask begins to find out about an incarnation. The lock is held.
-func (r *Reporter) ask(c Cut, now timer.Instant) {
-	if r.upstreams == nil {
-		r.upstreams = make(map[Incarnation]*upstream)
+// startProbe starts a probe of the incarnation of c, or drops c if there are too many probes.
+// The caller holds r.mu.
+func (r *Reporter) startProbe(c Cut, now timer.Instant) {
+	if r.probes == nil {
+		r.probes = make(map[Incarnation]*probe)
 	}
-	if len(r.upstreams) >= maxUpstreams {
-		r.forget(now)
+	if len(r.probes) >= maxProbes {
+		r.evictExpired(now)
 	}
-	if len(r.upstreams) >= maxUpstreams {
-		r.Metrics.dropped()
+	if len(r.probes) >= maxProbes {
+		r.Metrics.countDropped()
 		return
 	}
-	u := &upstream{
-		asking:  true,
+	u := &probe{
+		running: true,
 		waiting: []Cut{c},
 	}
-	r.upstreams[c.Incarnation] = u
+	r.probes[c.Incarnation] = u
 	go func() {
-		ended := r.closed(c.Address)
+		crashed := r.portClosed(c.Address)
 		r.mu.Lock()
-		u.asking, u.ended, u.at = false, ended, r.Timer.Now()
+		u.running, u.crashed, u.finishedAt = false, crashed, r.Timer.Now()
 		waiting := u.waiting
 		u.waiting = nil
 		r.mu.Unlock()
 		for _, c := range waiting {
-			r.report(c, ended)
+			r.report(c, crashed)
 		}
 	}()
 }
 
-// forget drops the incarnations of which nothing is known any more. The lock is held.
-func (r *Reporter) forget(now timer.Instant) {
-	for name, u := range r.upstreams {
-		if !u.asking && !u.knows(now) {
-			delete(r.upstreams, name)
+// evictExpired deletes the probes whose result is no longer valid. The caller holds r.mu.
+func (r *Reporter) evictExpired(now timer.Instant) {
+	for name, u := range r.probes {
+		if !u.running && !u.valid(now) {
+			delete(r.probes, name)
 		}
 	}
 }
 
-// closed reports whether nobody listens at an address.
-func (r *Reporter) closed(address string) bool {
+// portClosed reports whether an address refuses connections.
+func (r *Reporter) portClosed(address string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	dial := r.Dial
@@ -175,13 +176,13 @@
 	return c.Close()
 }
 
-// report tells of one request what became of its upstream.
-func (r *Reporter) report(c Cut, ended bool) {
-	r.Metrics.cut(ended)
+// report logs and counts one cut request, and calls r.Ended if its upstream crashed.
+func (r *Reporter) report(c Cut, crashed bool) {
+	r.Metrics.countCut(crashed)
 	fields := log.Fields{
 		"request_id": c.RequestID,
 		"upstream":   string(c.Incarnation),
-		"ended":      ended,
+		"ended":      crashed,
 	}
 	defer func() { r.Journal.Decision("cut", fields) }()
 	ctx, cancel := context.WithTimeout(context.Background(), secretTimeout)
@@ -195,7 +196,7 @@
 	}
 	print := c.Sum.Under(secret)
 	fields["fingerprint"] = print.String()
-	if !ended || r.Ended == nil {
+	if !crashed || r.Ended == nil {
 		return
 	}
 	for name, value := range r.Ended(c, print) {
--- a/internal/route/fingerprint/doc.go
+++ b/internal/route/fingerprint/doc.go
@@ -1,4 +1,5 @@
-// Package fingerprint tells whether two requests are one and the same, sent again.
+// Package fingerprint identifies requests by their content, so that a repeated request is
+// recognised.
 //
 //	sum := fingerprint.Of(fingerprint.Parts{
 //		Host:   r.Host,
@@ -7,7 +8,7 @@
 //	})
 //	print := sum.Under(secret)
 //
-// A Sum stays in the process that made it. A Print may be logged and sent to other
-// instances: without the secret, which no caller knows, nothing can be tried against
-// it.
+// A Sum is a plain digest and must stay in the process that made it. A Print is keyed with a
+// secret that no caller knows, so it may be logged and sent to other instances: without the
+// secret, likely contents can't be tested against it.
 package fingerprint
--- a/internal/route/fingerprint/fingerprint.go
+++ b/internal/route/fingerprint/fingerprint.go
@@ -8,47 +8,48 @@
 	"fmt"
 )
 
-// Parts are what makes a request what it is. Its id is none of them: each time that a
-// request is sent again it has another one.
+// Parts are the parts of a request that identify it. The request id is not one of them: it
+// changes each time that the request is sent.
 type Parts struct {
-	// Organisation is on whose behalf it is made; empty for nobody's.
+	// Organisation is the organisation that the request is made for; empty for none.
 	Organisation string
 	Method       string
 	Host         string
-	// Target is the path with the query.
+	// Target is the path with the query string.
 	Target string
 	Body   []byte
 }
 
-// Sum is the digest of a request. It must not leave the process.
+// Sum is the SHA-256 digest of a request. It must not leave the process.
 type Sum [sha256.Size]byte
 
-// Of returns the digest of a request.
+// Of returns the digest of a request. Each part is preceded by its length, so that requests
+// whose parts are split differently have different digests.
 func Of(p Parts) Sum {
 	h := sha256.New()
 	var size [8]byte
-	part := func(n int) {
+	writeLength := func(n int) {
 		binary.LittleEndian.PutUint64(size[:], uint64(n))
 		h.Write(size[:])
 	}
 	for _, s := range [...]string{p.Organisation, p.Method, p.Host, p.Target} {
-		part(len(s))
+		writeLength(len(s))
 		h.Write([]byte(s))
 	}
-	part(len(p.Body))
+	writeLength(len(p.Body))
 	h.Write(p.Body)
 	var sum Sum
 	h.Sum(sum[:0])
 	return sum
 }
 
-// printBytes is the length of a Print.
+// printBytes is the length of a Print in bytes.
 const printBytes = 16
 
-// Print is a digest under a secret that all instances share.
+// Print is a truncated HMAC-SHA-256 of a Sum, keyed with a secret that all instances share.
 type Print [printBytes]byte
 
-// Under returns the digest under a secret.
+// Under returns the fingerprint of s keyed with secret.
 func (s Sum) Under(secret []byte) Print {
 	h := hmac.New(sha256.New, secret)
 	h.Write(s[:])
@@ -67,10 +68,10 @@
 func (p *Print) UnmarshalText(text []byte) error {
 	b, err := base64.RawURLEncoding.DecodeString(string(text))
 	if err != nil {
-		return fmt.Errorf("fingerprint: %w", err)
+		return fmt.Errorf("fingerprint %q: %w", text, err)
 	}
 	if len(b) != printBytes {
-		return fmt.Errorf("fingerprint: %d bytes, not %d", len(b), printBytes)
+		return fmt.Errorf("fingerprint %q has %d bytes instead of %d", text, len(b), printBytes)
 	}
 	copy(p[:], b)
 	return nil
--- a/internal/route/fingerprint/fingerprint_test.go
+++ b/internal/route/fingerprint/fingerprint_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func parts(t *rapid.T) Parts {
+func drawParts(t *rapid.T) Parts {
 	text := rapid.StringN(0, 4, 8)
 	return Parts{
 		Organisation: text.Draw(t, "organisation"),
@@ -20,19 +20,20 @@
 	}
 }
 
-// Guards against two requests that are taken for one, as where a part ends is moved.
+// Guards against equal digests of two requests whose parts differ only in where one part
+// ends and the next begins.
 func TestDifferentRequestsDiffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := parts(t), parts(t)
+		a, b := drawParts(t), drawParts(t)
 		same := a.Organisation == b.Organisation && a.Method == b.Method && a.Host == b.Host &&
 			a.Target == b.Target && bytes.Equal(a.Body, b.Body)
 		if (Of(a) == Of(b)) != same {
-			t.Fatalf("%+v and %+v", a, b)
+			t.Fatalf("wrong comparison of the digests of %+v and %+v", a, b)
 		}
 	})
 }
 
-// Guards against a digest that anyone with a list of likely bodies can turn back.
+// Guards against a fingerprint that can be reversed with a list of likely bodies.
 func TestPrintDependsOnTheSecret(t *testing.T) {
 	is := is.New(t)
 	s := Of(Parts{Body: []byte("one hide")})
@@ -43,19 +44,20 @@
 
 func (p Print) bytes() []byte { return p[:] }
 
-func TestPrintAsText(t *testing.T) {
+func TestPrintTextRoundTrip(t *testing.T) {
 	is := is.New(t)
 	p := Of(Parts{Target: "/cuts/7"}).Under([]byte("secret"))
 	b, err := json.Marshal(p)
 	is.NoErr(err)
-	var back Print
-	is.NoErr(json.Unmarshal(b, &back))
-	is.Equal(back, p)
-	is.True(json.Unmarshal([]byte(`"short"`), &back) != nil)
-	is.True(json.Unmarshal([]byte(`"?"`), &back) != nil)
+	var decoded Print
+	is.NoErr(json.Unmarshal(b, &decoded))
+	is.Equal(decoded, p)
+	is.True(json.Unmarshal([]byte(`"short"`), &decoded) != nil)
+	is.True(json.Unmarshal([]byte(`"?"`), &decoded) != nil)
 }
 
-// BenchmarkOf measures what a request of 800 bytes costs while any is suspected.
+// BenchmarkOf measures the cost of fingerprinting a request with a body of 800 bytes, which
+// each request pays while any request is suspected.
 func BenchmarkOf(b *testing.B) {
 	p := Parts{
 		Method: "POST",
