--- a/internal/route/upstream/doc.go
+++ b/internal/route/upstream/doc.go
@@ -1,9 +1,9 @@
-// Package upstream keeps what an instance knows of the upstreams that it
-// routes to.
+// Package upstream holds the state of the upstreams that an instance routes to: load, pace,
+// failures and weight versions.
 //
-// A Table holds one immutable Set for each deployment and replaces it as a
-// whole. The Upstreams in a Set live on from Set to Set and carry counters
-// that change by atomics, so choosing one takes no lock:
+// A Table holds one immutable Set for each deployment and replaces it as a whole on changes.
+// An Upstream is carried over from one Set to the next and keeps its state in atomics, so
+// choosing one takes no lock:
 //
 //	set := table.Set("order-desk")
 //	u := set.Upstreams[i]
--- a/internal/route/upstream/refresh.go
+++ b/internal/route/upstream/refresh.go
@@ -16,24 +16,24 @@
 	"github.com/egretbend/egretbend/internal/outside/engine"
 )
 
-// How the table is kept fresh.
+// Intervals and limits of a Refresher.
 const (
-	// buildPeriod is how often due reports are asked for.
-	buildPeriod = 250 * time.Millisecond
-	// buildPause gathers the changes of a burst, such as the whole list at the
-	// start, into one rebuild.
-	buildPause = 50 * time.Millisecond
-	// reportPeriod is the least time between two reports of one upstream.
+	// refreshPeriod is the interval at which due reports are requested.
+	refreshPeriod = 250 * time.Millisecond
+	// rebuildDelay lets a burst of changes, such as the whole list at startup, result in one
+	// rebuild.
+	rebuildDelay = 50 * time.Millisecond
+	// reportPeriod is the minimum interval between two requests for a report of one upstream.
 	reportPeriod = time.Second
-	// reportsPerSecond bounds the reports that one instance asks for, which
-	// bounds what they cost however many upstreams it knows.
+	// reportsPerSecond bounds the rate at which one instance requests reports, and so their
+	// cost, however many upstreams it knows.
 	reportsPerSecond = 16
 	reportTimeout    = time.Second
-	// reportsAtOnce bounds the reports that are waited for together.
-	reportsAtOnce = 16
+	// maxConcurrentReports bounds the concurrent requests for reports.
+	maxConcurrentReports = 16
 )
 
-// Refresher rebuilds a table after changes and asks upstreams for reports.
+// Refresher rebuilds a Table after changes and requests load reports from upstreams.
 type Refresher struct {
 	Table   *Table
 	Holder  *configuration.Holder
@@ -42,26 +42,26 @@
 	Timer   timer.Service
 	Engine  engine.Adapter
 
-	revision uint64
-	changes  uint64
-	next     map[*Upstream]timer.Instant
+	revision       uint64
+	listingChanges uint64
+	nextReport     map[*Upstream]timer.Instant
 }
 
-// Run refreshes until t dies.
+// Run refreshes the table until t is dying.
 func (r *Refresher) Run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
-	tick := r.Timer.Every(buildPeriod)
+	tick := r.Timer.Every(refreshPeriod)
 	defer tick.Close()
 	for {
 		listed := r.Listing.State.Changed(gossip.KindUpstream)
 		leaving := r.Listing.State.Changed(gossip.KindLeaving)
 		configured := r.Holder.Changed()
 		r.Refresh(r.Timer.Now())
-		r.askReports(ctx)
+		r.fetchDueReports(ctx)
 		select {
 		case <-tick.C:
 		case <-listed:
-			timer.Wait(r.Timer, buildPause, t.Dying())
+			timer.Wait(r.Timer, rebuildDelay, t.Dying())
 		case <-leaving:
 		case <-configured:
 		case <-t.Dying():
@@ -77,34 +77,35 @@
 		return
 	}
 	changes := r.Listing.Changes()
-	if doc.Revision != r.revision || changes != r.changes {
+	if doc.Revision != r.revision || changes != r.listingChanges {
 		r.Table.Build(doc.Parsed(), r.Members.Self(), r.Listing.List(), now)
 		r.revision = doc.Revision
-		r.changes = changes
+		r.listingChanges = changes
 	}
 	r.Table.Judge(now)
 }
 
-// askReports asks the upstreams whose report is due, the most overdue ones
-// first come first served. Each upstream's moment is spread at random, so that
-// the instances of a fleet don't all learn the same load at the same time.
-func (r *Refresher) askReports(ctx context.Context) {
-	due := r.due(r.Timer.Now())
-	gate := make(chan struct{}, reportsAtOnce)
+// fetchDueReports requests the reports that are due, and waits for them.
+func (r *Refresher) fetchDueReports(ctx context.Context) {
+	due := r.dueUpstreams(r.Timer.Now())
+	semaphore := make(chan struct{}, maxConcurrentReports)
 	var wg sync.WaitGroup
 	for _, u := range due {
-		gate <- struct{}{}
+		semaphore <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-gate }()
-			r.ask(ctx, u)
+			defer func() { <-semaphore }()
+			r.fetchReport(ctx, u)
 		})
 	}
 	wg.Wait()
 }
 
-func (r *Refresher) due(now timer.Instant) []*Upstream {
-	if r.next == nil {
-		r.next = make(map[*Upstream]timer.Instant)
+// dueUpstreams returns the upstreams whose report is due, and schedules their next one. Each
+// time is jittered, so that the instances of a fleet don't all see the same load at the same
+// time.
+func (r *Refresher) dueUpstreams(now timer.Instant) []*Upstream {
+	if r.nextReport == nil {
+		r.nextReport = make(map[*Upstream]timer.Instant)
 	}
 	total := 0
 	for _, s := range r.Table.Sets() {
@@ -115,28 +116,30 @@
 	var due []*Upstream
 	for _, s := range r.Table.Sets() {
 		for _, u := range s.Upstreams {
-			at, known := r.next[u]
+			at, known := r.nextReport[u]
 			if known && now < at {
 				seen[u] = at
 				continue
 			}
 			seen[u] = now.Add(jitter(period))
-			// Answers bring reports along; an upstream in use is not asked.
+			// Answers carry reports too, so an upstream in use is not asked.
 			if _, age, ok := u.Report(now); !ok || age >= reportPeriod {
 				due = append(due, u)
 			}
 		}
 	}
-	r.next = seen
+	r.nextReport = seen
 	return due
 }
 
-// jitter spreads d by a quarter to both sides.
+// jitter returns a random duration within a quarter of d around d.
 func jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + rand.Float64()/2))
 }
 
-func (r *Refresher) ask(ctx context.Context, u *Upstream) {
+// fetchReport requests the report of one upstream. A failure is ignored: the next report is due
+// after the usual period.
+func (r *Refresher) fetchReport(ctx context.Context, u *Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	report, err := r.Engine.Report(ctx, u.Address)
--- a/internal/route/upstream/scale_test.go
+++ b/internal/route/upstream/scale_test.go
@@ -15,8 +15,9 @@
 	"github.com/egretbend/egretbend/internal/route/upstream"
 )
 
-// fleetState returns what an instance knows of a fleet.
-func fleetState(instances, upstreams int) (*member.Table, *listing.Book) {
+// newFleetState returns the members and the listed upstreams of a fleet, as one instance knows
+// them.
+func newFleetState(instances, upstreams int) (*member.Table, *listing.Book) {
 	state := &gossip.State{}
 	table := &member.Table{
 		State: state,
@@ -58,11 +59,11 @@
 	{1100, 10000},
 }
 
-// BenchmarkRebuild measures what one change of the instance list costs.
+// BenchmarkRebuild measures the cost of one change of the instance list.
 func BenchmarkRebuild(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d_%d", size.instances, size.upstreams), func(b *testing.B) {
-			members, book := fleetState(size.instances, size.upstreams)
+			members, book := newFleetState(size.instances, size.upstreams)
 			cfg := &configuration.Configuration{
 				Deployments: []configuration.Deployment{{
 					Name:       "m",
@@ -79,11 +80,11 @@
 	}
 }
 
-// BenchmarkView measures what one change of the membership costs.
+// BenchmarkView measures the cost of one membership change.
 func BenchmarkView(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size.instances), func(b *testing.B) {
-			members, _ := fleetState(size.instances, 0)
+			members, _ := newFleetState(size.instances, 0)
 			sequence := uint64(0)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -100,14 +101,14 @@
 	}
 }
 
-// BenchmarkState measures the memory of what an instance knows.
+// BenchmarkState measures the memory used by the members and the listed upstreams.
 func BenchmarkState(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d_%d", size.instances, size.upstreams), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			members, book := fleetState(size.instances, size.upstreams)
+			members, book := newFleetState(size.instances, size.upstreams)
 			members.View()
 			runtime.GC()
 			runtime.ReadMemStats(&after)
--- a/internal/route/upstream/set.go
+++ b/internal/route/upstream/set.go
@@ -14,8 +14,9 @@
 	"github.com/egretbend/egretbend/internal/outside/roster"
 )
 
-// ringPoints is how often each upstream stands on the ring of prefix hashes.
-const ringPoints = 16
+// virtualNodes is the number of points of each upstream on the consistent hash ring, on which
+// prefix hashes are looked up.
+const virtualNodes = 16
 
 // Set is the immutable list of upstreams of one deployment that this instance
 // routes to.
@@ -24,16 +25,16 @@
 	Upstreams  []*Upstream
 	// Total is the number of upstreams in the whole fleet.
 	Total int
-	ring  []point
+	ring  []ringPoint
 }
 
-type point struct {
+// ringPoint is a point of an upstream on the consistent hash ring.
+type ringPoint struct {
 	hash uint64
 	u    *Upstream
 }
 
-// newSet chooses this instance's subset of list and reuses the state of
-// upstreams that were known before.
+// newSet selects this instance's subset of list and reuses the Upstreams of the old set, if any.
 func newSet(d configuration.Deployment, self member.Member, list []roster.Instance, old *Set, now timer.Instant) *Set {
 	s := &Set{
 		Deployment: d,
@@ -46,15 +47,16 @@
 		}
 	}
 	for _, in := range subset(self, list, d.SubsetSize) {
-		s.Upstreams = append(s.Upstreams, adopt(known[in.ID], in, d, old == nil, now))
+		s.Upstreams = append(s.Upstreams, reuseOrCreate(known[in.ID], in, d, old == nil, now))
 	}
 	s.buildRing()
 	return s
 }
 
-// adopt returns the state for an instance in the list. A new incarnation is a
-// new upstream: neither its counts nor its leaving mark carry over.
-func adopt(u *Upstream, in roster.Instance, d configuration.Deployment, first bool, now timer.Instant) *Upstream {
+// reuseOrCreate returns the Upstream for a listed instance: u if it is of the same incarnation
+// and address, else a new one. A new incarnation carries over neither the counts nor the leaving
+// mark. initial reports whether the set is the first one of its deployment.
+func reuseOrCreate(u *Upstream, in roster.Instance, d configuration.Deployment, initial bool, now timer.Instant) *Upstream {
 	if u == nil || u.Incarnation != in.Incarnation || u.Address != in.Address {
 		u = &Upstream{
 			ID:            in.ID,
@@ -63,11 +65,11 @@
 			Incarnation:   in.Incarnation,
 			Slots:         d.Slots,
 		}
-		// Those that were there when this instance began are not new to the
-		// fleet; only later ones start slowly.
-		u.since.Store(int64(now))
-		if first {
-			u.since.Store(int64(now.Add(-SlowStart)))
+		// Upstreams that were listed when this instance started are not new to the
+		// fleet; only later ones get a slow start.
+		u.slowStartFrom.Store(int64(now))
+		if initial {
+			u.slowStartFrom.Store(int64(now.Add(-SlowStart)))
 		}
 	}
 	if in.Leaving {
@@ -76,35 +78,37 @@
 	return u
 }
 
-// subset picks at most n upstreams: half of the places go to the own failure
-// domain first, the others to all by rendezvous hash. Different instances so
-// share the upstreams evenly, and a change of the list moves few of them.
+// subset selects at most n instances: up to half of them from the failure domain of self, the
+// others from all, each by rendezvous hash. This spreads the instances of the fleet evenly over
+// the upstreams, and a change of the list changes few selections.
 func subset(self member.Member, list []roster.Instance, n int) []roster.Instance {
 	if len(list) > n {
-		list = pick(self, list, n)
+		list = selectByScore(self, list, n)
 	}
 	slices.SortFunc(list, func(a, b roster.Instance) int { return strings.Compare(a.ID, b.ID) })
 	return list
 }
 
-// ranked is a place in a list with its rendezvous hash.
-type ranked struct {
+// scoredIndex is an index into a list with the rendezvous hash of the element.
+type scoredIndex struct {
 	score uint64
-	at    int
+	index int
 }
 
-func pick(self member.Member, list []roster.Instance, n int) []roster.Instance {
-	order := make([]ranked, len(list))
+// selectByScore selects n elements of list by descending rendezvous hash, of which up to n/2 are
+// reserved for the failure domain of self.
+func selectByScore(self member.Member, list []roster.Instance, n int) []roster.Instance {
+	order := make([]scoredIndex, len(list))
 	for i, in := range list {
-		order[i] = ranked{
+		order[i] = scoredIndex{
 			score: member.Score(self.ID, in.ID),
-			at:    i,
+			index: i,
 		}
 	}
-	slices.SortFunc(order, func(a, b ranked) int { return cmp.Compare(b.score, a.score) })
+	slices.SortFunc(order, func(a, b scoredIndex) int { return cmp.Compare(b.score, a.score) })
 	var near, far []roster.Instance
 	for _, r := range order {
-		in := list[r.at]
+		in := list[r.index]
 		if in.FailureDomain == self.FailureDomain && len(near) < n/2 {
 			near = append(near, in)
 		} else if len(far) < n {
@@ -114,18 +118,19 @@
 	return append(near, far[:n-len(near)]...)
 }
 
+// buildRing builds the consistent hash ring from s.Upstreams.
 func (s *Set) buildRing() {
-	s.ring = make([]point, 0, len(s.Upstreams)*ringPoints)
+	s.ring = make([]ringPoint, 0, len(s.Upstreams)*virtualNodes)
 	for _, u := range s.Upstreams {
 		h := xxhash.Sum64String(u.ID)
-		for i := range ringPoints {
-			s.ring = append(s.ring, point{
-				hash: mix(h + uint64(i)*0x9e3779b97f4a7c15),
+		for i := range virtualNodes {
+			s.ring = append(s.ring, ringPoint{
+				hash: mixHash(h + uint64(i)*0x9e3779b97f4a7c15),
 				u:    u,
 			})
 		}
 	}
-	slices.SortFunc(s.ring, func(a, b point) int {
+	slices.SortFunc(s.ring, func(a, b ringPoint) int {
 		if a.hash < b.hash {
 			return -1
 		}
@@ -136,20 +141,21 @@
 	})
 }
 
-func mix(h uint64) uint64 {
+// mixHash spreads the bits of a hash; it is a part of the 64-bit finalizer of MurmurHash3.
+func mixHash(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
 	return h
 }
 
-// Walk calls visit with the upstreams that follow key on the ring, until it
-// returns false or steps points were passed.
+// Walk calls visit with the upstreams that follow key on the ring, until visit
+// returns false or steps points were visited. One upstream may be visited several times.
 func (s *Set) Walk(key uint64, steps int, visit func(*Upstream) bool) {
 	if len(s.ring) == 0 {
 		return
 	}
-	start, _ := slices.BinarySearchFunc(s.ring, mix(key), func(p point, k uint64) int {
+	start, _ := slices.BinarySearchFunc(s.ring, mixHash(key), func(p ringPoint, k uint64) int {
 		if p.hash < k {
 			return -1
 		}
@@ -162,8 +168,8 @@
 	}
 }
 
-// Capacity returns the requests that the usable upstreams serve at once, and
-// how many of other instances they have as far as this one knows.
+// Capacity returns the total slots of the usable upstreams, and the estimated load of other
+// instances on them.
 func (s *Set) Capacity(now timer.Instant) (slots, others float64) {
 	for _, u := range s.Upstreams {
 		if !u.Usable(now) {
@@ -174,31 +180,31 @@
 		if h == nil {
 			continue
 		}
-		slots += float64(u.slots(h) - max(1, u.Slots))
-		others += u.others(h, now)
+		slots += float64(u.effectiveSlots(h) - max(1, u.Slots))
+		others += u.othersLoad(h, now)
 	}
 	return slots, others
 }
 
-// Judge compares the upstreams and bounds how many are out.
+// Judge updates the slowness of the upstreams and limits how many are ejected.
 func (s *Set) Judge(now timer.Instant) {
 	s.comparePaces()
-	s.limitOut(now)
+	s.limitEjected(now)
 }
 
-// comparePaces rates each upstream's pace against the median.
+// comparePaces compares each upstream's pace with the median.
 func (s *Set) comparePaces() {
 	median := s.MedianPace()
 	if median == 0 {
 		return
 	}
 	for _, u := range s.Upstreams {
-		u.compare(median)
+		u.updateSlowness(median)
 	}
 }
 
 // MedianPace returns the median time per unit of work in seconds, or zero
-// while fewer than three upstreams have a pace.
+// if fewer than three upstreams have a pace.
 func (s *Set) MedianPace() float64 {
 	var paces []float64
 	for _, u := range s.Upstreams {
@@ -213,22 +219,23 @@
 	return paces[len(paces)/2]
 }
 
-// maxOutShare is the largest share of a set that may be out for failures.
-const maxOutShare = 0.34
+// maxEjectedShare is the largest share of a set that may be ejected for failures.
+const maxEjectedShare = 0.34
 
-// limitOut brings upstreams back when too many are out: the rest would fall
-// over under the whole load, and the cause is then hardly in each of them.
-func (s *Set) limitOut(now timer.Instant) {
-	var out []*Upstream
+// limitEjected readmits upstreams if too many are ejected, those first that would return first.
+// The remaining ones would be overloaded, and when so many fail the cause is probably not in
+// each of them.
+func (s *Set) limitEjected(now timer.Instant) {
+	var ejected []*Upstream
 	for _, u := range s.Upstreams {
 		if u.Out(now) {
-			out = append(out, u)
+			ejected = append(ejected, u)
 		}
 	}
-	allowed := int(maxOutShare * float64(len(s.Upstreams)))
-	sort.Slice(out, func(i, j int) bool { return out[i].outUntil.Load() < out[j].outUntil.Load() })
-	for i := 0; i < len(out)-allowed; i++ {
-		out[i].outUntil.Store(int64(now))
-		out[i].since.Store(int64(now))
+	allowed := int(maxEjectedShare * float64(len(s.Upstreams)))
+	sort.Slice(ejected, func(i, j int) bool { return ejected[i].ejectedUntil.Load() < ejected[j].ejectedUntil.Load() })
+	for i := 0; i < len(ejected)-allowed; i++ {
+		ejected[i].ejectedUntil.Store(int64(now))
+		ejected[i].slowStartFrom.Store(int64(now))
 	}
 }
--- a/internal/route/upstream/table.go
+++ b/internal/route/upstream/table.go
@@ -51,8 +51,8 @@
 	t.sets.Store(&next)
 }
 
-// Judge compares the upstreams of each set and bounds how many are out. It is
-// called once a second or so.
+// Judge updates the slowness of the upstreams of each set and limits how many are ejected. It
+// is called periodically.
 func (t *Table) Judge(now timer.Instant) {
 	for _, s := range t.Sets() {
 		s.Judge(now)
--- a/internal/route/upstream/upstream.go
+++ b/internal/route/upstream/upstream.go
@@ -10,34 +10,36 @@
 	"github.com/egretbend/egretbend/internal/outside/engine"
 )
 
-// How an upstream is judged.
+// Parameters of ejection, slow start and load estimation.
 const (
-	// ejectAfter is how many failures in a row take an upstream out.
-	ejectAfter = 5
-	// ejectFirst is for how long it is out the first time; it doubles after.
-	ejectFirst = 2 * time.Second
-	ejectMost  = 30 * time.Second
-	// SlowStart is how long an upstream that is new or comes back takes to
-	// get its full share.
+	// ejectThreshold is the number of consecutive failures that ejects an upstream.
+	ejectThreshold = 5
+	// initialEjection is the duration of the first ejection; each further one doubles it, up to
+	// maxEjection.
+	initialEjection = 2 * time.Second
+	maxEjection     = 30 * time.Second
+	// SlowStart is how long an upstream that is new or returns from an ejection takes to get its
+	// full share of the load.
 	SlowStart = 3 * time.Second
-	// slowStartFloor is the share it begins with.
-	slowStartFloor = 0.25
-	// reportHalfLife is the age at which a report counts for half.
+	// minSlowStartShare is the share of the load at the beginning of the slow start.
+	minSlowStartShare = 0.25
+	// reportHalfLife is the age at which the load in a report is weighted by half.
 	reportHalfLife = 2 * time.Second
 	// peakWindow is longer than the lag of any report.
 	peakWindow = time.Second
-	// paceWeight is the weight of one new measurement of pace.
+	// paceWeight is the weight of a new measurement in the smoothed pace.
 	paceWeight = 0.1
-	// paceJump bounds one measurement against the smoothed pace. A single slow
-	// stream says little about its engine; many of them still add up.
-	paceJump = 3
-	// slowestFactor bounds how much worse a slow upstream is rated.
-	slowestFactor = 8
-	// slowFactor is from when on an upstream counts as slow.
-	slowFactor = 2
+	// maxPaceJump bounds one measurement to this multiple of the smoothed pace. A single slow
+	// stream says little about its engine; many slow streams still add up.
+	maxPaceJump = 3
+	// maxSlowness bounds the factor by which slowness raises the load of an upstream.
+	maxSlowness = 8
+	// slowThreshold is the ratio to the median pace above which an upstream is slow.
+	slowThreshold = 2
 )
 
-// Upstream is one engine or service instance.
+// Upstream is one engine or service instance, with its state as known to this instance. Its
+// methods may be called concurrently.
 type Upstream struct {
 	ID            string
 	Address       string
@@ -45,42 +47,48 @@
 	Incarnation   uint64
 	Slots         int
 
-	inFlight atomic.Int64
-	peak     atomic.Int64
-	peakOld  atomic.Int64
-	window   atomic.Int64
-	leaving  atomic.Bool
-	report   atomic.Pointer[heard]
-	version  atomic.Pointer[version.Version]
-	strikes  atomic.Int32
-	ejects   atomic.Int32
-	outUntil atomic.Int64
-	since    atomic.Int64
-	// measured is when the pace was measured last.
-	measured atomic.Int64
-	// made is when any stream there made an event last.
-	made atomic.Int64
-	// restsUntil is when a refusal is over.
-	restsUntil atomic.Int64
-	pace       atomic.Uint64
-	slowness   atomic.Uint64
-	warmth     warmth
+	// inFlight is the number of requests of this instance at the upstream; peak and
+	// previousPeak are its maxima in the window that began at windowStart and in the one before.
+	inFlight     atomic.Int64
+	peak         atomic.Int64
+	previousPeak atomic.Int64
+	windowStart  atomic.Int64
+	leaving      atomic.Bool
+	report       atomic.Pointer[receivedReport]
+	version      atomic.Pointer[version.Version]
+	// failures counts consecutive failures, and ejections the ejections since the last success.
+	failures     atomic.Int32
+	ejections    atomic.Int32
+	ejectedUntil atomic.Int64
+	// slowStartFrom is the time at which the slow start begins.
+	slowStartFrom atomic.Int64
+	// paceMeasuredAt is the time of the last call of Measured.
+	paceMeasuredAt atomic.Int64
+	// lastEvent is when any stream of the upstream last produced an event.
+	lastEvent atomic.Int64
+	// backoffUntil is the end of the backoff after a refusal.
+	backoffUntil atomic.Int64
+	// pace is the smoothed pace in seconds, and slowness its ratio to the median of the set,
+	// both as float64 bits.
+	pace      atomic.Uint64
+	slowness  atomic.Uint64
+	idleConns idleConnections
 }
 
-// heard is a report with what was known when it came.
-type heard struct {
+// receivedReport is a report with the state of this instance when it was received.
+type receivedReport struct {
 	engine.Report
-	at timer.Instant
-	// own is the most requests of this instance that may be part of it.
-	own int64
+	receivedAt timer.Instant
+	// ownPeak is the largest number of this instance's requests that the report may include.
+	ownPeak int64
 }
 
-// StartedAt says since when the upstream serves; a new one starts slowly.
-func (u *Upstream) StartedAt(at timer.Instant) { u.since.Store(int64(at)) }
+// StartedAt sets the time at which the slow start begins.
+func (u *Upstream) StartedAt(at timer.Instant) { u.slowStartFrom.Store(int64(at)) }
 
-// Begin counts a request that is sent now.
+// Begin counts a request that is being sent.
 func (u *Upstream) Begin() {
-	u.takeWarm()
+	u.takeIdleConnection()
 	n := u.inFlight.Add(1)
 	for {
 		old := u.peak.Load()
@@ -90,65 +98,66 @@
 	}
 }
 
-// InFlight returns the requests of this instance at the upstream.
+// InFlight returns the number of requests of this instance at the upstream.
 func (u *Upstream) InFlight() int64 { return u.inFlight.Load() }
 
 // Succeeded ends a request that was answered. pace is its time per unit of
-// work: a token or a request.
+// work, which is a token or a request.
 func (u *Upstream) Succeeded(pace time.Duration) {
 	u.inFlight.Add(-1)
-	u.strikes.Store(0)
-	u.ejects.Store(0)
-	u.smooth(pace, paceWeight, paceJump)
+	u.failures.Store(0)
+	u.ejections.Store(0)
+	u.smoothPace(pace, paceWeight, maxPaceJump)
 }
 
-// Ended ends a request that tells nothing about the upstream, such as one
-// that the caller gave up or that the upstream refused when full.
+// Ended ends a request whose outcome says nothing about the upstream, such as one
+// that the caller cancelled or that the upstream refused because it was full.
 func (u *Upstream) Ended() { u.inFlight.Add(-1) }
 
-// Failed ends a request that the upstream failed. It reports whether the
-// upstream is taken out now.
+// Failed ends a request that the upstream failed. It reports whether this ejects the upstream.
 func (u *Upstream) Failed(now timer.Instant) bool {
 	u.inFlight.Add(-1)
-	if u.strikes.Add(1) < ejectAfter {
+	if u.failures.Add(1) < ejectThreshold {
 		return false
 	}
-	u.takeOut(now)
+	u.eject(now)
 	return true
 }
 
-// Unreachable ends a request that could not even be sent. A closed port says
-// more than a failed answer: the upstream is taken out at once.
+// Unreachable ends a request that could not be sent. A closed port is stronger
+// evidence than a failed answer, so the upstream is ejected at once.
 func (u *Upstream) Unreachable(now timer.Instant) {
 	u.inFlight.Add(-1)
 	if !u.Out(now) {
-		u.takeOut(now)
+		u.eject(now)
 	}
 }
 
-func (u *Upstream) takeOut(now timer.Instant) {
-	u.strikes.Store(0)
-	out := ejectFirst << min(u.ejects.Add(1)-1, 10)
-	until := now.Add(min(out, ejectMost))
-	u.outUntil.Store(int64(until))
-	u.since.Store(int64(until))
+// eject takes the upstream out of use for a duration that doubles with each ejection since the
+// last success, and starts its slow start after that.
+func (u *Upstream) eject(now timer.Instant) {
+	u.failures.Store(0)
+	duration := initialEjection << min(u.ejections.Add(1)-1, 10)
+	until := now.Add(min(duration, maxEjection))
+	u.ejectedUntil.Store(int64(until))
+	u.slowStartFrom.Store(int64(until))
 }
 
-// Out reports whether the upstream is taken out for its failures.
-func (u *Upstream) Out(now timer.Instant) bool { return int64(now) < u.outUntil.Load() }
+// Out reports whether the upstream is ejected.
+func (u *Upstream) Out(now timer.Instant) bool { return int64(now) < u.ejectedUntil.Load() }
 
-// MarkLeaving says that the upstream is leaving. It can't be unsaid.
+// MarkLeaving marks the upstream as leaving. The mark can't be removed.
 func (u *Upstream) MarkLeaving() { u.leaving.Store(true) }
 
 // Leaving reports whether the upstream is leaving.
 func (u *Upstream) Leaving() bool { return u.leaving.Load() }
 
-// Usable reports whether the upstream may get new work.
+// Usable reports whether the upstream may get new requests.
 func (u *Upstream) Usable(now timer.Instant) bool { return !u.leaving.Load() && !u.Out(now) }
 
-// smooth takes a measurement of pace with some weight, bounded to jump times the
-// smoothed one. It reports false for none.
-func (u *Upstream) smooth(pace time.Duration, weight, jump float64) bool {
+// smoothPace adds a measurement, bounded to maxJump times the smoothed pace, to the smoothed
+// pace with the given weight. It reports false and does nothing if pace is not positive.
+func (u *Upstream) smoothPace(pace time.Duration, weight, maxJump float64) bool {
 	if pace <= 0 {
 		return false
 	}
@@ -156,80 +165,80 @@
 	if old == 0 {
 		old = pace.Seconds()
 	}
-	now := min(pace.Seconds(), jump*old)
+	now := min(pace.Seconds(), maxJump*old)
 	u.pace.Store(math.Float64bits(old + weight*(now-old)))
 	return true
 }
 
-// Measured notes a pace that was measured over many events of one request. It
-// counts at once: a stream that left a slow engine would otherwise meet it again
-// as the one with the most free slots.
+// Measured records a pace that was measured over many events of one request. Its weight is high
+// so that it counts at once: a stream that left a slow engine would otherwise return to it, as
+// the one with the most free slots.
 func (u *Upstream) Measured(pace time.Duration, now timer.Instant) {
-	if u.smooth(pace, measuredWeight, math.Inf(1)) {
-		u.measured.Store(int64(now))
+	if u.smoothPace(pace, measuredPaceWeight, math.Inf(1)) {
+		u.paceMeasuredAt.Store(int64(now))
 	}
 }
 
 const (
-	// measuredWeight is the weight of a pace measured over many events.
-	measuredWeight = 0.4
-	// paceHalfLife is how soon a pace that is no longer measured counts for
+	// measuredPaceWeight is the weight of a measurement over many events in the smoothed pace.
+	measuredPaceWeight = 0.4
+	// paceHalfLife is the time after which a pace that is no longer measured counts for
 	// half: an engine that was slow gets no work that would show its recovery
-	// while faster ones have room. Engines of an older kind stay slow for good;
-	// known as such for the time of a few steps, they get no long items.
+	// while faster ones have room. Engines of an older kind stay slow for good, so it spans
+	// a few steps, during which they get no long items.
 	paceHalfLife = 10 * time.Second
 )
 
-// Against returns the pace against a usual one in seconds, 1 if unknown. It
-// fades towards 1 while it is not measured.
+// Against returns the ratio of the pace to usual, which is in seconds, or 1 if either is
+// unknown. The ratio decays towards 1 while the pace is not measured.
 func (u *Upstream) Against(usual float64, now timer.Instant) float64 {
 	pace := u.Pace()
 	if usual <= 0 || pace <= 0 {
 		return 1
 	}
-	age := float64(now.Sub(timer.Instant(u.measured.Load()))) / float64(paceHalfLife)
-	return 1 + (pace/usual-1)*math.Exp2(-max(0, age))
+	halfLives := float64(now.Sub(timer.Instant(u.paceMeasuredAt.Load()))) / float64(paceHalfLife)
+	return 1 + (pace/usual-1)*math.Exp2(-max(0, halfLives))
 }
 
-// silence is how long no stream of an engine may make an event for it to count as
-// alive: engines pause for some events while they read prompts.
-const silence = 300 * time.Millisecond
+// maxEventGap is the longest time without an event of any stream for which an engine counts as
+// alive. It is above the pause between events while an engine processes prompts.
+const maxEventGap = 300 * time.Millisecond
 
-// Made notes that a stream made an event.
-func (u *Upstream) Made(now timer.Instant) { u.made.Store(int64(now)) }
+// Made records that a stream produced an event.
+func (u *Upstream) Made(now timer.Instant) { u.lastEvent.Store(int64(now)) }
 
-// Lives reports whether any stream made an event lately.
+// Lives reports whether any stream produced an event within maxEventGap.
 func (u *Upstream) Lives(now timer.Instant) bool {
-	return now.Sub(timer.Instant(u.made.Load())) < silence
+	return now.Sub(timer.Instant(u.lastEvent.Load())) < maxEventGap
 }
 
-// restTime is how long an upstream that refused gets no new work from this
-// instance: it is full, or loads weights for about a second.
-const restTime = 150 * time.Millisecond
+// refusalBackoff is how long this instance sends no new requests to an upstream after a
+// refusal: the upstream is full, or loads weights, which takes about a second.
+const refusalBackoff = 150 * time.Millisecond
 
-// Rest notes a refusal.
-func (u *Upstream) Rest(now timer.Instant) { u.restsUntil.Store(int64(now.Add(restTime))) }
+// Rest records a refusal and starts the backoff.
+func (u *Upstream) Rest(now timer.Instant) { u.backoffUntil.Store(int64(now.Add(refusalBackoff))) }
 
-// Resting reports whether the upstream refused a moment ago.
-func (u *Upstream) Resting(now timer.Instant) bool { return int64(now) < u.restsUntil.Load() }
+// Resting reports whether the upstream is in backoff after a refusal.
+func (u *Upstream) Resting(now timer.Instant) bool { return int64(now) < u.backoffUntil.Load() }
 
-// Room returns how many more requests the upstream takes at once, by this
-// instance's exact count and what the last report shows of others.
+// Room returns the estimated number of free slots, from the exact number of this instance's
+// requests and the load of other instances in the last report.
 func (u *Upstream) Room(now timer.Instant) float64 {
 	own := float64(u.inFlight.Load())
 	h := u.report.Load()
 	if h == nil {
 		return float64(max(1, u.Slots)) - own
 	}
-	return float64(u.slots(h)) - own - u.others(h, now)
+	return float64(u.effectiveSlots(h)) - own - u.othersLoad(h, now)
 }
 
-// Heard takes a report that came now.
+// Heard records a report that was received at now.
 func (u *Upstream) Heard(r engine.Report, now timer.Instant) {
-	u.report.Store(&heard{
-		Report: r,
-		at:     now,
-		own:    u.recentPeak(now),
+	u.report.Store(&receivedReport{
+		Report:     r,
+		receivedAt: now,
+		ownPeak:    u.recentPeak(now),
 	})
 	u.SawVersion(r.Version)
 	if r.Leaving {
@@ -237,19 +246,19 @@
 	}
 }
 
-// recentPeak returns the most requests of this instance in the last one to two
-// windows. A report's lag reaches back that far, however often reports come:
-// they also come along with answers, many times a second.
+// recentPeak returns the maximum number of this instance's requests in the last one to two
+// windows. A report may lag by as much, however often reports arrive: answers carry reports
+// too, many times a second.
 func (u *Upstream) recentPeak(now timer.Instant) int64 {
-	begun := u.window.Load()
-	if now.Sub(timer.Instant(begun)) >= peakWindow && u.window.CompareAndSwap(begun, int64(now)) {
-		u.peakOld.Store(u.peak.Swap(u.inFlight.Load()))
+	start := u.windowStart.Load()
+	if now.Sub(timer.Instant(start)) >= peakWindow && u.windowStart.CompareAndSwap(start, int64(now)) {
+		u.previousPeak.Store(u.peak.Swap(u.inFlight.Load()))
 	}
-	return max(u.peak.Load(), u.peakOld.Load())
+	return max(u.peak.Load(), u.previousPeak.Load())
 }
 
-// SawVersion notes the weight version that the upstream named just now, in a
-// report or in a stream. A stream tells first when an engine has restarted
+// SawVersion records the weight version that the upstream stated, in a
+// report or in a stream. A stream is the first to show that an engine restarted
 // with old weights.
 func (u *Upstream) SawVersion(v version.Version) {
 	if old := u.version.Load(); old == nil || *old != v {
@@ -257,7 +266,7 @@
 	}
 }
 
-// Version returns the weight version that the upstream named last, if any.
+// Version returns the weight version that the upstream last stated, if any.
 func (u *Upstream) Version() (version.Version, bool) {
 	v := u.version.Load()
 	if v == nil {
@@ -266,78 +275,79 @@
 	return *v, true
 }
 
-// Report returns the last report and its age.
+// Report returns the last report and its age, and false if there is none.
 func (u *Upstream) Report(now timer.Instant) (engine.Report, time.Duration, bool) {
 	h := u.report.Load()
 	if h == nil {
 		return engine.Report{}, 0, false
 	}
-	return h.Report, now.Sub(h.at), true
+	return h.Report, now.Sub(h.receivedAt), true
 }
 
-// ReportedLoad returns the load by the last report alone.
+// ReportedLoad returns the load as a share of the slots, by the last report alone.
 func (u *Upstream) ReportedLoad() float64 {
 	h := u.report.Load()
 	if h == nil {
 		return 0
 	}
-	return float64(h.Running+h.Waiting) / float64(u.slots(h))
+	return float64(h.Running+h.Waiting) / float64(u.effectiveSlots(h))
 }
 
-// Load estimates the use of the upstream's slots; 1 means that all are taken.
-// This instance's own requests are counted exactly. Those of others are what
-// the last report said beyond them, and count for less as the report ages: a
-// late report that says "idle" would otherwise draw every instance there.
+// Load estimates the load with one more request, as a share of the upstream's slots; 1 means
+// that all would be taken. A new or slow upstream counts as more loaded. This instance's own
+// requests are counted exactly. The load of others is what the last report shows beyond them,
+// and its weight falls as the report ages: an old report of an idle upstream would otherwise
+// attract every instance.
 func (u *Upstream) Load(now timer.Instant) float64 {
 	own := float64(u.inFlight.Load())
 	h := u.report.Load()
 	if h == nil {
-		return (own + 1) / float64(max(1, u.Slots)) * u.handicap(now)
+		return (own + 1) / float64(max(1, u.Slots)) * u.loadFactor(now)
 	}
-	return (own + u.others(h, now) + 1) / float64(u.slots(h)) * u.handicap(now)
+	return (own + u.othersLoad(h, now) + 1) / float64(u.effectiveSlots(h)) * u.loadFactor(now)
 }
 
-// others is the load of other instances that a report shows. The report is
-// behind by an unknown lag, so what this instance had there at any moment of
-// the last reports may be part of it. Without that, an instance that just
-// finished its requests takes them for somebody else's and holds back.
-func (u *Upstream) others(h *heard, now timer.Instant) float64 {
-	age := float64(now.Sub(h.at)) / float64(reportHalfLife)
-	return max(0, float64(h.Running+h.Waiting)-float64(h.own)) / (1 + max(0, age))
+// othersLoad estimates the load of other instances from a report. The report has an unknown
+// lag, so it may include as many requests of this instance as were in flight at any moment of
+// the last windows. If only the current ones were subtracted, an instance that just finished
+// its requests would take them for those of others and hold back.
+func (u *Upstream) othersLoad(h *receivedReport, now timer.Instant) float64 {
+	halfLives := float64(now.Sub(h.receivedAt)) / float64(reportHalfLife)
+	return max(0, float64(h.Running+h.Waiting)-float64(h.ownPeak)) / (1 + max(0, halfLives))
 }
 
-func (u *Upstream) slots(h *heard) int {
+// effectiveSlots returns the slots in a report, or the configured ones if it has none.
+func (u *Upstream) effectiveSlots(h *receivedReport) int {
 	if h.Slots > 0 {
 		return h.Slots
 	}
 	return max(1, u.Slots)
 }
 
-// handicap makes an upstream look fuller while it is new or slow.
-func (u *Upstream) handicap(now timer.Instant) float64 {
+// loadFactor returns the factor by which the load of a new or slow upstream is raised.
+func (u *Upstream) loadFactor(now timer.Instant) float64 {
 	factor := 1.0
 	if s := math.Float64frombits(u.slowness.Load()); s > 1 {
-		factor = min(s, slowestFactor)
+		factor = min(s, maxSlowness)
 	}
-	age := now.Sub(timer.Instant(u.since.Load()))
+	age := now.Sub(timer.Instant(u.slowStartFrom.Load()))
 	if age >= SlowStart {
 		return factor
 	}
-	share := max(slowStartFloor, float64(age)/float64(SlowStart))
+	share := max(minSlowStartShare, float64(age)/float64(SlowStart))
 	return factor / share
 }
 
-// Pace returns the smoothed time per unit of work in seconds, or zero.
+// Pace returns the smoothed time per unit of work in seconds, or zero if unknown.
 func (u *Upstream) Pace() float64 { return math.Float64frombits(u.pace.Load()) }
 
-// Slow reports whether the upstream takes much longer than the median of its
-// set.
+// Slow reports whether the pace is above slowThreshold times the median of the set.
 func (u *Upstream) Slow() bool {
-	return math.Float64frombits(u.slowness.Load()) > slowFactor
+	return math.Float64frombits(u.slowness.Load()) > slowThreshold
 }
 
-// compare rates the upstream's pace against the median of its set.
-func (u *Upstream) compare(median float64) {
+// updateSlowness stores the ratio of the upstream's pace to the median of its set.
+func (u *Upstream) updateSlowness(median float64) {
 	if median <= 0 || u.Pace() == 0 {
 		return
 	}
