--- a/internal/route/catalog/catalog_test.go
+++ b/internal/route/catalog/catalog_test.go
@@ -9,8 +9,8 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// Two routes of one host overlap. A request goes to the one with the longest
-// prefix, whatever their order in the configuration.
+// Two routes of one host overlap. Guards against routing a request to a route other than the
+// one with the longest prefix, in whatever order they are configured.
 func TestLongestPrefixWins(t *testing.T) {
 	is := is.New(t)
 	cfg := Configuration{
@@ -28,8 +28,8 @@
 	is.Equal(ok, false)
 }
 
-// A route is split. Each service gets its weight's part.
-func TestSplit(t *testing.T) {
+// Guards against a split that does not follow the weights of the services.
+func TestSplitByWeight(t *testing.T) {
 	is := is.New(t)
 	r := Route{
 		Split: []Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}},
@@ -39,8 +39,8 @@
 	is.Equal(Route{}.Choose(0.5), "")
 }
 
-// After an outage the service answers with an older configuration. It must not
-// come into force: an operator was told that the newer one was accepted.
+// After an outage the service returns an older configuration. Guards against putting it into
+// force after an operator was told that the newer one was accepted.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	is := is.New(t)
 	var h Holder
@@ -50,7 +50,7 @@
 	is.Equal(h.Current().Version, uint64(4))
 }
 
-func listed(id string, born int64, leaving bool) Listed {
+func newListed(id string, born int64, leaving bool) Listed {
 	return Listed{
 		ID:      id,
 		Service: "s",
@@ -61,26 +61,26 @@
 	}
 }
 
-// An upstream leaves, and starts again under its old id. The leaving mark of one
-// life must not go over to the next, nor may it be taken back within a life.
-func TestLivesOfAnUpstream(t *testing.T) {
+// An upstream leaves and starts again with the same ID. Guards against carrying the leaving mark
+// over to the next incarnation, and against removing it within one.
+func TestIncarnationsOfAnUpstream(t *testing.T) {
 	is := is.New(t)
 	clock := &timer.Manual{}
 	b := &Book{
 		Timer: clock,
 	}
 	now := clock.Now().Add(time.Hour)
-	b.Update([]Listed{listed("u", 1, false)}, nil)
+	b.Update([]Listed{newListed("u", 1, false)}, nil)
 	first := b.Group("s").Upstreams[0]
 	is.True(first.Usable(now))
-	b.Update([]Listed{listed("u", 1, true)}, nil)
-	b.Update([]Listed{listed("u", 1, false)}, nil)
-	is.Equal(first.Usable(now), false) // leaving can't be unsaid
-	b.Update([]Listed{listed("u", 2, false)}, nil)
+	b.Update([]Listed{newListed("u", 1, true)}, nil)
+	b.Update([]Listed{newListed("u", 1, false)}, nil)
+	is.Equal(first.Usable(now), false) // the leaving mark can't be removed
+	b.Update([]Listed{newListed("u", 2, false)}, nil)
 	second := b.Group("s").Upstreams[0]
 	is.True(second != first)
 	is.True(second.Usable(now))
 	b.Update(nil, []string{"u"})
 	is.Equal(len(b.Group("s").Upstreams), 0)
-	is.Equal(second.Usable(now), false) // a removed entry is a leaving one
+	is.Equal(second.Usable(now), false) // an upstream whose entry is removed is leaving
 }
--- a/internal/route/catalog/configuration.go
+++ b/internal/route/catalog/configuration.go
@@ -9,7 +9,7 @@
 	"github.com/egretbend/egretbend/internal/route/organisation"
 )
 
-// Kind says what may be done with requests of a route.
+// Kind determines how the requests of a route may be handled.
 type Kind string
 
 // The kinds of routes.
@@ -18,19 +18,19 @@
 	Idempotent Kind = "idempotent"
 	// NonIdempotent requests run at most once.
 	NonIdempotent Kind = "non_idempotent"
-	// Streaming answers are passed on event by event.
+	// Streaming answers are forwarded event by event.
 	Streaming Kind = "streaming"
-	// Rollout takes batches of prompts that run later.
+	// Rollout requests are batches of prompts, which run later.
 	Rollout Kind = "rollout"
 )
 
-// Share is a service with its part of a route's requests.
+// Share is a service with its weight in the split of a route's requests.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Route says where requests of a host and path prefix go.
+// Route configures where and how requests for a host and path prefix are routed.
 type Route struct {
 	Name      string
 	Host      string
@@ -39,19 +39,19 @@
 	Split     []Share
 	Timeout   time.Duration
 	Objective time.Duration
-	// Attempts is the most upstreams that one request may be sent to.
+	// Attempts is the maximum number of upstreams that one request may be sent to.
 	Attempts int
-	// Priority is the rank; 0 is the highest.
+	// Priority is the rank of the requests; 0 is the highest.
 	Priority int
-	// Resumable streams may go on at another upstream.
+	// Resumable allows a stream to be continued at another upstream.
 	Resumable bool
-	// SingleVersion wants each sample from one weight version alone.
+	// SingleVersion requires that each sample comes from one weight version alone.
 	SingleVersion bool
 	// ResultDeadline is when the results of a batch are due.
 	ResultDeadline time.Duration
 	// GiveUpAfter is when an item of a batch may be given up.
 	GiveUpAfter time.Duration
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
 }
 
@@ -60,7 +60,8 @@
 	return r.Kind == Idempotent || r.Kind == Rollout || (r.Kind == Streaming && r.Resumable)
 }
 
-// Choose returns the service for a random number in [0, 1).
+// Choose returns the service for a random number in [0, 1), in proportion to the weights in
+// r.Split. It returns "" if r.Split is empty.
 func (r Route) Choose(random float64) string {
 	total := 0.0
 	for _, s := range r.Split {
@@ -86,18 +87,18 @@
 	Models []string
 }
 
-// Scaling bounds how many upstreams of a service may be ordered, and says what they cost.
+// Scaling bounds how many upstreams of a service may be ordered, and gives their cost.
 type Scaling struct {
-	// Most is the most of them in a failure domain.
+	// Most is the maximum number of upstreams in one failure domain.
 	Most int
-	// BootTime is how long after its order an upstream serves.
+	// BootTime is the time from the order of an upstream until it serves requests.
 	BootTime time.Duration
-	// Prices are those of an upstream by failure domain, relative to each other.
+	// Prices are the prices of an upstream by failure domain, relative to each other.
 	Prices map[string]float64
 }
 
-// Service is a group of upstreams. Engine is nil for a plain one, Scaling for one whose
-// upstreams can't be ordered.
+// Service is a group of upstreams. Engine is nil if they are not model engines, and Scaling is
+// nil if they can't be ordered.
 type Service struct {
 	Name        string
 	HealthPath  string
@@ -106,7 +107,7 @@
 	Scaling     *Scaling
 }
 
-// Limits bound what callers may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -114,26 +115,26 @@
 	IdleTimeout   time.Duration
 }
 
-// Configuration is one version of what operators decided. It is immutable.
+// Configuration is one version of the settings made by operators. It is immutable.
 type Configuration struct {
 	Version  uint64
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
-	// Organisations are those whose keys requests bear; where it is empty requests
-	// need none.
+	// Organisations holds the organisations and their keys. If it is empty, requests need no key.
 	Organisations organisation.Directory
 
-	hosts map[string][]Route
+	// routesByHost holds the routes of each host, those with the longest prefix first.
+	routesByHost map[string][]Route
 }
 
-// WithIndex returns the configuration ready for Find.
+// WithIndex returns a copy of the configuration with the index that Find uses.
 func (c Configuration) WithIndex() *Configuration {
-	c.hosts = make(map[string][]Route)
+	c.routesByHost = make(map[string][]Route)
 	for _, r := range c.Routes {
-		c.hosts[r.Host] = append(c.hosts[r.Host], r)
+		c.routesByHost[r.Host] = append(c.routesByHost[r.Host], r)
 	}
-	for _, routes := range c.hosts {
+	for _, routes := range c.routesByHost {
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
 	return &c
@@ -141,7 +142,7 @@
 
 // Find returns the route of host with the longest prefix of path.
 func (c *Configuration) Find(host, path string) (Route, bool) {
-	for _, r := range c.hosts[host] {
+	for _, r := range c.routesByHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -149,15 +150,16 @@
 	return Route{}, false
 }
 
-// Holder keeps the configuration in force. Its zero value holds none.
+// Holder holds the current configuration. Its zero value holds none.
 type Holder struct {
 	current atomic.Pointer[Configuration]
 }
 
-// Current returns the configuration in force, or nil before the first one.
+// Current returns the current configuration, or nil before the first one.
 func (h *Holder) Current() *Configuration { return h.current.Load() }
 
-// Take puts c in force unless the same or a newer version is.
+// Take makes c the current configuration and reports true, unless the current one has the same
+// or a higher version.
 func (h *Holder) Take(c *Configuration) bool {
 	for {
 		old := h.current.Load()
--- a/internal/route/catalog/doc.go
+++ b/internal/route/catalog/doc.go
@@ -1,12 +1,12 @@
-// Package catalog holds what operators configured and which upstreams stand
-// behind it: routes by host and path prefix, services, limits of the doors, and
-// the upstreams of each service with their state.
+// Package catalog holds the configuration set by operators and the upstreams of each service.
+// A Configuration has the routes by host and path prefix, the services, the organisations and
+// the limits for requests; a Book has the upstreams with their state.
 //
 //	cfg := holder.Current()
 //	route, ok := cfg.Find("orders.example", "/confirm/17")
-//	set := book.Service(route.Choose(random))
+//	group := book.Group(route.Choose(random))
 //
-// Configurations only go up in version. An upstream that is leaving, by its
-// own word or because its entry is gone, can't be unmarked: it gets no new work
-// in this life.
+// A Holder only replaces a configuration by one of a higher version. An upstream that is
+// leaving, because it said so or because its entry was removed, gets no new work; the mark can't
+// be removed within the same incarnation.
 package catalog
--- a/internal/route/catalog/upstreams.go
+++ b/internal/route/catalog/upstreams.go
@@ -10,7 +10,7 @@
 	"github.com/egretbend/egretbend/internal/route/upstream"
 )
 
-// Listed is what the platform's list says of an upstream. It is immutable.
+// Listed is the entry of an upstream in the platform's list. It is immutable.
 type Listed struct {
 	ID            string
 	Service       string
@@ -18,9 +18,9 @@
 	FailureDomain string
 	Slots         int
 	Leaving       bool
-	// Reclaimable ones may be taken away by the platform with short notice.
+	// Reclaimable reports whether the platform may take the upstream away at short notice.
 	Reclaimable bool
-	// Born tells two lives under one id apart.
+	// Born distinguishes incarnations with the same ID.
 	Born int64
 	// Versions are the weight versions by model.
 	Versions map[string]uint64
@@ -30,23 +30,23 @@
 type Upstream struct {
 	*upstream.Upstream
 	listed atomic.Pointer[Listed]
-	// reserved is the memory that streams of this instance will need, in tokens.
-	reserved atomic.Int64
+	// reservedTokens is the engine memory, in tokens, reserved for streams of this instance.
+	reservedTokens atomic.Int64
 }
 
-// Reserve counts memory that a stream will need; a negative number gives it back.
-func (u *Upstream) Reserve(tokens int64) { u.reserved.Add(tokens) }
+// Reserve reserves engine memory for a stream; a negative number releases it.
+func (u *Upstream) Reserve(tokens int64) { u.reservedTokens.Add(tokens) }
 
-// Reserved returns the memory that streams of this instance will need, in tokens.
-func (u *Upstream) Reserved() int64 { return u.reserved.Load() }
+// Reserved returns the engine memory reserved for streams of this instance, in tokens.
+func (u *Upstream) Reserved() int64 { return u.reservedTokens.Load() }
 
-// Listed returns what the list says.
+// Listed returns the upstream's entry in the platform's list.
 func (u *Upstream) Listed() *Listed { return u.listed.Load() }
 
-// ModelVersion returns the weight version of a model by the list.
+// ModelVersion returns the weight version of a model according to the list.
 func (u *Upstream) ModelVersion(model string) uint64 { return u.Listed().Versions[model] }
 
-// Group is the upstreams of one service. It is immutable; the upstreams' state
+// Group holds the upstreams of one service. It is immutable, but the upstreams' state
 // is not.
 type Group struct {
 	Upstreams []*Upstream
@@ -54,7 +54,7 @@
 	Set *upstream.Set
 }
 
-// Book holds all upstreams by id. Its zero value is empty.
+// Book holds all upstreams by ID. Its zero value is empty; Timer must be set before Update.
 type Book struct {
 	Timer timer.Service
 
@@ -83,16 +83,16 @@
 	return nil
 }
 
-// Update takes new entries and the ids whose entries are gone.
+// Update adds or replaces the given entries, and removes the upstreams with the ids in gone.
 func (b *Book) Update(entries []Listed, gone []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byID == nil {
 		b.byID = make(map[string]*Upstream)
 	}
-	first := len(b.byID) == 0
+	initial := len(b.byID) == 0
 	for i := range entries {
-		b.put(&entries[i], first)
+		b.upsert(&entries[i], initial)
 	}
 	for _, id := range gone {
 		if u := b.byID[id]; u != nil {
@@ -100,12 +100,14 @@
 			delete(b.byID, id)
 		}
 	}
-	b.rebuild()
+	b.rebuildGroups()
 }
 
-// put adopts an entry. Another address or birth is another life: neither the
-// counts nor the leaving mark of the one before carry over.
-func (b *Book) put(l *Listed, first bool) {
+// upsert adds or updates the upstream of an entry. If the address, Born or the service changed,
+// it creates a new upstream, which takes over neither the counts nor the leaving mark. initial
+// reports whether the book was empty, in which case a new upstream skips the slow start. The
+// caller holds b.mu.
+func (b *Book) upsert(l *Listed, initial bool) {
 	u := b.byID[l.ID]
 	if u != nil {
 		old := u.Listed()
@@ -125,7 +127,7 @@
 			},
 		}
 		since := b.Timer.Now()
-		if first {
+		if initial {
 			since = since.Add(-time.Minute)
 		}
 		u.StartedAt(since)
@@ -137,7 +139,8 @@
 	}
 }
 
-func (b *Book) rebuild() {
+// rebuildGroups replaces the groups after a change of b.byID. The caller holds b.mu.
+func (b *Book) rebuildGroups() {
 	groups := make(map[string]*Group)
 	for _, u := range b.byID {
 		service := u.Listed().Service
@@ -158,7 +161,7 @@
 	b.groups.Store(&groups)
 }
 
-// Judge compares the upstreams of each service and bounds how many are out.
+// Judge updates the slowness of the upstreams of each service and limits how many are ejected.
 func (b *Book) Judge(now timer.Instant) {
 	for _, g := range b.Groups() {
 		g.Set.Judge(now)
--- a/internal/route/organisation/doc.go
+++ b/internal/route/organisation/doc.go
@@ -1,6 +1,7 @@
-// Package organisation tells by the key of a request on whose behalf it is made.
+// Package organisation determines the organisation on whose behalf a request is made, from the
+// key that the request carries.
 //
-// Only digests of keys are kept. A Directory is immutable and is part of a
+// Only digests of keys are stored. A Directory is immutable and is part of a
 // configuration:
 //
 //	d := organisation.NewDirectory([]organisation.Organisation{{
@@ -9,4 +10,7 @@
 //	}})
 //	key, err := organisation.KeyOf(r.Header)
 //	org, ok := d.Find(key)
+//
+// When an instance forwards a message, Vouch and Directory.Vouched authenticate the organisation
+// without sending the key.
 package organisation
--- a/internal/route/organisation/key.go
+++ b/internal/route/organisation/key.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// Header carries the key of a request, as a bearer token.
+// Header is the HTTP header that carries the key of a request, as a bearer token.
 const Header = "Authorization"
 
-// maxKey bounds a key; longer ones are no keys.
-const maxKey = 512
+// maxKeyBytes is the maximum length of a key in bytes.
+const maxKeyBytes = 512
 
-// The ways in which a request can be without a key.
+// Errors of KeyOf.
 var (
-	// ErrNoKey means that a request names no key.
+	// ErrNoKey means that a request carries no key.
 	ErrNoKey = errors.New("the request carries no key; send it as a bearer token")
-	// ErrMalformed means that what a request names can't be a key.
-	ErrMalformed = errors.New("the key is not one bearer token")
+	// ErrMalformed means that the header is not a single bearer token that can be a key.
+	ErrMalformed = errors.New("the request does not carry exactly one valid bearer token")
 )
 
 // KeyOf returns the key that a request carries.
@@ -31,11 +31,11 @@
 		return "", ErrMalformed
 	}
 	key = strings.Trim(key, " ")
-	if key == "" || len(key) > maxKey || strings.ContainsFunc(key, unprintable) {
+	if key == "" || len(key) > maxKeyBytes || strings.ContainsFunc(key, invalidKeyRune) {
 		return "", ErrMalformed
 	}
 	return key, nil
 }
 
-// unprintable reports whether a rune can't be part of a key.
-func unprintable(r rune) bool { return r <= ' ' || r > '~' }
+// invalidKeyRune reports whether a rune is not allowed in a key.
+func invalidKeyRune(r rune) bool { return r <= ' ' || r > '~' }
--- a/internal/route/organisation/organisation.go
+++ b/internal/route/organisation/organisation.go
@@ -13,7 +13,7 @@
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// ParseDigest reads the text form of a digest, 64 hexadecimal digits.
+// ParseDigest parses the text form of a digest, 64 hexadecimal digits.
 func ParseDigest(text string) (Digest, error) {
 	var d Digest
 	b, err := hex.DecodeString(text)
@@ -24,32 +24,32 @@
 	return d, nil
 }
 
-// String returns the text form.
+// String returns the text form, which is hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Organisation is who requests are made for.
+// Organisation is an organisation on whose behalf requests are made, with its keys.
 type Organisation struct {
 	Name string
-	// Digests are those of its keys.
+	// Digests are the digests of its keys.
 	Digests []Digest
-	// Priority is its rank; 0 is the highest. It goes before that of a route.
+	// Priority is its rank; 0 is the highest. It takes precedence over that of a route.
 	Priority int
 }
 
-// Directory finds organisations by their keys. Its zero value knows none.
+// Directory finds organisations by their keys. Its zero value is empty.
 type Directory struct {
 	byDigest map[Digest]entry
 	count    int
 }
 
-// entry holds the whole digest beside the organisation, to be compared in
+// entry holds the digest again beside the organisation, for a comparison in
 // constant time.
 type entry struct {
 	digest       Digest
 	organisation Organisation
 }
 
-// NewDirectory returns a directory of organisations.
+// NewDirectory returns a directory of the given organisations.
 func NewDirectory(organisations []Organisation) Directory {
 	d := Directory{
 		byDigest: make(map[Digest]entry),
@@ -66,10 +66,10 @@
 	return d
 }
 
-// Empty reports whether no organisation is known, so that requests need no key.
+// Empty reports whether there is no organisation, in which case requests need no key.
 func (d Directory) Empty() bool { return d.count == 0 }
 
-// Find returns the organisation that holds a key.
+// Find returns the organisation that owns a key.
 func (d Directory) Find(key string) (Organisation, bool) {
 	digest := DigestOf(key)
 	e, ok := d.byDigest[digest]
--- a/internal/route/organisation/organisation_test.go
+++ b/internal/route/organisation/organisation_test.go
@@ -25,17 +25,18 @@
 	_, ok := d.Find("k4")
 	is.True(!ok)
 	_, ok = d.Find(DigestOf("k1").String())
-	is.True(!ok) // a digest is no key
+	is.True(!ok) // a digest is not accepted as a key
 }
 
-// An organisation whose last key was taken away must not turn the others' keys off.
-func TestOrganisationWithoutKeysStillAsksForKeys(t *testing.T) {
+// Guards against turning off the check of keys for all organisations when one has lost its last
+// key.
+func TestOrganisationWithoutKeysStillRequiresKeys(t *testing.T) {
 	is := is.New(t)
 	is.True(!NewDirectory([]Organisation{{Name: "saddlers"}}).Empty())
 }
 
-// Guards against a voucher that is taken for another organisation or another request.
-func TestVouched(t *testing.T) {
+// Guards against accepting a voucher for another organisation or another request.
+func TestVouchedRejectsOtherOrganisationOrMessage(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory([]Organisation{
 		{Name: "saddlers", Digests: []Digest{DigestOf("k1"), DigestOf("k2")}},
@@ -81,7 +82,7 @@
 	is.True(errors.Is(err, ErrNoKey))
 	for _, wrong := range []http.Header{
 		header(""), header("Bearer"), header("Bearer "), header("Basic abc"), header("Bearer a b"), header("Bearer a\x00"),
-		header("Bearer a", "Bearer b"), header("Bearer " + strings.Repeat("k", maxKey+1)),
+		header("Bearer a", "Bearer b"), header("Bearer " + strings.Repeat("k", maxKeyBytes+1)),
 	} {
 		_, err = KeyOf(wrong)
 		is.True(errors.Is(err, ErrMalformed))
@@ -95,10 +96,10 @@
 	f.Fuzz(func(t *testing.T, value string) {
 		key, err := KeyOf(http.Header{Header: {value}})
 		if err != nil && key != "" {
-			t.Fatalf("a key beside an error: %q", key)
+			t.Fatalf("key %q was returned together with an error", key)
 		}
-		if err == nil && (key == "" || len(key) > maxKey || strings.ContainsAny(key, " \t\r\n\x00") || !strings.Contains(value, key)) {
-			t.Fatalf("%q was taken for a key", key)
+		if err == nil && (key == "" || len(key) > maxKeyBytes || strings.ContainsAny(key, " \t\r\n\x00") || !strings.Contains(value, key)) {
+			t.Fatalf("invalid key %q was accepted", key)
 		}
 	})
 }
--- a/internal/route/organisation/voucher.go
+++ b/internal/route/organisation/voucher.go
@@ -6,23 +6,25 @@
 	"encoding/hex"
 )
 
-// Vouch returns a word by which an instance that read a key shows another one on whose
-// behalf a message is passed on. The key itself goes nowhere.
+// Vouch returns a message authentication code, keyed with the digest of key. An instance that
+// read the key sends it to another one as proof of the organisation on whose behalf the message
+// is forwarded. The key itself is not sent.
 func Vouch(key, message string) string {
 	digest := DigestOf(key)
-	return digest.vouch(message)
+	return digest.messageMAC(message)
 }
 
-func (d Digest) vouch(message string) string {
+// messageMAC returns the HMAC-SHA-256 of a message in hexadecimal form, keyed with d.
+func (d Digest) messageMAC(message string) string {
 	mac := hmac.New(sha256.New, d[:])
 	mac.Write([]byte(message))
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-// Vouched returns the organisation of a name if a key of its own vouches for the message.
+// Vouched returns the named organisation if voucher was made for message with one of its keys.
 func (d Directory) Vouched(name, message, voucher string) (Organisation, bool) {
 	for _, e := range d.byDigest {
-		if e.organisation.Name == name && hmac.Equal([]byte(e.digest.vouch(message)), []byte(voucher)) {
+		if e.organisation.Name == name && hmac.Equal([]byte(e.digest.messageMAC(message)), []byte(voucher)) {
 			return e.organisation, true
 		}
 	}
--- a/internal/route/ticket/book.go
+++ b/internal/route/ticket/book.go
@@ -11,45 +11,51 @@
 	"github.com/egretbend/egretbend/internal/route/relay"
 )
 
-// How long tickets live.
+// Limits of a Book.
 const (
-	// Life is the time in which a ticket may be used and asked about.
+	// Life is how long a ticket may be used after its issue. Its run is kept for another Life
+	// after that.
 	Life = 10 * time.Minute
-	// answerBytes bounds the answers that are kept for repeats.
-	answerBytes = 64 << 20
+	// maxAnswerBytes bounds the total size of the answers that are kept for repeats.
+	maxAnswerBytes = 64 << 20
 )
 
-// Book knows the tickets of this incarnation of this instance.
+// Book issues tickets and keeps the runs of their requests, for one incarnation of an instance.
 type Book struct {
 	Address     string
 	Incarnation uint64
 	Timer       timer.Service
 
-	mu      sync.Mutex
-	next    uint64
-	floor   uint64
-	used    map[uint64]*Run
-	byAge   []uint64
-	stored  int
-	answers []uint64
+	mu sync.Mutex
+	// lastIssued is the number of the last ticket issued.
+	lastIssued uint64
+	// forgottenThrough is the highest ticket number whose run was forgotten.
+	forgottenThrough uint64
+	// runs are the kept runs by ticket number, and runOrder these numbers in order of first use.
+	runs     map[uint64]*Run
+	runOrder []uint64
+	// storedBytes is the total size of the kept answers, and answerOrder the ticket numbers of
+	// the runs with an answer in order of their end.
+	storedBytes int
+	answerOrder []uint64
 }
 
-// Run is the one run of a ticket's request.
+// Run is the only run of a ticket's request.
 type Run struct {
 	// Done is closed when the run has ended.
 	Done <-chan struct{}
 
-	done    chan struct{}
-	book    *Book
-	number  uint64
-	expires timer.Instant
-	print   uint64
-	answer  *relay.Answer
-	err     error
+	done        chan struct{}
+	book        *Book
+	number      uint64
+	expires     timer.Instant
+	fingerprint uint64
+	answer      *relay.Answer
+	err         error
 }
 
-// Print is the fingerprint of a request, by which a repeat is told from
-// another request under the same ticket.
+// Print returns the fingerprint of a request, which tells a repeat from another request with
+// the same ticket.
 func Print(method, deployment, path string, body []byte) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{method, deployment, path} {
@@ -66,65 +72,66 @@
 	defer b.mu.Unlock()
 	list := make([]Ticket, 0, n)
 	for range n {
-		b.next++
+		b.lastIssued++
 		list = append(list, Ticket{
 			Address:     b.Address,
 			Incarnation: b.Incarnation,
-			Number:      b.next,
+			Number:      b.lastIssued,
 			Expires:     b.Timer.Now().Add(Life),
 		})
 	}
 	return list
 }
 
-// Mine reports whether this incarnation issued t.
+// Mine reports whether this incarnation of the instance issued t.
 func (b *Book) Mine(t Ticket) bool {
 	return t.Address == b.Address && t.Incarnation == b.Incarnation
 }
 
-// Use begins the run of a ticket's request, or finds the run that a request
-// before began. Errors: problem.TicketHolderGone, .TicketExpired,
+// Use starts the run of a ticket's request, or returns the earlier run if the ticket was used
+// before for the same request. Errors: problem.TicketHolderGone, .TicketExpired,
 // .TicketMismatch, .BadRequest.
-func (b *Book) Use(t Ticket, print uint64) (run, earlier *Run, err error) {
+func (b *Book) Use(t Ticket, fingerprint uint64) (run, earlier *Run, err error) {
 	if !b.Mine(t) {
 		return nil, nil, problem.TicketHolderGone.Withf("the ticket is of an earlier incarnation of %s", t.Address)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sweep()
-	if t.Number == 0 || t.Number > b.next {
+	b.expireRuns()
+	if t.Number == 0 || t.Number > b.lastIssued {
 		return nil, nil, problem.BadRequest.Withf("ticket %v was never issued", t)
 	}
-	if old, ok := b.used[t.Number]; ok {
-		if old.print != print {
+	if earlierRun, ok := b.runs[t.Number]; ok {
+		if earlierRun.fingerprint != fingerprint {
 			return nil, nil, problem.TicketMismatch.Withf("ticket %v was used for another request", t)
 		}
-		return nil, old, nil
+		return nil, earlierRun, nil
 	}
-	// A used ticket is remembered until it has expired; so one that is neither
-	// remembered nor expired was never used. Tickets expire in the order of
-	// their numbers: the floor holds also for one whose time was altered.
-	if b.Timer.Now() >= t.Expires || t.Number <= b.floor {
+	// The run of a used ticket is kept until the ticket has expired, so a ticket without a run
+	// that has not expired was never used. Tickets expire in the order of their numbers, so
+	// forgottenThrough also rejects a ticket whose expiry the caller altered.
+	if b.Timer.Now() >= t.Expires || t.Number <= b.forgottenThrough {
 		return nil, nil, problem.TicketExpired.Withf("ticket %v has expired", t)
 	}
-	return b.begin(t, print), nil, nil
+	return b.startRun(t, fingerprint), nil, nil
 }
 
-func (b *Book) begin(t Ticket, print uint64) *Run {
+// startRun adds a run for t. The caller holds b.mu.
+func (b *Book) startRun(t Ticket, fingerprint uint64) *Run {
 	done := make(chan struct{})
 	run := &Run{
-		Done:    done,
-		done:    done,
-		book:    b,
-		number:  t.Number,
-		expires: t.Expires,
-		print:   print,
+		Done:        done,
+		done:        done,
+		book:        b,
+		number:      t.Number,
+		expires:     t.Expires,
+		fingerprint: fingerprint,
 	}
-	if b.used == nil {
-		b.used = make(map[uint64]*Run)
+	if b.runs == nil {
+		b.runs = make(map[uint64]*Run)
 	}
-	b.used[t.Number] = run
-	b.byAge = append(b.byAge, t.Number)
+	b.runs[t.Number] = run
+	b.runOrder = append(b.runOrder, t.Number)
 	return run
 }
 
@@ -136,15 +143,16 @@
 	r.answer = answer
 	r.err = err
 	if answer != nil {
-		b.stored += len(answer.Body)
-		b.answers = append(b.answers, r.number)
+		b.storedBytes += len(answer.Body)
+		b.answerOrder = append(b.answerOrder, r.number)
 	}
-	b.trim()
+	b.evictAnswers()
 	close(r.done)
 }
 
-// Result returns what Finish was given. It must be called after Done. An
-// answer that is no longer kept is told as unknown, never run again.
+// Result returns the result given to Finish. It must be called after Done is closed. If the
+// answer is no longer kept, the outcome is reported as unknown and the request is not run
+// again.
 func (r *Run) Result() (*relay.Answer, error) {
 	r.book.mu.Lock()
 	defer r.book.mu.Unlock()
@@ -154,31 +162,31 @@
 	return r.answer, r.err
 }
 
-// sweep forgets runs whose ticket expired a full life ago.
-func (b *Book) sweep() {
+// expireRuns deletes the runs whose ticket expired at least Life ago. The caller holds b.mu.
+func (b *Book) expireRuns() {
 	now := b.Timer.Now()
-	for len(b.byAge) > 0 {
-		run, ok := b.used[b.byAge[0]]
+	for len(b.runOrder) > 0 {
+		run, ok := b.runs[b.runOrder[0]]
 		if ok && now < run.expires.Add(Life) {
 			return
 		}
 		if ok && run.answer != nil {
-			b.stored -= len(run.answer.Body)
+			b.storedBytes -= len(run.answer.Body)
 		}
-		b.floor = max(b.floor, b.byAge[0])
-		delete(b.used, b.byAge[0])
-		b.byAge = b.byAge[1:]
+		b.forgottenThrough = max(b.forgottenThrough, b.runOrder[0])
+		delete(b.runs, b.runOrder[0])
+		b.runOrder = b.runOrder[1:]
 	}
 }
 
-// trim drops the oldest answers when too much is kept. That the request ran
-// stays known.
-func (b *Book) trim() {
-	for b.stored > answerBytes && len(b.answers) > 1 {
-		if run, ok := b.used[b.answers[0]]; ok && run.answer != nil {
-			b.stored -= len(run.answer.Body)
+// evictAnswers deletes the oldest answers while they exceed maxAnswerBytes, except the last one.
+// The runs are kept, so that the requests don't run again. The caller holds b.mu.
+func (b *Book) evictAnswers() {
+	for b.storedBytes > maxAnswerBytes && len(b.answerOrder) > 1 {
+		if run, ok := b.runs[b.answerOrder[0]]; ok && run.answer != nil {
+			b.storedBytes -= len(run.answer.Body)
 			run.answer = nil
 		}
-		b.answers = b.answers[1:]
+		b.answerOrder = b.answerOrder[1:]
 	}
 }
--- a/internal/route/ticket/doc.go
+++ b/internal/route/ticket/doc.go
@@ -1,15 +1,15 @@
-// Package ticket keeps a request that may not be repeated from running twice.
+// Package ticket keeps a request that must not be repeated from running twice.
 //
-// An instance issues a Ticket: its address, its incarnation and a number. Only
-// that incarnation of that instance lets the ticket's request run, and only
-// once. Whoever else receives the ticket passes the request on to the issuer.
-// When the issuer is gone, nobody can tell what became of the request, and
-// nobody runs it again. So no state is shared and no cost grows with the fleet.
+// An instance issues a Ticket, which holds its address, its incarnation and a number. Only
+// that incarnation of that instance runs the ticket's request, and only once. An instance that
+// receives a ticket of another issuer forwards the request to the issuer. Once the issuer is
+// gone, the outcome of the request is unknown and no instance runs it again. So instances share
+// no state, and the cost does not grow with the fleet.
 //
-//	run, done, err := book.Use(ticket, ticket.Print(body))
+//	run, earlier, err := book.Use(t, ticket.Print(method, deployment, path, body))
 //	switch {
-//	case err != nil:     // expired, of another incarnation, used for something else
-//	case run != nil:     // first use: run it, then run.Finish(answer, err)
-//	default:             // a repeat: wait for done, then done.Answer
+//	case err != nil: // expired, of another incarnation, or used for another request
+//	case run != nil: // first use: run the request, then call run.Finish(answer, err)
+//	default:         // repeat: wait for earlier.Done, then call earlier.Result()
 //	}
 package ticket
--- a/internal/route/ticket/proof_test.go
+++ b/internal/route/ticket/proof_test.go
@@ -14,41 +14,41 @@
 	"github.com/egretbend/egretbend/internal/standin/proof"
 )
 
-// mechanisms are what the proofs switch off, one at a time.
-type mechanisms struct {
-	anyInstance bool // an instance runs a ticket that it did not issue
-	trueExpiry  bool // the caller may alter the time in its ticket
+// faultConfig selects the faults that a test injects.
+type faultConfig struct {
+	anyInstance   bool // an instance runs a ticket that it did not issue
+	alteredExpiry bool // the caller alters the expiry in its ticket
 }
 
 const instances = 3
 
-// world is a fleet of books, callers who ask again anywhere, and an oracle:
-// how often each request ran.
-type world struct {
-	t     *rapid.T
-	off   mechanisms
-	clock *timer.Manual
-	books []*ticket.Book
+// fleet is a set of books and of callers who repeat requests at any instance. It counts how
+// often each request ran.
+type fleet struct {
+	t      *rapid.T
+	faults faultConfig
+	clock  *timer.Manual
+	books  []*ticket.Book
 
 	issued []ticket.Ticket
 	runs   map[ticket.Ticket]int
 	open   []*ticket.Run
 }
 
-func newWorld(t *rapid.T, off mechanisms) *world {
-	w := &world{
-		t:     t,
-		off:   off,
-		clock: &timer.Manual{},
-		runs:  make(map[ticket.Ticket]int),
+func newFleet(t *rapid.T, faults faultConfig) *fleet {
+	w := &fleet{
+		t:      t,
+		faults: faults,
+		clock:  &timer.Manual{},
+		runs:   make(map[ticket.Ticket]int),
 	}
 	for i := range instances {
-		w.books = append(w.books, w.book(i, 1))
+		w.books = append(w.books, w.newBook(i, 1))
 	}
 	return w
 }
 
-func (w *world) book(i int, incarnation uint64) *ticket.Book {
+func (w *fleet) newBook(i int, incarnation uint64) *ticket.Book {
 	return &ticket.Book{
 		Address:     fmt.Sprintf("127.0.0.1:%d", 7000+i),
 		Incarnation: incarnation,
@@ -56,22 +56,22 @@
 	}
 }
 
-// ask sends a ticket's request to an instance, which passes it on to the
+// send sends a ticket's request to an instance, which forwards it to the
 // instance at the issuer's address.
-func (w *world) ask(t ticket.Ticket, at int) {
+func (w *fleet) send(t ticket.Ticket, at int) {
 	key := t
 	target := w.books[at]
 	for _, b := range w.books {
-		if b.Address == t.Address && !w.off.anyInstance {
+		if b.Address == t.Address && !w.faults.anyInstance {
 			target = b
 		}
 	}
-	if w.off.anyInstance {
+	if w.faults.anyInstance {
 		t.Address = target.Address
 		t.Incarnation = target.Incarnation
 		target.Issue(int(t.Number))
 	}
-	if w.off.trueExpiry {
+	if w.faults.alteredExpiry {
 		t.Expires = w.clock.Now().Add(time.Hour)
 	}
 	run, _, err := target.Use(t, 1)
@@ -84,11 +84,11 @@
 		return
 	}
 	if err != nil && problem.From(err).Kind.Outcome == problem.NotRun && w.runs[key] > 0 {
-		w.t.Fatalf("ticket %v ran and was told not run: %v", key, err)
+		w.t.Fatalf("ticket %v ran but was reported as not run: %v", key, err)
 	}
 }
 
-func (w *world) finish(pick int) {
+func (w *fleet) finish(pick int) {
 	if len(w.open) == 0 {
 		return
 	}
@@ -99,10 +99,11 @@
 	w.open = append(w.open[:i], w.open[i+1:]...)
 }
 
-// history drives a world through issues, repeats, deaths and long waits.
-func history(off mechanisms) func(*rapid.T) {
+// randomOperations issues tickets, sends and repeats requests, replaces instances and lets time
+// pass, in random order.
+func randomOperations(faults faultConfig) func(*rapid.T) {
 	return func(t *rapid.T) {
-		w := newWorld(t, off)
+		w := newFleet(t, faults)
 		pick := rapid.IntRange(0, 1000)
 		t.Repeat(map[string]func(*rapid.T){
 			"issue": func(t *rapid.T) {
@@ -110,13 +111,13 @@
 			},
 			"ask": func(t *rapid.T) {
 				if len(w.issued) > 0 {
-					w.ask(w.issued[pick.Draw(t, "ticket")%len(w.issued)], pick.Draw(t, "instance")%instances)
+					w.send(w.issued[pick.Draw(t, "ticket")%len(w.issued)], pick.Draw(t, "instance")%instances)
 				}
 			},
 			"finish": func(t *rapid.T) { w.finish(pick.Draw(t, "run")) },
 			"replace": func(t *rapid.T) {
 				i := pick.Draw(t, "instance") % instances
-				w.books[i] = w.book(i, w.books[i].Incarnation+1)
+				w.books[i] = w.newBook(i, w.books[i].Incarnation+1)
 			},
 			"wait": func(t *rapid.T) {
 				w.clock.Advance(time.Duration(rapid.IntRange(1, 30).Draw(t, "minutes")) * time.Minute)
@@ -125,25 +126,26 @@
 	}
 }
 
-// A caller asks again at another instance, after the first one died, was
-// replaced under the same address, or long after. It would notice a hide that
-// is cut twice, or one that was cut though it was told "not run".
+// A caller repeats a request at another instance, after the first one died, was
+// replaced under the same address, or long after. Guards against running the request twice, and
+// against reporting it as not run after it ran.
 func TestTicketRunsAtMostOnce(t *testing.T) {
-	proof.Check(t, history(mechanisms{}))
+	proof.Check(t, randomOperations(faultConfig{}))
 }
 
-// An instance that runs a request under another one's ticket runs it a second
-// time when the first one did already.
-func TestTicketRunsTwiceWhenAnyInstanceHonoursIt(t *testing.T) {
-	proof.Refute(t, history(mechanisms{
+// Checks that the test above finds the fault of an instance that runs a request under a ticket
+// that it did not issue: the request runs twice if the issuer ran it already.
+func TestTicketRunsTwiceIfAnyInstanceRunsIt(t *testing.T) {
+	proof.Refute(t, randomOperations(faultConfig{
 		anyInstance: true,
 	}))
 }
 
-// A caller alters the time in its ticket. The book forgot the run, and only
-// the order of the numbers tells that the ticket is an old one.
+// A caller alters the expiry in its ticket after the book has deleted the run, and only the
+// order of the ticket numbers shows that the ticket is old. Guards against running the request
+// again.
 func TestAlteredExpiryDoesNotRunAgain(t *testing.T) {
-	proof.Check(t, history(mechanisms{
-		trueExpiry: true,
+	proof.Check(t, randomOperations(faultConfig{
+		alteredExpiry: true,
 	}))
 }
--- a/internal/route/ticket/ticket.go
+++ b/internal/route/ticket/ticket.go
@@ -9,9 +9,9 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// Ticket allows one run of one request.
+// Ticket permits one run of one request.
 type Ticket struct {
-	// Address is the issuer's, for callers.
+	// Address is the address at which the issuer serves callers.
 	Address     string
 	Incarnation uint64
 	Number      uint64
@@ -19,9 +19,10 @@
 	Expires timer.Instant
 }
 
+// separator separates the parts of a ticket's text form.
 const separator = "/"
 
-// String returns the ticket as callers carry it.
+// String returns the text form, which callers send.
 func (t Ticket) String() string {
 	return strings.Join([]string{
 		t.Address,
@@ -31,7 +32,7 @@
 	}, separator)
 }
 
-// Parse reads a ticket.
+// Parse parses the text form of a ticket.
 func Parse(s string) (Ticket, error) {
 	parts := strings.Split(s, separator)
 	if len(parts) != 4 {
@@ -45,7 +46,7 @@
 	number, err2 := strconv.ParseUint(parts[2], 36, 64)
 	expires, err3 := strconv.ParseInt(parts[3], 36, 64)
 	if err1 != nil || err2 != nil || err3 != nil {
-		return Ticket{}, fmt.Errorf("ticket %q has a part that is no number", s)
+		return Ticket{}, fmt.Errorf("ticket %q has a part that is not a number", s)
 	}
 	return Ticket{
 		Address:     parts[0],
