--- a/internal/route/suspect/evidence.go
+++ b/internal/route/suspect/evidence.go
@@ -86,8 +86,8 @@
 }
 
 // Add records a crash and reports whether it was added. A crash is not added if it is known
-// already, if the request was cleared at or after it, or if the upstream crash has
-// maxRequestsPerCrash requests.
+// already, in which case only its Row may be raised, if the request was cleared at or after
+// it, or if the upstream crash has maxRequestsPerCrash requests.
 func (e *Evidence) Add(c Crash) bool {
 	if at, ok := e.cleared[c.Print]; ok && c.At <= at {
 		return false
--- a/internal/route/ticket/book.go
+++ b/internal/route/ticket/book.go
@@ -54,8 +54,8 @@
 	err         error
 }
 
-// Print returns the fingerprint of a request, which tells a repeat from another request with
-// the same ticket.
+// Print returns the fingerprint of a request, which distinguishes a repeat from another
+// request with the same ticket.
 func Print(method, deployment, path string, body []byte) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{method, deployment, path} {
--- a/internal/route/upstream/refresh.go
+++ b/internal/route/upstream/refresh.go
@@ -42,9 +42,11 @@
 	Timer   timer.Service
 	Engine  engine.Adapter
 
+	// revision and listingChanges identify the configuration and the list of the last rebuild.
 	revision       uint64
 	listingChanges uint64
-	nextReport     map[*Upstream]timer.Instant
+	// nextReport is the time at which the next report of each upstream is due.
+	nextReport map[*Upstream]timer.Instant
 }
 
 // Run refreshes the table until t is dying.
@@ -112,23 +114,23 @@
 		total += len(s.Upstreams)
 	}
 	period := max(reportPeriod, time.Duration(total)*time.Second/reportsPerSecond)
-	seen := make(map[*Upstream]timer.Instant, total)
+	next := make(map[*Upstream]timer.Instant, total)
 	var due []*Upstream
 	for _, s := range r.Table.Sets() {
 		for _, u := range s.Upstreams {
 			at, known := r.nextReport[u]
 			if known && now < at {
-				seen[u] = at
+				next[u] = at
 				continue
 			}
-			seen[u] = now.Add(jitter(period))
+			next[u] = now.Add(jitter(period))
 			// Answers carry reports too, so an upstream in use is not asked.
 			if _, age, ok := u.Report(now); !ok || age >= reportPeriod {
 				due = append(due, u)
 			}
 		}
 	}
-	r.nextReport = seen
+	r.nextReport = next
 	return due
 }
 
