--- /dev/null
+++ b/internal/batch/runner/backoff_test.go
@@ -0,0 +1,76 @@
+package runner
+
+import (
+	"context"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/egretbend/egretbend/internal/batch/submission"
+	"github.com/egretbend/egretbend/internal/kernel/timer"
+	"github.com/egretbend/egretbend/internal/outside/engine"
+	"github.com/egretbend/egretbend/internal/route/catalog"
+)
+
+// Guards against an item that crashes one engine after the other as fast as they
+// come back, and against other items of its batch that have to wait behind it.
+func TestItemThatCrashesEnginesIsDelayed(t *testing.T) {
+	is := is.New(t)
+	var runs atomic.Int32
+	b := newTestBench(t, func(_ context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error {
+		if g.Item.ID == "bad" {
+			runs.Add(1)
+			return engine.ErrCut
+		}
+		return emitEvents(0, 1, 5, emit)
+	})
+	is.NoErr(b.submit("bad", "good"))
+	is.Equal(len(b.waitForResults(1)), 1)
+	begun := b.clock.Now()
+	is.True(eventually(func() bool { return b.clock.Now().Sub(begun) >= 20*time.Second }))
+	is.True(runs.Load() <= 4+20/4+2)
+	is.True(runs.Load() >= 4) // never for as long as a step may miss it
+}
+
+// Guards against an item that is delayed because it lost one engine after the
+// other, although it made progress at each.
+func TestItemWithProgressIsNotDelayed(t *testing.T) {
+	is := is.New(t)
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+		if g.After == 9 {
+			return emitEvents(9, 10, 5, emit)
+		}
+		if err := emitEvents(g.After, g.After+1, 5, emit); err != nil {
+			return err
+		}
+		return engine.ErrBroken
+	})
+	is.NoErr(b.submit("x"))
+	begun := b.clock.Now()
+	got := b.waitForResults(1)
+	is.Equal(len(got), 1)
+	is.Equal(got[0].State, submission.Completed)
+	is.True(b.clock.Now().Sub(begun) < 2*time.Second)
+}
+
+// Guards against a delay that grows without limit, and against one after a single
+// loss.
+func TestBackoff(t *testing.T) {
+	is := is.New(t)
+	var s backoff
+	now := timer.Instant(time.Hour)
+	for range toleratedLosses {
+		s.engineLost(now)
+		is.True(s.ready(now))
+	}
+	for _, wait := range []time.Duration{initialBackoff, 2 * initialBackoff, 4 * initialBackoff, maxBackoff, maxBackoff} {
+		s.engineLost(now)
+		is.True(!s.ready(now.Add(wait - time.Millisecond)))
+		is.True(s.ready(now.Add(wait)))
+	}
+	s.reset()
+	s.engineLost(now)
+	is.True(s.ready(now))
+}
--- a/internal/batch/runner/batch.go
+++ b/internal/batch/runner/batch.go
@@ -14,114 +14,129 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// Batch is a batch that this process owns.
+// Batch is the state of a batch that this process owns.
 type Batch struct {
 	sub     *submission.Submission
 	route   catalog.Route
 	service string
 	ctx     context.Context
 	cancel  context.CancelFunc
-	// begun is when this process began with it.
-	begun timer.Instant
-	// asked is when the batch was submitted.
-	asked timer.Instant
-	// gives is when unfinished items are given up.
-	gives timer.Instant
+	// startedAt is when this process started to work on the batch.
+	startedAt timer.Instant
+	// submittedAt is when the batch was submitted.
+	submittedAt timer.Instant
+	// giveUpAt is when unfinished items are given up.
+	giveUpAt timer.Instant
 
-	// writing is held while results are on their way to the ledger; it is
-	// taken before mu.
-	writing sync.Mutex
+	// writeMu is held while results are being written to the ledger. It is
+	// acquired before mu.
+	writeMu sync.Mutex
 
 	mu    sync.Mutex
 	claim ledger.Claim
-	// unstored batches are not accepted yet, wanted is when they were last asked
-	// for.
-	unstored bool
-	wanted   timer.Instant
-	tasks    map[string]*task
-	queue    []*task
-	groups   map[string]int
-	// wholeGroups is how many groups have all their items finished.
-	wholeGroups int
-	// again are the groups that come again from an earlier batch.
-	again map[string]bool
-	// critical is the item whose end made those groups whole.
-	critical string
-	// ready says that it is listed.
-	ready bool
-	// made is when the groups that the trainer waits for were whole, readable
-	// when they were listed.
-	made     timer.Instant
-	readable timer.Instant
-	// endsAt is when they are expected to be whole; 0 if unknown.
-	endsAt  timer.Instant
-	listed  []submission.Result
-	pending []submission.Result
-	// restored is how many results came from the copy of an earlier owner's.
+	// unstored says that the ledger has not accepted the batch yet; requestedAt
+	// is when the batch was last requested.
+	unstored    bool
+	requestedAt timer.Instant
+	tasks       map[string]*task
+	queue       []*task
+	// openInGroup is the number of unfinished items of each group.
+	openInGroup map[string]int
+	// completeGroups is the number of groups whose items are all finished.
+	completeGroups int
+	// carriedOver holds the unfinished groups that were submitted before in an
+	// earlier batch and are submitted again.
+	carriedOver map[string]bool
+	// criticalItem is the item whose end completed the last group that the
+	// trainer waits for.
+	criticalItem string
+	// criticalListed says that the result of criticalItem is listed.
+	criticalListed bool
+	// stepDoneAt is when the groups that the trainer waits for were complete,
+	// readableAt when their results were listed; both are 0 until then.
+	stepDoneAt timer.Instant
+	readableAt timer.Instant
+	// expectedEnd is when those groups are expected to be complete; 0 if unknown.
+	expectedEnd timer.Instant
+	listed      []submission.Result
+	pending     []submission.Result
+	// restored is how many results came from the copy of what an earlier owner
+	// had finished.
 	restored int
-	// sending says that a write is under way, sent when it was sent first.
-	sending bool
-	sent    timer.Instant
-	// since is when the first pending result came.
-	since timer.Instant
-	whole bool
-	open  int
-	// overloaded says that the queue is ordered by groups, ranked when it was put
-	// in order last.
+	// writeInFlight says that a write of results is in progress; writeStartedAt
+	// is when it was first sent.
+	writeInFlight  bool
+	writeStartedAt timer.Instant
+	// oldestPendingAt is when the first of the pending results came.
+	oldestPendingAt timer.Instant
+	// pendingCompletesGroup says that one of the pending results completed its
+	// group.
+	pendingCompletesGroup bool
+	// open is the number of unfinished items.
+	open int
+	// overloaded says that the queue is ordered group by group because the step
+	// can't be complete in time; rankedAt is when the queue was last ordered.
 	overloaded bool
-	ranked     timer.Instant
-	// usual is the usual time of an event at the engines, as last looked up.
-	usual time.Duration
-	ended bool
-	// handing says that the batch stopped here and its next owner is not known to
-	// have it.
-	handing bool
-	// endKept says that the end stands in the ledger: callers repeat it.
-	endKept bool
-	lost    bool
+	rankedAt   timer.Instant
+	// medianPace is the median time between two events at the engines, as last
+	// looked up.
+	medianPace time.Duration
+	ended      bool
+	// handingOver says that the batch stopped here and that its next owner is not
+	// yet known to have it.
+	handingOver bool
+	// endStored says that the ledger holds the end of the batch; callers repeat
+	// their request to end it.
+	endStored bool
+	// lost says that another process has the batch, or that it was dropped here.
+	lost bool
+	// changed is closed and replaced when the waiting reads are to look for an
+	// answer.
 	changed chan struct{}
-	// turned counts the turns: reads that began before the last one are answered
-	// with what there is.
-	turned int
-	// waiting are the reads that wait for results, and since when.
-	waiting map[*waiter]timer.Instant
-	wake    wake.Signal
-	write   wake.Signal
+	// releases counts how often the waiting reads were released early: reads that
+	// began before the last release are answered with the results that there are.
+	releases int
+	// waitingReads are the reads that wait for results, each with the time since
+	// which it waits.
+	waitingReads map[*waiter]timer.Instant
+	// dispatchWake wakes dispatchLoop, writeWake wakes writeLoop.
+	dispatchWake wake.Signal
+	writeWake    wake.Signal
 }
 
-// tell wakes all readers. The lock is held.
-func (b *Batch) tell() {
+// notifyReaders wakes all waiting reads. The caller holds b.mu.
+func (b *Batch) notifyReaders() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// finish takes the result of a task. The lock is held.
+// finish records the result of a task. The caller holds b.mu.
 func (b *Batch) finish(t *task, r submission.Result, now timer.Instant) {
 	if t.phase == finished || b.over() {
 		return
 	}
 	t.phase = finished
-	t.end = &r
+	t.final = &r
 	b.open--
 	if len(b.pending) == 0 {
-		b.since = now
+		b.oldestPendingAt = now
 	}
 	b.pending = append(b.pending, r)
-	b.groups[t.item.Group]--
-	if b.groups[t.item.Group] == 0 {
-		b.whole = true
-		b.wholeGroups++
-		delete(b.again, t.item.Group)
-		if b.made == 0 && b.wholeGroups >= b.sub.WantedGroups && len(b.again) == 0 {
-			b.made = now
-			b.critical = t.item.ID
+	b.openInGroup[t.item.Group]--
+	if b.openInGroup[t.item.Group] == 0 {
+		b.pendingCompletesGroup = true
+		b.completeGroups++
+		delete(b.carriedOver, t.item.Group)
+		if b.stepDoneAt == 0 && b.completeGroups >= b.sub.WantedGroups && len(b.carriedOver) == 0 {
+			b.stepDoneAt = now
+			b.criticalItem = t.item.ID
 		}
 	}
-	b.write.Set()
+	b.writeWake.Set()
 }
 
-// list takes results that are stored. The lock is held.
-func (b *Batch) list(results []submission.Result, now timer.Instant) {
+// listResults makes stored results readable. The caller holds b.mu.
+func (b *Batch) listResults(results []submission.Result, now timer.Instant) {
 	b.listed = append(b.listed, results...)
 	for _, r := range results {
 		if t := b.tasks[r.Item]; t != nil {
@@ -129,41 +144,42 @@
 			t.events = nil
 		}
 	}
-	if !b.tells(now) {
+	if !b.answersReads(now) {
 		return
 	}
-	// The reads that wait are answered now. Were they still counted, the next
-	// result would be listed at once as well, answer the next read in no time,
-	// and make the trainer pause just before the end of its step.
-	clear(b.waiting)
-	if b.made != 0 && b.readable == 0 {
-		b.readable = now
+	// The waiting reads are answered now. If they still counted as waiting, the
+	// next result would be listed at once as well and answer the next read
+	// immediately, and the trainer would pause just before the end of its step.
+	clear(b.waitingReads)
+	if b.stepDoneAt != 0 && b.readableAt == 0 {
+		b.readableAt = now
 	}
-	b.tell()
+	b.notifyReaders()
 }
 
-// tells reports whether the reads that wait are answered with what was just listed.
-// The lock is held.
-func (b *Batch) tells(now timer.Instant) bool {
-	if b.made == 0 {
-		return b.open == 0 || schedule.Tell(b.due(now))
+// answersReads reports whether the waiting reads are answered with the results
+// that were just listed. The caller holds b.mu.
+func (b *Batch) answersReads(now timer.Instant) bool {
+	if b.stepDoneAt == 0 {
+		return b.open == 0 || schedule.Tell(b.describePending(now))
 	}
-	// The results that end the step may still be about to be written. Answered with
-	// others, the trainer would look at those half a second later.
-	b.ready = b.ready || b.critical == "" || slices.ContainsFunc(b.listed, func(r submission.Result) bool { return r.Item == b.critical })
-	return b.ready
+	// The results that end the step may not be written yet. If the trainer were
+	// answered with other results, it would see those that end the step half a
+	// second later.
+	b.criticalListed = b.criticalListed || b.criticalItem == "" || slices.ContainsFunc(b.listed, func(r submission.Result) bool { return r.Item == b.criticalItem })
+	return b.criticalListed
 }
 
-// sinceBegun returns the time of an instant in milliseconds from the beginning
-// of the batch here, 0 for one that never came and 1 at least for any other.
-func (b *Batch) sinceBegun(at timer.Instant) int64 {
+// msSinceStart returns the time from the start of the batch here to an instant in
+// milliseconds: 0 for an instant that never came, and at least 1 for any other.
+func (b *Batch) msSinceStart(at timer.Instant) int64 {
 	if at == 0 {
 		return 0
 	}
-	return max(1, at.Sub(b.begun).Milliseconds())
+	return max(1, at.Sub(b.startedAt).Milliseconds())
 }
 
-// over reports whether the batch needs no more work here. The lock is held.
+// over reports whether the batch needs no more work here. The caller holds b.mu.
 func (b *Batch) over() bool { return b.ended || b.lost }
 
 // isLost reports whether another process has the batch.
@@ -173,22 +189,23 @@
 	return b.lost
 }
 
-// due describes the pending results. The lock is held.
-func (b *Batch) due(now timer.Instant) schedule.Pending {
+// describePending returns the state of the pending results by which writes are
+// scheduled. The caller holds b.mu.
+func (b *Batch) describePending(now timer.Instant) schedule.Pending {
 	return schedule.Pending{
 		Results: len(b.pending),
-		Whole:   b.whole,
+		Whole:   b.pendingCompletesGroup,
 		Last:    b.open == 0,
-		Oldest:  now.Sub(b.since),
+		Oldest:  now.Sub(b.oldestPendingAt),
 
-		WholeGroups: b.wholeGroups,
+		WholeGroups: b.completeGroups,
 		Wanted:      b.sub.WantedGroups,
-		Again:       len(b.again),
-		Reading:     b.reading(now),
+		Again:       len(b.carriedOver),
+		Reading:     b.describeRead(now),
 	}
 }
 
-// giveUp lists all unfinished items as dead. The lock is held.
+// giveUp finishes all unfinished items as dead. The caller holds b.mu.
 func (b *Batch) giveUp(now timer.Instant) {
 	for i := range b.sub.Items {
 		t := b.tasks[b.sub.Items[i].ID]
@@ -206,48 +223,49 @@
 	b.queue = nil
 }
 
-// newBatch prepares a batch; stored results of an earlier owner stand, and its
-// progress is gone on with as far as its weights are young enough. known are the
-// items that an earlier batch had, with the tokens that they have at least.
-func newBatch(sub *submission.Submission, claim ledger.Claim, stored []submission.Result, progress []submission.Progress, known map[string]int) *Batch {
+// newBatch creates a batch. The results that an earlier owner stored are kept,
+// and its progress on an item is continued if no event of it was made by weights
+// that are too old. minTokens has the items that an earlier batch had, each with
+// the fewest tokens that its text can have.
+func newBatch(sub *submission.Submission, claim ledger.Claim, stored []submission.Result, progress []submission.Progress, minTokens map[string]int) *Batch {
 	b := &Batch{
-		sub:     sub,
-		claim:   claim,
-		tasks:   make(map[string]*task, len(sub.Items)),
-		groups:  make(map[string]int),
-		again:   make(map[string]bool),
-		listed:  stored,
-		changed: make(chan struct{}),
+		sub:         sub,
+		claim:       claim,
+		tasks:       make(map[string]*task, len(sub.Items)),
+		openInGroup: make(map[string]int),
+		carriedOver: make(map[string]bool),
+		listed:      stored,
+		changed:     make(chan struct{}),
 	}
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	done := make(map[string]bool, len(stored))
 	for _, r := range stored {
 		done[r.Item] = true
 	}
-	for _, i := range schedule.Order(sub.Items, known) {
+	for _, i := range schedule.Order(sub.Items, minTokens) {
 		item := &sub.Items[i]
 		if done[item.ID] || b.tasks[item.ID] != nil {
 			continue
 		}
 		t := &task{
 			item:   item,
-			tokens: max(item.Estimate(), known[item.ID]),
+			tokens: max(item.Estimate(), minTokens[item.ID]),
 		}
-		if _, ok := known[item.ID]; ok {
-			b.again[item.Group] = true
+		if _, ok := minTokens[item.ID]; ok {
+			b.carriedOver[item.Group] = true
 		}
 		b.tasks[item.ID] = t
 		b.queue = append(b.queue, t)
-		b.groups[item.Group]++
+		b.openInGroup[item.Group]++
 		b.open++
 	}
 	whole := make(map[string]bool)
 	for _, item := range sub.Items {
-		if b.groups[item.Group] == 0 {
+		if b.openInGroup[item.Group] == 0 {
 			whole[item.Group] = true
 		}
 	}
-	b.wholeGroups = len(whole)
+	b.completeGroups = len(whole)
 	for _, p := range progress {
 		t := b.tasks[p.Item]
 		if t == nil {
@@ -256,20 +274,21 @@
 		t.failures = p.Failures
 		if !slices.ContainsFunc(p.Versions, func(v uint64) bool { return v < sub.OldestVersion }) {
 			t.events = p.Events
-			t.last = len(p.Events)
-			t.spent.restored = t.last
+			t.lastEvent = len(p.Events)
+			t.timings.restored = t.lastEvent
 			t.versions = p.Versions
 		}
 	}
 	return b
 }
 
-// progress returns the texts of unfinished items with at least some events, and of those
-// that failed, the longest first. The lock is held.
-func (b *Batch) progress(least int) []submission.Progress {
+// progress returns the texts of the unfinished items that have at least minEvents
+// events or have failed before, those with the most events first. The caller
+// holds b.mu.
+func (b *Batch) progress(minEvents int) []submission.Progress {
 	var list []submission.Progress
 	for _, t := range b.tasks {
-		if t.phase != finished && t.phase != scoring && (len(t.events) >= least || t.failures > 0) {
+		if t.phase != finished && t.phase != scoring && (len(t.events) >= minEvents || t.failures > 0) {
 			list = append(list, submission.Progress{
 				Item:     t.item.ID,
 				Events:   slices.Clone(t.events),
@@ -282,5 +301,5 @@
 	return list
 }
 
-// left returns the time until unfinished items are given up.
-func (b *Batch) left(now timer.Instant) time.Duration { return b.gives.Sub(now) }
+// timeLeft returns the time until unfinished items are given up.
+func (b *Batch) timeLeft(now timer.Instant) time.Duration { return b.giveUpAt.Sub(now) }
--- a/internal/batch/runner/changes.go
+++ b/internal/batch/runner/changes.go
@@ -10,75 +10,76 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// Copies finds what an earlier owner had made of a batch.
+// Copies finds the copy of what an earlier owner had made of a batch.
 type Copies interface {
 	Find(ctx context.Context, batch string) standby.Copy
 }
 
 // Busy implements standby.Work.
 func (r *Runner) Busy() bool {
-	return slices.ContainsFunc(r.all(), func(b *Batch) bool {
+	return slices.ContainsFunc(r.allBatches(), func(b *Batch) bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return b.copies()
+		return b.replicated()
 	})
 }
 
-// all returns the batches that are in memory.
-func (r *Runner) all() []*Batch {
+// allBatches returns the batches that are in memory.
+func (r *Runner) allBatches() []*Batch {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Collect(maps.Values(r.batches))
 }
 
-// copies reports whether successors hold a copy of the batch: until it is over, or its
-// next owner has it. The lock is held.
-func (b *Batch) copies() bool {
-	return b.handing || !b.over() && (b.open > 0 || len(b.pending) > 0)
+// replicated reports whether successors hold a copy of the batch: until it is
+// over or all of its results are listed, or, if it is handed over, until its next
+// owner has it. The caller holds b.mu.
+func (b *Batch) replicated() bool {
+	return b.handingOver || !b.over() && (b.open > 0 || len(b.pending) > 0)
 }
 
 // Changes implements standby.Work.
-func (r *Runner) Changes(had standby.Marks) (open []string, news []standby.Delta, has standby.Marks) {
-	batches := r.all()
-	has = make(standby.Marks, len(batches))
+func (r *Runner) Changes(since standby.Marks) (open []string, deltas []standby.Delta, updated standby.Marks) {
+	batches := r.allBatches()
+	updated = make(standby.Marks, len(batches))
 	for _, b := range batches {
 		b.mu.Lock()
-		if b.copies() {
+		if b.replicated() {
 			open = append(open, b.sub.ID)
-			delta, marks := b.changes(had[b.sub.ID])
-			has[b.sub.ID] = marks
+			delta, marks := b.changesSince(since[b.sub.ID])
+			updated[b.sub.ID] = marks
 			if delta.Whole || len(delta.Pieces) > 0 {
-				news = append(news, delta)
+				deltas = append(deltas, delta)
 			}
 		}
 		b.mu.Unlock()
 	}
-	return open, news, has
+	return open, deltas, updated
 }
 
-// changes returns what is new since the marks, and the marks with it. The lock is
-// held.
-func (b *Batch) changes(had map[string]int) (standby.Delta, map[string]int) {
+// changesSince returns what has changed since the given marks, and the marks of a
+// receiver that has these changes. The caller holds b.mu.
+func (b *Batch) changesSince(since map[string]int) (standby.Delta, map[string]int) {
 	d := standby.Delta{
 		Batch: b.sub.ID,
-		Whole: had == nil,
+		Whole: since == nil,
 	}
 	marks := make(map[string]int, len(b.tasks))
 	for id, t := range b.tasks {
-		mark, known := had[id]
+		mark, known := since[id]
 		switch {
 		case t.phase == finished:
 			marks[id] = standby.Done
 			if mark != standby.Done && !t.stored {
-				d.Pieces = append(d.Pieces, t.endPiece(mark))
+				d.Pieces = append(d.Pieces, t.resultPiece(mark))
 			}
-		case t.last > 0 || t.failures > 0 || known && mark > 0:
-			if mark > t.last || mark < 0 {
-				// The text begins anew.
+		case t.lastEvent > 0 || t.failures > 0 || known && mark > 0:
+			if mark > t.lastEvent || mark < 0 {
+				// The item was started again: all of its events are sent.
 				mark = 0
 			}
-			marks[id] = t.last
-			if mark < t.last || had[id] > t.last || t.failures > 0 {
+			marks[id] = t.lastEvent
+			if mark < t.lastEvent || since[id] > t.lastEvent || t.failures > 0 {
 				d.Pieces = append(d.Pieces, standby.Piece{
 					Item:     id,
 					From:     mark,
@@ -92,10 +93,11 @@
 	return d, marks
 }
 
-// endPiece is the end of a finished item for one that has some of its events. Its text
-// goes along as the events that are missing there.
-func (t *task) endPiece(mark int) standby.Piece {
-	end := *t.end
+// resultPiece returns the result of a finished item for a receiver that has the
+// first mark events of it. Where the events are known here, those that the
+// receiver lacks are sent in place of the text.
+func (t *task) resultPiece(mark int) standby.Piece {
+	end := *t.final
 	p := standby.Piece{
 		Item:   t.item.ID,
 		Result: &end,
@@ -108,13 +110,13 @@
 	return p
 }
 
-// restore takes what an earlier owner had finished and not stored. The lock is
-// held.
-func (b *Batch) restore(results []submission.Result, now timer.Instant) int {
+// restoreResults takes the results that an earlier owner had finished but not
+// stored, and returns how many of them were used. The caller holds b.mu.
+func (b *Batch) restoreResults(results []submission.Result, now timer.Instant) int {
 	n := 0
 	for _, res := range results {
 		if t := b.tasks[res.Item]; t != nil && t.phase != finished {
-			// What is known of its events may be less than its text.
+			// The events that are known may cover only a part of the text.
 			t.events = nil
 			b.finish(t, res, now)
 			n++
@@ -126,21 +128,22 @@
 	return n
 }
 
-// longer returns the longer text of each item, and the most failures.
-func longer(stored, copied []submission.Progress) []submission.Progress {
-	best := make(map[string]submission.Progress, len(stored)+len(copied))
+// mergeProgress returns the longer text of each item, and the larger number of
+// its failures.
+func mergeProgress(stored, copied []submission.Progress) []submission.Progress {
+	longest := make(map[string]submission.Progress, len(stored)+len(copied))
 	for _, list := range [][]submission.Progress{stored, copied} {
 		for _, p := range list {
-			old := best[p.Item]
+			old := longest[p.Item]
 			p.Failures = max(p.Failures, old.Failures)
 			if len(p.Events) <= len(old.Events) {
 				p.Events, p.Versions = old.Events, old.Versions
 			}
-			best[p.Item] = p
+			longest[p.Item] = p
 		}
 	}
-	list := make([]submission.Progress, 0, len(best))
-	for _, p := range best {
+	list := make([]submission.Progress, 0, len(longest))
+	for _, p := range longest {
 		list = append(list, p)
 	}
 	return list
--- a/internal/batch/runner/changes_test.go
+++ b/internal/batch/runner/changes_test.go
@@ -18,30 +18,31 @@
 	"github.com/egretbend/egretbend/internal/standin/space"
 )
 
-// copyOf finds the same copy of any batch.
-type copyOf standby.Copy
+// fixedCopies finds the same copy of any batch.
+type fixedCopies standby.Copy
 
 // Find implements Copies.
-func (c copyOf) Find(context.Context, string) standby.Copy { return standby.Copy(c) }
+func (c fixedCopies) Find(context.Context, string) standby.Copy { return standby.Copy(c) }
 
-// Guards against texts that are made once more though the successor of their owner has a copy.
-func TestSuccessorGoesOnFromTheCopy(t *testing.T) {
+// Guards against texts that are generated again although the owner's successor
+// has a copy of them.
+func TestSuccessorContinuesFromCopy(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	after := map[string]int{}
-	b := newBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
 		mu.Lock()
 		after[g.Item.ID] = g.After
 		mu.Unlock()
-		return events(g.After, 6, 5, emit)
+		return emitEvents(g.After, 6, 5, emit)
 	})
 	other := &ledger.Ledger{
 		Space: b.store,
 		Self:  ledger.Owner{Instance: "lost", Incarnation: "1"},
 	}
-	seen, err := other.Accept(context.Background(), b.batch("x", "y", "z"))
+	seen, err := other.Accept(context.Background(), b.newSubmission("x", "y", "z"))
 	is.NoErr(err)
-	b.runner.Copies = copyOf{
+	b.runner.Copies = fixedCopies{
 		Results: []submission.Result{
 			{Item: "x", State: submission.Completed, Text: "whole", Versions: []uint64{5}, Score: "proof"},
 			{Item: "of another batch", State: submission.Completed},
@@ -55,7 +56,7 @@
 	is.NoErr(err)
 	is.NoErr(b.runner.Adopt(context.Background(), claim))
 	got := map[string]submission.Result{}
-	for _, r := range b.results(3) {
+	for _, r := range b.waitForResults(3) {
 		got[r.Item] = r
 	}
 	is.Equal(len(got), 3)
@@ -67,8 +68,10 @@
 	is.Equal(after, map[string]int{"y": 3, "z": 0})
 }
 
-// Guards against a copy of a copy without the events that its second owner did not have one by one.
-func TestRestoredTextIsCopiedWhole(t *testing.T) {
+// Guards against a copy that lacks events: the second owner has restored a result
+// with more text than the events that it knows, and copies it to its own
+// successor.
+func TestRestoredTextIsCopiedInFull(t *testing.T) {
 	is := is.New(t)
 	sub := &submission.Submission{
 		ID:    "b",
@@ -77,27 +80,29 @@
 	b := newBatch(sub, ledger.Claim{}, nil, []submission.Progress{{Item: "x", Events: []string{"e1"}}}, nil)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	is.Equal(b.restore([]submission.Result{{Item: "x", State: submission.Completed, Text: "e1\ne2"}}, 1), 1)
+	is.Equal(b.restoreResults([]submission.Result{{Item: "x", State: submission.Completed, Text: "e1\ne2"}}, 1), 1)
 	is.Equal(len(b.queue), 1)
-	d, marks := b.changes(nil)
+	d, marks := b.changesSince(nil)
 	is.Equal(len(d.Pieces), 1)
 	is.Equal(d.Pieces[0].Result.Text, "e1\ne2")
 	is.Equal(len(d.Pieces[0].Events), 0)
 	is.Equal(marks["x"], standby.Done)
 }
 
-// Guards against the loss of all texts of a batch whose owner stops while the service is away.
-func TestBatchThatIsNotHandedOverStaysWithTheCopies(t *testing.T) {
+// Guards against the loss of all texts of a batch whose owner stops while the
+// key-value service is unavailable: the hand-over fails, so the successors must
+// keep their copies.
+func TestFailedHandOverKeepsCopies(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Generation, emit func(Event) error) error {
-		if err := events(0, 3, 5, emit); err != nil {
+	b := newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Generation, emit func(Event) error) error {
+		if err := emitEvents(0, 3, 5, emit); err != nil {
 			return err
 		}
 		<-ctx.Done()
 		return ctx.Err()
 	})
 	is.NoErr(b.submit("x"))
-	is.True(until(func() bool {
+	is.True(eventually(func() bool {
 		_, news, _ := b.runner.Changes(nil)
 		return len(news) == 1 && len(news[0].Pieces) == 1 && len(news[0].Pieces[0].Events) == 3
 	}))
@@ -109,41 +114,42 @@
 	is.Equal(len(news[0].Pieces[0].Events), 3)
 }
 
-// Guards against copies of what was sent, listed or ended already.
-func TestChangesAreWhatIsNew(t *testing.T) {
+// Guards against copying again what was already sent or listed, and against
+// copying batches that have ended.
+func TestChangesContainOnlyNewPieces(t *testing.T) {
 	is := is.New(t)
 	goOn := make(chan struct{})
-	b := newBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
-		if err := events(0, 3, 5, emit); err != nil || g.Item.ID == "x" {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+		if err := emitEvents(0, 3, 5, emit); err != nil || g.Item.ID == "x" {
 			return err
 		}
 		<-goOn
-		return events(3, 5, 5, emit)
+		return emitEvents(3, 5, 5, emit)
 	})
 	is.NoErr(b.submit("x", "y"))
-	is.Equal(len(b.results(1)), 1)
+	is.Equal(len(b.waitForResults(1)), 1)
 	_, news, marks := b.runner.Changes(nil)
 	is.Equal(len(news[0].Pieces), 1) // x is listed
 	is.Equal(news[0].Pieces[0].Item, "y")
 	_, news, _ = b.runner.Changes(marks)
 	is.Equal(len(news), 0)
 	close(goOn)
-	is.Equal(len(b.results(2)), 2)
-	is.True(until(func() bool {
+	is.Equal(len(b.waitForResults(2)), 2)
+	is.True(eventually(func() bool {
 		open, _, _ := b.runner.Changes(marks)
 		return len(open) == 0
 	}))
 }
 
-// Guards against an item that fails at each run and gets all attempts of its route anew from
-// each successor of its owner.
-func TestFailuresOutliveTheOwner(t *testing.T) {
+// Guards against an item that fails on every run and gets all attempts of its
+// route again from each successor of its owner.
+func TestSuccessorKeepsFailureCount(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int32
-	owner := func(fails int32) *bench {
-		until := runs.Load() + fails
-		return newBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Generation, _ func(Event) error) error {
-			if runs.Load() < until {
+	owner := func(fails int32) *testBench {
+		failUntil := runs.Load() + fails
+		return newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Generation, _ func(Event) error) error {
+			if runs.Load() < failUntil {
 				runs.Add(1)
 				return engine.ErrAttemptFailed
 			}
@@ -153,9 +159,9 @@
 	}
 	first := owner(1)
 	is.NoErr(first.submit("bad"))
-	is.True(until(func() bool { return runs.Load() == 1 }))
+	is.True(eventually(func() bool { return runs.Load() == 1 }))
 	var copies standby.Copies
-	is.True(until(func() bool {
+	is.True(eventually(func() bool {
 		open, news, _ := first.runner.Changes(nil)
 		is.NoErr(copies.Take(standby.Heartbeat{Open: open, Deltas: news}, 1))
 		found, _ := copies.Find("b")
@@ -168,13 +174,13 @@
 		Space: second.store,
 		Self:  ledger.Owner{Instance: "lost", Incarnation: "1"},
 	}
-	seen, err := other.Accept(context.Background(), second.batch("bad"))
+	seen, err := other.Accept(context.Background(), second.newSubmission("bad"))
 	is.NoErr(err)
-	second.runner.Copies = copyOf(found)
+	second.runner.Copies = fixedCopies(found)
 	claim, err := second.runner.Ledger.TakeOver(context.Background(), seen, "")
 	is.NoErr(err)
 	is.NoErr(second.runner.Adopt(context.Background(), claim))
-	got := second.results(1)
+	got := second.waitForResults(1)
 	is.Equal(len(got), 1)
 	is.Equal(got[0].State, submission.Dead)
 	is.Equal(int(runs.Load()), second.route.Attempts)
--- /dev/null
+++ b/internal/batch/runner/engines.go
@@ -0,0 +1,166 @@
+package runner
+
+import (
+	"slices"
+	"time"
+
+	"github.com/egretbend/egretbend/internal/batch/schedule"
+	"github.com/egretbend/egretbend/internal/kernel/timer"
+	"github.com/egretbend/egretbend/internal/route/catalog"
+)
+
+// candidate is an engine that may run an item.
+type candidate struct {
+	schedule.Engine
+	u *catalog.Upstream
+}
+
+// Division tells which engines are assigned to which model while several models
+// are in use.
+type Division interface {
+	// Sets returns the model that each engine of a service is assigned to, by the
+	// engine's ID, or nil if every engine serves all models. sure says that this
+	// instance has heard of the current steps of all models by now.
+	Sets(service string, sure bool) map[string]string
+}
+
+// stepPropagationTime is the longest time until all instances know of a new step.
+const stepPropagationTime = 300 * time.Millisecond
+
+// engineModels returns the model that each engine of the batch's service is
+// assigned to, by the engine's ID, or nil if every engine serves all models.
+func (r *Runner) engineModels(b *Batch, now timer.Instant) map[string]string {
+	if r.Division == nil || b.sub.Model == "" {
+		return nil
+	}
+	return r.Division.Sets(b.service, now.Sub(b.startedAt) >= stepPropagationTime)
+}
+
+// isLent reports whether an engine that is assigned to the given model is only
+// lent to the batch.
+func (b *Batch) isLent(model string) bool { return model != "" && model != b.sub.Model }
+
+// freeSlots returns how many more requests an engine takes. One that refused a
+// request a moment ago takes none.
+func freeSlots(u *catalog.Upstream, now timer.Instant) float64 {
+	if u.Resting(now) {
+		return 0
+	}
+	return u.Room(now)
+}
+
+// neverReported is the age of the load report of an engine that has sent none.
+const neverReported = time.Hour
+
+// reportAge returns how long ago an engine reported its load.
+func reportAge(u *catalog.Upstream, now timer.Instant) time.Duration {
+	if _, age, ok := u.Report(now); ok {
+		return age
+	}
+	return neverReported
+}
+
+// availableCandidates returns the engines that can serve the batch now. If the
+// batch has too many items for the engines of its own model, engines of other
+// models are left out unless they are known to have free slots. The caller holds
+// b.mu.
+func (r *Runner) availableCandidates(b *Batch, now timer.Instant) []candidate {
+	candidates := r.usableCandidates(b, now)
+	own := 0
+	for _, c := range candidates {
+		if !c.Lent {
+			own += c.Slots
+		}
+	}
+	if !schedule.Crowds(b.open, own) {
+		return candidates
+	}
+	return slices.DeleteFunc(candidates, func(c candidate) bool { return !c.Open() })
+}
+
+// usableCandidates returns the usable engines whose weights are new enough for
+// the batch. The caller holds b.mu.
+func (r *Runner) usableCandidates(b *Batch, now timer.Instant) []candidate {
+	var candidates []candidate
+	memory := r.engineMemory(b.service)
+	models := r.engineModels(b, now)
+	group := r.Book.Group(b.service)
+	medianPace := group.Set.MedianPace()
+	for _, u := range group.Upstreams {
+		if !u.Usable(now) {
+			continue
+		}
+		if b.sub.Model != "" && u.ModelVersion(b.sub.Model) < b.sub.OldestVersion {
+			continue
+		}
+		candidates = append(candidates, candidate{
+			Engine: schedule.Engine{
+				Room:     freeSlots(u, now),
+				Slots:    max(1, u.Slots),
+				Pace:     u.Against(medianPace, now),
+				Near:     u.FailureDomain == r.FailureDomain,
+				Memory:   memory,
+				Reserved: u.Reserved(),
+				Lent:     b.isLent(models[u.ID]),
+				Told:     reportAge(u, now),
+			},
+			u: u,
+		})
+	}
+	return candidates
+}
+
+// engineMemory returns the memory of one engine of a service in tokens; 0 if
+// unknown.
+func (r *Runner) engineMemory(service string) int64 {
+	if cfg := r.Holder.Current(); cfg != nil {
+		if s := cfg.Services[service]; s.Engine != nil {
+			return int64(s.Engine.Tokens)
+		}
+	}
+	return 0
+}
+
+// enginesOf returns the part of the candidates by which schedule picks one.
+func enginesOf(candidates []candidate) []schedule.Engine {
+	engines := make([]schedule.Engine, len(candidates))
+	for i, c := range candidates {
+		engines[i] = c.Engine
+	}
+	return engines
+}
+
+// medianPace returns the median time between two events at the batch's engines.
+func (r *Runner) medianPace(b *Batch) time.Duration {
+	return time.Duration(r.Book.Group(b.service).Set.MedianPace() * float64(time.Second))
+}
+
+// pickAvoiding picks an engine for an item. It picks avoid, the engine that the
+// item has just left, only if no other one can take the item.
+func pickAvoiding(engines []schedule.Engine, candidates []candidate, avoid *catalog.Upstream, need schedule.Need) int {
+	for i := range candidates {
+		if avoid == nil || candidates[i].u != avoid {
+			continue
+		}
+		saved := engines[i].Room
+		engines[i].Room = 0
+		picked := schedule.Pick(engines, need)
+		engines[i].Room = saved
+		if picked >= 0 {
+			return picked
+		}
+	}
+	return schedule.Pick(engines, need)
+}
+
+// needOf describes what a task that is to start needs of an engine. The caller
+// holds b.mu.
+func (r *Runner) needOf(b *Batch, t *task, medianPace time.Duration, now timer.Instant) schedule.Need {
+	left := max(0, r.lengths.Events(t.tokens)-float64(t.lastEvent))
+	return schedule.Need{
+		Lasts:   time.Duration(left * float64(medianPace)),
+		Waited:  now.Sub(b.startedAt),
+		Hurried: b.overloaded,
+		Memory:  t.memoryNeed(),
+	}
+}
--- a/internal/batch/runner/list_test.go
+++ b/internal/batch/runner/list_test.go
@@ -11,7 +11,8 @@
 	"github.com/egretbend/egretbend/internal/batch/submission"
 )
 
-// Guards against a read that is answered by the write before the one that ends the step.
+// Guards against a read that is answered by the write before the one that ends
+// the step.
 func TestReadWaitsForTheResultsThatEndTheStep(t *testing.T) {
 	is := is.New(t)
 	sub := &submission.Submission{
@@ -28,27 +29,29 @@
 	first := submission.Result{Item: "x"}
 	second := submission.Result{Item: "y"}
 	b.finish(b.tasks["x"], first, 1)
-	// The first result is on its way to the ledger when the second ends the step.
+	// The first result is being written to the ledger when the second ends the
+	// step.
 	b.finish(b.tasks["y"], second, 2)
-	is.Equal(b.critical, "y")
+	is.Equal(b.criticalItem, "y")
 	waits := b.changed
-	b.list([]submission.Result{first}, 3)
+	b.listResults([]submission.Result{first}, 3)
 	select {
 	case <-waits:
 		t.Fatal("answered without the result that ends the step")
 	default:
 	}
-	is.True(b.readable == 0)
-	b.list([]submission.Result{second}, 4)
+	is.True(b.readableAt == 0)
+	b.listResults([]submission.Result{second}, 4)
 	<-waits
-	is.True(b.readable == 4)
-	// What comes after it is told at once.
+	is.True(b.readableAt == 4)
+	// Results that come after it answer reads at once.
 	waits = b.changed
-	b.list([]submission.Result{{Item: "z"}}, 5)
+	b.listResults([]submission.Result{{Item: "z"}}, 5)
 	<-waits
 }
 
-// Guards against an end of a step that takes two reads where one page has room for it.
+// Guards against a step whose last results take two reads although one page has
+// room for them.
 func TestEndOfAStepFitsOnePage(t *testing.T) {
 	is := is.New(t)
 	var listed []submission.Result
@@ -67,7 +70,8 @@
 	is.Equal(PageOf(1, large, 0).Next, 1) // one at least
 }
 
-// Guards against a read that is answered near the end of a step with results written for their age.
+// Guards against a read that is answered, near the end of a step, with results
+// that were written only because of their age.
 func TestOldResultsDoNotAnswerReadsNearTheEnd(t *testing.T) {
 	is := is.New(t)
 	sub := &submission.Submission{
@@ -79,7 +83,7 @@
 	defer b.mu.Unlock()
 	waits := b.changed
 	b.finish(b.tasks["x"], submission.Result{Item: "x"}, 1)
-	b.list([]submission.Result{{Item: "x"}}, 2)
+	b.listResults([]submission.Result{{Item: "x"}}, 2)
 	select {
 	case <-waits:
 		t.Fatal("answered with two groups to go")
--- a/internal/batch/runner/metrics.go
+++ b/internal/batch/runner/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics counts the work on batches; nil counts nothing.
+// Metrics counts the work on batches. A nil Metrics counts nothing.
 type Metrics struct {
 	batches  prometheus.Counter
 	attempts *prometheus.CounterVec
@@ -14,7 +14,7 @@
 	items    prometheus.Histogram
 }
 
-// NewMetrics registers the runner's counters.
+// NewMetrics creates and registers the runner's metrics.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		batches: prometheus.NewCounter(prometheus.CounterOpts{
@@ -39,25 +39,25 @@
 	return m
 }
 
-func (m *Metrics) begun() {
+func (m *Metrics) batchStarted() {
 	if m != nil {
 		m.batches.Inc()
 	}
 }
 
-func (m *Metrics) moved() {
+func (m *Metrics) itemMoved() {
 	if m != nil {
 		m.moves.Inc()
 	}
 }
 
-func (m *Metrics) item(age time.Duration) {
+func (m *Metrics) itemFinished(age time.Duration) {
 	if m != nil {
 		m.items.Observe(age.Seconds())
 	}
 }
 
-func (m *Metrics) attempt(err error) {
+func (m *Metrics) countAttempt(err error) {
 	if m == nil {
 		return
 	}
--- a/internal/batch/runner/move.go
+++ b/internal/batch/runner/move.go
@@ -10,129 +10,132 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// measure notes the pace of engines by the streams that run there. An engine
-// that turned slow is known after some events, long before a stream ends.
-// The lock is held.
-func (r *Runner) measure(b *Batch, now timer.Instant) {
+// measurePaces records the pace of engines as measured by the streams that run
+// there. An engine that has become slow is known after some events, long before a
+// stream ends. The caller holds b.mu.
+func (r *Runner) measurePaces(b *Batch, now timer.Instant) {
 	for _, t := range b.tasks {
 		if t.phase != running || t.moving {
 			continue
 		}
-		if pace, ok := t.pace(paceSpan); ok {
+		if pace, ok := t.pace(paceEvents); ok {
 			t.upstream.Measured(pace, now)
 		}
 	}
 }
 
-// progressOf describes the running attempt of a task. The lock is held.
-func (r *Runner) progressOf(t *task, usual time.Duration, now timer.Instant) schedule.Progress {
+// progressOf describes the running attempt of a task. The caller holds the
+// batch's lock.
+func (r *Runner) progressOf(t *task, medianPace time.Duration, now timer.Instant) schedule.Progress {
 	return schedule.Progress{
-		Waited:   now.Sub(t.heard),
-		Ran:      now.Sub(t.begun),
-		Events:   t.made,
-		Made:     t.last,
+		Waited:   now.Sub(t.lastEventAt),
+		Ran:      now.Sub(t.attemptStart),
+		Events:   t.attemptEvents,
+		Made:     t.lastEvent,
 		Moves:    t.moves,
 		Expected: r.lengths.Events(t.tokens),
 		Most:     r.lengths.Most(t.item.MostTokens),
-		Pace:     t.upstream.Against(usual.Seconds(), now),
+		Pace:     t.upstream.Against(medianPace.Seconds(), now),
 	}
 }
 
-// steady is the most that the pace of an engine may be to take in a stream that
-// another one fails.
-const steady = 1.5
+// maxRescuePace is the highest pace, relative to the median, of an engine that
+// takes a stream from a failing engine.
+const maxRescuePace = 1.5
 
-// rescue moves the streams that are silent or much too slow. The lock is held.
-func (r *Runner) rescue(b *Batch, now timer.Instant) {
-	usual := r.usual(b)
-	engines := r.engines(b, now)
+// moveFailing moves the streams that are stalled or much too slow. The caller
+// holds b.mu.
+func (r *Runner) moveFailing(b *Batch, now timer.Instant) {
+	medianPace := r.medianPace(b)
+	candidates := r.availableCandidates(b, now)
 	for _, t := range b.tasks {
 		if t.phase != running || t.moving {
 			continue
 		}
 		to := -1
-		for i := range engines {
-			e := &engines[i]
-			if e.u != t.upstream && e.Room >= 1 && e.Pace <= steady {
+		for i := range candidates {
+			e := &candidates[i]
+			if e.u != t.upstream && e.Room >= 1 && e.Pace <= maxRescuePace {
 				to = i
 				break
 			}
 		}
-		p := r.progressOf(t, usual, now)
-		if !schedule.Move(p, usual, to >= 0) {
+		p := r.progressOf(t, medianPace, now)
+		if !schedule.Move(p, medianPace, to >= 0) {
 			continue
 		}
-		engines[to].Room--
-		t.stuck = p.Waited > usual*3
-		r.move(b, t, p, usual, "failing")
+		candidates[to].Room--
+		t.stalled = p.Waited > medianPace*3
+		r.moveItem(b, t, p, medianPace, "failing")
 	}
 }
 
-// speedUp moves streams to faster engines that have become free, those first
-// that gain the most. The lock is held.
-func (r *Runner) speedUp(b *Batch, now timer.Instant) {
-	if b.next(now) >= 0 {
-		// Items that wait need the free slots more.
+// moveToFaster moves streams to faster engines that have free slots, those with
+// the largest gain first. The caller holds b.mu.
+func (r *Runner) moveToFaster(b *Batch, now timer.Instant) {
+	if b.nextReady(now) >= 0 {
+		// Queued items need the free slots more.
 		return
 	}
-	usual := r.usual(b)
-	if usual <= 0 {
+	medianPace := r.medianPace(b)
+	if medianPace <= 0 {
 		return
 	}
-	list := r.engines(b, now)
-	plain := plainOf(list)
-	type wish struct {
+	candidates := r.availableCandidates(b, now)
+	engines := enginesOf(candidates)
+	type proposedMove struct {
 		t    *task
 		p    schedule.Progress
 		gain time.Duration
 	}
-	var wishes []wish
-	to := schedule.Pick(plain, schedule.Need{})
+	var moves []proposedMove
+	to := schedule.Pick(engines, schedule.Need{})
 	if to < 0 {
 		return
 	}
 	for _, t := range b.tasks {
-		if t.phase != running || t.moving || t.upstream == list[to].u {
+		if t.phase != running || t.moving || t.upstream == candidates[to].u {
 			continue
 		}
-		p := r.progressOf(t, usual, now)
-		if gain := schedule.Gain(p, usual, plain[to].Pace); gain > 0 {
-			wishes = append(wishes, wish{
+		p := r.progressOf(t, medianPace, now)
+		if gain := schedule.Gain(p, medianPace, engines[to].Pace); gain > 0 {
+			moves = append(moves, proposedMove{
 				t:    t,
 				p:    p,
 				gain: gain,
 			})
 		}
 	}
-	sort.Slice(wishes, func(i, j int) bool { return wishes[i].gain > wishes[j].gain })
-	for _, w := range wishes {
-		to := pickBut(plain, list, w.t.upstream, schedule.Need{})
-		if to < 0 || schedule.Gain(w.p, usual, plain[to].Pace) == 0 {
+	sort.Slice(moves, func(i, j int) bool { return moves[i].gain > moves[j].gain })
+	for _, m := range moves {
+		to := pickAvoiding(engines, candidates, m.t.upstream, schedule.Need{})
+		if to < 0 || schedule.Gain(m.p, medianPace, engines[to].Pace) == 0 {
 			return
 		}
-		plain[to].Room--
-		w.t.stuck = false
-		r.move(b, w.t, w.p, usual, "faster")
+		engines[to].Room--
+		m.t.stalled = false
+		r.moveItem(b, m.t, m.p, medianPace, "faster")
 	}
 }
 
-// move ends an attempt so that the item goes on elsewhere. The lock is held.
-func (r *Runner) move(b *Batch, t *task, p schedule.Progress, usual time.Duration, why string) {
+// moveItem cancels the running attempt of a task so that the item continues at
+// another engine. The caller holds b.mu.
+func (r *Runner) moveItem(b *Batch, t *task, p schedule.Progress, medianPace time.Duration, reason string) {
 	t.moving = true
 	t.moves++
-	t.left = t.upstream
+	t.movedFrom = t.upstream
 	t.cancel()
-	r.Metrics.moved()
+	r.Metrics.itemMoved()
 	r.Journal.Decision("move", log.Fields{
 		"request_id": t.item.ID,
 		"batch":      b.sub.ID,
 		"from":       t.upstream.ID,
-		"why":        why,
-		"after":      t.last,
+		"why":        reason,
+		"after":      t.lastEvent,
 		"waited_ms":  p.Waited.Milliseconds(),
 		"ran_ms":     p.Ran.Milliseconds(),
 		"events":     p.Events,
 		"pace":       p.Pace,
-		"usual_ms":   usual.Milliseconds(),
+		"usual_ms":   medianPace.Milliseconds(),
 	})
 }
--- a/internal/batch/runner/move_test.go
+++ b/internal/batch/runner/move_test.go
@@ -11,22 +11,23 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// All fast engines were full when a long text began, so it runs at an engine of an
-// older kind, where it takes two seconds longer than its step has. When a slot of a
-// fast one is free it goes on there, after its last whole event.
+// All slots of the fast engines are taken when a long text begins, so it runs at
+// a slower engine, where it would take two seconds longer than its step has. When
+// a fast engine has a free slot, the text continues there after its last complete
+// event.
 func TestLongTextMovesToAFasterEngine(t *testing.T) {
 	is := is.New(t)
 	const length = 100
-	var b *bench
-	b = newBench(t, func(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error {
+	var b *testBench
+	b = newTestBench(t, func(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error {
 		if u.ID != "old" {
-			return events(g.After, length, 5, emit)
+			return emitEvents(g.After, length, 5, emit)
 		}
 		for n := g.After + 1; n <= length; n++ {
 			if !timer.Wait(b.clock, 65*time.Millisecond, ctx.Done()) {
 				return ctx.Err()
 			}
-			if err := events(n-1, n, 5, emit); err != nil {
+			if err := emitEvents(n-1, n, 5, emit); err != nil {
 				return err
 			}
 		}
@@ -49,57 +50,57 @@
 		}
 		u.Measured(pace, b.clock.Now())
 	}
-	sub := b.batch("x")
+	sub := b.newSubmission("x")
 	sub.Items[0].ExpectedTokens = 80 * length
 	is.NoErr(b.runner.Submit(context.Background(), sub, b.route))
-	until(func() bool {
-		b.script.mu.Lock()
-		defer b.script.mu.Unlock()
-		return len(b.script.calls) == 1
+	eventually(func() bool {
+		b.generator.mu.Lock()
+		defer b.generator.mu.Unlock()
+		return len(b.generator.calls) == 1
 	})
 	timer.Wait(timer.Real{}, 30*time.Millisecond, nil) // some events of the old engine
 	fast[0].Ended()
-	got := b.results(1)
+	got := b.waitForResults(1)
 	is.Equal(len(got), 1)
-	b.script.mu.Lock()
-	defer b.script.mu.Unlock()
-	is.Equal(len(b.script.calls), 2)
-	is.True(b.script.calls[1].After >= 4)
-	is.True(b.script.calls[1].After < length)
+	b.generator.mu.Lock()
+	defer b.generator.mu.Unlock()
+	is.Equal(len(b.generator.calls), 2)
+	is.True(b.generator.calls[1].After >= 4)
+	is.True(b.generator.calls[1].After < length)
 }
 
-// An engine turns four times slower. Its streams are moved after four events, and
-// nobody learnt of its pace by them: it got new items again and again, and some
-// were moved eight times.
-func TestMovedStreamsTellOfTheirEngine(t *testing.T) {
+// Guards against an engine that becomes four times slower and keeps getting new
+// items, some of which were moved eight times: its streams are moved after four
+// events, which must be enough to measure its pace.
+func TestMovedStreamMeasuresItsEngine(t *testing.T) {
 	is := is.New(t)
 	task := &task{}
 	at := timer.Instant(time.Second)
 	for n := range 4 {
-		is.True(task.add(Event{Number: n + 1}, at))
+		is.True(task.addEvent(Event{Number: n + 1}, at))
 		at = at.Add(200 * time.Millisecond)
 	}
-	_, ok := task.pace(paceSpan)
+	_, ok := task.pace(paceEvents)
 	is.True(!ok) // too few while it runs
-	pace, ok := task.pace(leastSpan)
+	pace, ok := task.pace(minPaceEvents)
 	is.True(ok)
 	is.Equal(pace, 200*time.Millisecond)
 }
 
-// An engine goes dark with items in its slots, and new ones are sent to it. The
-// first that is given up takes it out; each other would stand still for a third of
-// a second there.
-func TestDarkEngineGetsNoMoreItems(t *testing.T) {
+// An engine stops responding while items run there, and new ones are sent to it.
+// The first item that is moved away must take the engine out of use; otherwise
+// each further item would stall there for a third of a second.
+func TestUnresponsiveEngineGetsNoMoreItems(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error {
 		if u.ID == "one" {
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		return events(g.After, 4, 5, emit)
+		return emitEvents(g.After, 4, 5, emit)
 	})
 	is.NoErr(b.submit("x", "y", "z"))
-	is.Equal(len(b.results(3)), 3)
+	is.Equal(len(b.waitForResults(3)), 3)
 	for _, u := range b.runner.Book.Group("s").Upstreams {
 		if u.ID == "one" {
 			is.True(u.Out(b.clock.Now()))
--- a/internal/batch/runner/prepare.go
+++ b/internal/batch/runner/prepare.go
@@ -12,30 +12,32 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// preparedFor is how long a batch that is not stored runs on after it was last
-// asked for: a trainer that was not answered comes again within a second.
-const preparedFor = 3 * time.Second
+// unstoredTimeout is how long a batch that is not stored keeps running after it
+// was last requested. A trainer that got no answer repeats its request within a
+// second.
+const unstoredTimeout = 3 * time.Second
 
-// errUnwanted ends a batch that was begun and is not asked for any more.
-var errUnwanted = errors.New("the batch is not stored and not asked for any more")
+// errNotRequested ends a batch that was started without being stored and is not
+// requested any longer.
+var errNotRequested = errors.New("the batch is not stored and no longer requested")
 
-// Prepare begins a batch that can't be stored now, as the key-value service is
-// away. Nothing of it can be read before it is stored, and whoever asked for it
-// must not be told that it has not run. The trainer stands still until the service
-// is back; with its items made meanwhile, its step ends as if it had been accepted
-// at once.
+// Prepare starts a batch that can't be stored now because the key-value service
+// is unavailable. Nothing of the batch can be read before it is stored, and the
+// caller must not be told that it has not run. The trainer waits until the
+// service is back. Since the items are generated in the meantime, its step then
+// ends as if the batch had been accepted at once.
 func (r *Runner) Prepare(sub *submission.Submission, route catalog.Route) {
 	now := r.Timer.Now()
 	if b := r.find(sub.ID); b != nil && !b.isLost() {
 		b.mu.Lock()
-		b.wanted = now
+		b.requestedAt = now
 		b.mu.Unlock()
 		return
 	}
-	b := newBatch(sub, ledger.Claim{Batch: sub.ID}, nil, nil, r.known(sub))
+	b := newBatch(sub, ledger.Claim{Batch: sub.ID}, nil, nil, r.earlierTokens(sub))
 	b.unstored = true
-	b.wanted = now
-	r.adopt(b, route, "prepare")
+	b.requestedAt = now
+	r.startBatch(b, route, "prepare")
 }
 
 // Prepared reports whether a batch runs here without being stored.
@@ -49,9 +51,9 @@
 	return b.unstored && !b.over()
 }
 
-// stored takes the claim of a batch that runs already. It reports false if there
-// is none.
-func (r *Runner) stored(claim ledger.Claim) bool {
+// attachClaim marks a batch that runs here already as stored under a claim. It
+// reports false if there is no such batch.
+func (r *Runner) attachClaim(claim ledger.Claim) bool {
 	b := r.find(claim.Batch)
 	if b == nil {
 		return false
@@ -69,13 +71,13 @@
 		"open":       b.open,
 		"age_ms":     b.age(r.Timer.Now()).Milliseconds(),
 	})
-	b.write.Set()
+	b.writeWake.Set()
 	return true
 }
 
-// abandon drops a batch that runs here without being stored: another instance has
-// it.
-func (r *Runner) abandon(id string, why error) {
+// dropUnstored drops a batch that runs here without being stored, since another
+// instance has it.
+func (r *Runner) dropUnstored(id string, cause error) {
 	b := r.find(id)
 	if b == nil {
 		return
@@ -84,12 +86,12 @@
 	unstored := b.unstored
 	b.mu.Unlock()
 	if unstored {
-		r.Lose(id, why)
+		r.Lose(id, cause)
 	}
 }
 
-// unwanted reports whether the batch is not stored and nobody asks for it. The
-// lock is held.
-func (b *Batch) unwanted(now timer.Instant) bool {
-	return b.unstored && now.Sub(b.wanted) > preparedFor
+// requestsStopped reports whether the batch is not stored and not requested any
+// longer. The caller holds b.mu.
+func (b *Batch) requestsStopped(now timer.Instant) bool {
+	return b.unstored && now.Sub(b.requestedAt) > unstoredTimeout
 }
--- a/internal/batch/runner/prepare_proof_test.go
+++ b/internal/batch/runner/prepare_property_test.go
@@ -15,25 +15,25 @@
 	"github.com/egretbend/egretbend/internal/standin/space"
 )
 
-// histories is how many histories the proof plays; each runs for some hundredths
-// of a second.
-const histories = 40
+// historyCount is the number of random histories that the test runs; each takes
+// some hundredths of a second.
+const historyCount = 40
 
 // The key-value service refuses calls, loses their answers and carries them out
-// late, while a trainer asks for its batch again and again here and at another
-// instance. Whatever can be read here stands in the ledger, so that it comes again
-// after any crash; and at the end, if this instance has the batch, each of its
-// items is there once.
-func TestPreparedBatchesShowOnlyWhatIsStored(t *testing.T) {
-	proof.CheckN(t, histories, func(rt *rapid.T) {
+// late, while a trainer submits its batch repeatedly here and at another
+// instance. Every result that can be read here must be in the ledger, so that it
+// can be read again after any crash. At the end, if this instance has the batch,
+// each of its items must be there once.
+func TestPreparedBatchShowsOnlyStoredResults(t *testing.T) {
+	proof.CheckN(t, historyCount, func(rt *rapid.T) {
 		is := is.New(t)
 		ctx := context.Background()
-		b := newBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
-			return events(g.After, 3, 5, emit)
+		b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+			return emitEvents(g.After, 3, 5, emit)
 		})
 		var fault atomic.Int32
 		b.store.Fault = func(space.Call) space.Fault { return space.Fault(fault.Load()) }
-		sub := b.batch("x", "y", "z")
+		sub := b.newSubmission("x", "y", "z")
 		other := &ledger.Ledger{
 			Space: b.store,
 			Self: ledger.Owner{
@@ -76,7 +76,7 @@
 			return
 		}
 		once := map[string]int{}
-		for _, r := range b.results(3) {
+		for _, r := range b.waitForResults(3) {
 			is.Equal(r.State, submission.Completed)
 			once[r.Item]++
 		}
--- a/internal/batch/runner/prepare_test.go
+++ b/internal/batch/runner/prepare_test.go
@@ -14,17 +14,17 @@
 	"github.com/egretbend/egretbend/internal/standin/space"
 )
 
-// The key-value service is away for longer than a step may wait. Its items are
-// made meanwhile, but nobody may read them: after a loss of power they would be
-// gone, and another instance would make others. Once the batch is stored all of
-// them are listed.
-func TestBatchIsMadeWhileItCannotBeStored(t *testing.T) {
+// The key-value service is unavailable for longer than a step may wait. The items
+// are generated in the meantime, but nobody may read them: after a power failure
+// they would be gone, and another instance would generate others. Once the batch
+// is stored all of them are listed.
+func TestUnstoredBatchIsGeneratedButNotReadable(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(_ context.Context, _ *catalog.Upstream, _ Generation, emit func(Event) error) error {
-		return events(0, 3, 5, emit)
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, _ Generation, emit func(Event) error) error {
+		return emitEvents(0, 3, 5, emit)
 	})
 	b.store.Fault = func(space.Call) space.Fault { return space.Down }
-	sub := b.batch("x", "y")
+	sub := b.newSubmission("x", "y")
 	err := b.runner.Submit(context.Background(), sub, b.route)
 	is.True(errors.Is(err, keyvalue.ErrDown))
 	b.runner.Prepare(sub, b.route)
@@ -34,7 +34,7 @@
 		defer batch.mu.Unlock()
 		return len(batch.pending) == 2
 	}
-	is.True(until(made))
+	is.True(eventually(made))
 	_, err = b.runner.Read(context.Background(), "b", 0, 0)
 	is.True(errors.Is(err, ErrNotHere))
 	_, _, err = b.runner.Body("b", "x")
@@ -44,33 +44,34 @@
 
 	b.store.Fault = nil
 	is.NoErr(b.runner.Submit(context.Background(), sub, b.route))
-	is.Equal(len(b.results(2)), 2)
+	is.Equal(len(b.waitForResults(2)), 2)
 	is.True(b.runner.Has("b"))
 }
 
-// Nobody asks for a batch any more that could not be stored. It must not occupy
-// engines to its end.
-func TestPreparedBatchEndsWhenNobodyAsks(t *testing.T) {
+// Guards against a batch that could not be stored, is no longer requested, and
+// still occupies engines until it is complete.
+func TestPreparedBatchEndsWhenNotRequested(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan struct{}, 1)
-	b := newBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Generation, _ func(Event) error) error {
+	b := newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Generation, _ func(Event) error) error {
 		<-ctx.Done()
 		ended <- struct{}{}
 		return ctx.Err()
 	})
-	b.runner.Prepare(b.batch("x"), b.route)
+	b.runner.Prepare(b.newSubmission("x"), b.route)
 	<-ended
-	is.True(until(func() bool { return b.runner.find("b") == nil }))
+	is.True(eventually(func() bool { return b.runner.find("b") == nil }))
 }
 
-// Another instance has stored the batch meanwhile. Only one of the two goes on.
+// Guards against a batch that two instances run: another one has stored it while
+// it runs here without being stored.
 func TestPreparedBatchYieldsToItsOwner(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Generation, _ func(Event) error) error {
+	b := newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Generation, _ func(Event) error) error {
 		<-ctx.Done()
 		return ctx.Err()
 	})
-	sub := b.batch("x")
+	sub := b.newSubmission("x")
 	b.runner.Prepare(sub, b.route)
 	other := &ledger.Ledger{
 		Space: b.store,
@@ -84,47 +85,49 @@
 	is.Equal(b.runner.find("b"), nil)
 }
 
-// The batch was stored without an answer, and the look for batches finds it. It goes
-// on as it is, with what was made of it.
+// The batch was stored but the answer was lost, and the periodic search for
+// batches finds it in the ledger. It must continue with what was already
+// generated.
 func TestPreparedBatchIsFoundInTheLedger(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(_ context.Context, _ *catalog.Upstream, _ Generation, emit func(Event) error) error {
-		return events(0, 3, 5, emit)
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, _ Generation, emit func(Event) error) error {
+		return emitEvents(0, 3, 5, emit)
 	})
-	sub := b.batch("x")
+	sub := b.newSubmission("x")
 	b.runner.Prepare(sub, b.route)
 	claim, err := b.runner.Ledger.Accept(context.Background(), sub)
 	is.NoErr(err)
 	is.NoErr(b.runner.Adopt(context.Background(), claim))
-	is.Equal(len(b.results(1)), 1)
-	is.Equal(len(b.script.calls), 1) // made once
+	is.Equal(len(b.waitForResults(1)), 1)
+	is.Equal(len(b.generator.calls), 1) // made once
 }
 
-// endsFirst ends a batch just before it is read.
-type endsFirst struct {
+// endingSpace ends a batch just before it is read.
+type endingSpace struct {
 	*space.Space
-	end func()
+	endBatch func()
 }
 
 // Range implements keyvalue.Space.
-func (s *endsFirst) Range(ctx context.Context, prefix string, f keyvalue.Freshness) (keyvalue.Listing, error) {
-	s.end()
+func (s *endingSpace) Range(ctx context.Context, prefix string, f keyvalue.Freshness) (keyvalue.Listing, error) {
+	s.endBatch()
 	return s.Space.Range(ctx, prefix, f)
 }
 
-// A trainer's submission arrives once more just as its batch ends. Told that the
-// batch has not run, it would take results for lost that it has read.
-func TestBatchThatHasJustEndedWasAccepted(t *testing.T) {
+// A trainer's submission arrives again just as its batch ends. If the trainer
+// were told that the batch has not run, it would take results for lost that it
+// has already read.
+func TestResubmittedBatchThatJustEndedExists(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	b := newBench(t, nil)
-	sub := b.batch("x")
+	b := newTestBench(t, nil)
+	sub := b.newSubmission("x")
 	l := *b.runner.Ledger
 	_, err := l.Accept(ctx, sub)
 	is.NoErr(err)
-	b.runner.Ledger.Space = &endsFirst{
-		Space: b.store,
-		end:   func() { is.NoErr(l.End(ctx, "b", time.Now())) },
+	b.runner.Ledger.Space = &endingSpace{
+		Space:    b.store,
+		endBatch: func() { is.NoErr(l.End(ctx, "b", time.Now())) },
 	}
 	is.True(errors.Is(b.runner.Submit(ctx, sub, b.route), ledger.ErrExists))
 	is.Equal(b.runner.Has("b"), false)
--- a/internal/batch/runner/rank.go
+++ b/internal/batch/runner/rank.go
@@ -10,51 +10,51 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// rankEvery is how often the queue of a step is put in order under overload.
-const rankEvery = 200 * time.Millisecond
+// rankInterval is how often the queue of a step is ordered.
+const rankInterval = 200 * time.Millisecond
 
-// rank puts the queue of a batch in order if its step can't be whole in time.
-// others is the work of earlier steps of its model; it returns it with the work
-// of this one. The lock is held.
-func (r *Runner) rank(b *Batch, others time.Duration, now timer.Instant) time.Duration {
-	if b.sub.WantedGroups == 0 || b.route.ResultDeadline <= 0 || b.usual <= 0 || !r.lengths.Known() {
-		// Nobody said when it is due, or nothing is known of its work.
-		return others
+// rankQueue orders the queue of a batch by whether its step can be complete in
+// time. earlierWork is the work of earlier steps of the same model; rankQueue
+// returns the sum of it and the work of this step. The caller holds b.mu.
+func (r *Runner) rankQueue(b *Batch, earlierWork time.Duration, now timer.Instant) time.Duration {
+	if b.sub.WantedGroups == 0 || b.route.ResultDeadline <= 0 || b.medianPace <= 0 || !r.lengths.Known() {
+		// It is not known when the step is due, or how much work it has left.
+		return earlierWork
 	}
-	names, groups := r.work(b, now)
-	l := schedule.Load{
+	groupIndex, groups := r.groupWork(b, now)
+	load := schedule.Load{
 		Groups:  groups,
-		Missing: b.sub.WantedGroups - b.wholeGroups,
-		Slots:   r.slots(b, now),
-		Others:  others,
+		Missing: b.sub.WantedGroups - b.completeGroups,
+		Slots:   r.totalSlots(b, now),
+		Others:  earlierWork,
 		Left:    b.route.ResultDeadline - b.age(now),
 	}
-	if len(b.queue) > 0 && now.Sub(b.ranked) >= rankEvery {
-		b.ranked = now
-		r.reorder(b, names, l)
+	if len(b.queue) > 0 && now.Sub(b.rankedAt) >= rankInterval {
+		b.rankedAt = now
+		r.reorder(b, groupIndex, load)
 	}
-	return others + l.Needed()
+	return earlierWork + load.Needed()
 }
 
-// reorder sorts the queue by the places of groups, and longest first within one. An
-// item that was refused or broken off keeps its place before those that never began,
-// unless the step is overloaded. The lock is held.
-func (r *Runner) reorder(b *Batch, names map[string]int, l schedule.Load) {
-	rank := l.Rank()
+// reorder sorts the queue by the rank of the groups, and longest first within a
+// rank. An item that was refused or whose stream broke keeps its place before
+// those that never started, unless the step is overloaded. The caller holds b.mu.
+func (r *Runner) reorder(b *Batch, groupIndex map[string]int, load schedule.Load) {
+	rank := load.Rank()
 	if rank.Overloaded != b.overloaded {
 		b.overloaded = rank.Overloaded
 		r.Journal.Decision("overload", log.Fields{
 			"request_id": b.sub.ID,
 			"overloaded": b.overloaded,
-			"missing":    l.Missing,
-			"slots":      l.Slots,
-			"left_ms":    l.Left.Milliseconds(),
-			"needed_ms":  l.Needed().Milliseconds(),
-			"others_ms":  l.Others.Milliseconds(),
-			"age_ms":     b.age(b.ranked).Milliseconds(),
+			"missing":    load.Missing,
+			"slots":      load.Slots,
+			"left_ms":    load.Left.Milliseconds(),
+			"needed_ms":  load.Needed().Milliseconds(),
+			"others_ms":  load.Others.Milliseconds(),
+			"age_ms":     b.age(b.rankedAt).Milliseconds(),
 		})
 	}
-	place := func(t *task) int { return rank.Places[names[t.item.Group]] }
+	place := func(t *task) int { return rank.Places[groupIndex[t.item.Group]] }
 	sort.SliceStable(b.queue, func(i, j int) bool {
 		x, y := b.queue[i], b.queue[j]
 		if place(x) != place(y) {
@@ -67,40 +67,41 @@
 	})
 }
 
-// work returns what is left to do of each unfinished group, and the groups'
-// places by name. The lock is held.
-func (r *Runner) work(b *Batch, now timer.Instant) (map[string]int, []schedule.Work) {
-	names := make(map[string]int)
+// groupWork returns the remaining work of each unfinished group, and the index of
+// each group there by its name. The caller holds b.mu.
+func (r *Runner) groupWork(b *Batch, now timer.Instant) (map[string]int, []schedule.Work) {
+	groupIndex := make(map[string]int)
 	var groups []schedule.Work
 	for _, t := range b.tasks {
 		if t.phase == finished || t.phase == scoring {
 			continue
 		}
-		at, ok := names[t.item.Group]
+		index, ok := groupIndex[t.item.Group]
 		if !ok {
-			at = len(groups)
-			names[t.item.Group] = at
+			index = len(groups)
+			groupIndex[t.item.Group] = index
 			groups = append(groups, schedule.Work{
-				Again: b.again[t.item.Group],
+				Again: b.carriedOver[t.item.Group],
 			})
 		}
-		left := r.itemLeft(b, t, now)
-		groups[at].Total += left
-		groups[at].Longest = max(groups[at].Longest, left)
+		remaining := r.generationTimeLeft(b, t, now)
+		groups[index].Total += remaining
+		groups[index].Longest = max(groups[index].Longest, remaining)
 	}
-	return names, groups
+	return groupIndex, groups
 }
 
-// slots returns how many items the engines run that serve the batch or will when
-// they have loaded the next weights; those of its model alone if it crowds them. The
-// lock is held.
-func (r *Runner) slots(b *Batch, now timer.Instant) int {
+// totalSlots returns how many items run at once at the engines that serve the
+// batch, or will when they have loaded the next weights. If the batch has too
+// many items for the engines of its own model, only those count. The caller holds
+// b.mu.
+func (r *Runner) totalSlots(b *Batch, now timer.Instant) int {
 	all, own := 0, 0
-	sets := r.sets(b, now)
+	models := r.engineModels(b, now)
 	for _, u := range r.Book.Group(b.service).Upstreams {
 		if u.Usable(now) && u.ModelVersion(b.sub.Model)+1 >= b.sub.OldestVersion {
 			all += max(1, u.Slots)
-			if !b.lends(sets[u.ID]) {
+			if !b.isLent(models[u.ID]) {
 				own += max(1, u.Slots)
 			}
 		}
@@ -112,4 +113,4 @@
 }
 
 // age returns the time since the batch was submitted.
-func (b *Batch) age(now timer.Instant) time.Duration { return now.Sub(b.asked) }
+func (b *Batch) age(now timer.Instant) time.Duration { return now.Sub(b.submittedAt) }
--- a/internal/batch/runner/rank_test.go
+++ b/internal/batch/runner/rank_test.go
@@ -11,16 +11,17 @@
 	"github.com/egretbend/egretbend/internal/batch/submission"
 )
 
-// A trainer asks for three times what its engines can make in time. The items of
-// the group with the least work run first, though others are longer: begun longest
-// first over all groups, no group would be whole when the step is due. There is no time
-// for the others, which follow longest first.
-func TestOverloadedStepMakesGroupAfterGroup(t *testing.T) {
+// A trainer submits three times the work that its engines can do in time. The
+// items of the group with the least work must run first, although others are
+// longer: started longest first across all groups, no group would be complete
+// when the step is due. There is no time for the other groups, which follow
+// longest first.
+func TestOverloadedStepRunsGroupByGroup(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, nil)
+	b := newTestBench(t, nil)
 	b.route.ResultDeadline = 7 * time.Second
 	b.runner.lengths.Finished(10_000, 100) // a hundred tokens an event
-	sub := b.batch()
+	sub := b.newSubmission()
 	sub.WantedGroups = 3
 	for _, group := range []string{"large", "small", "middle"} {
 		for n := range 4 {
@@ -33,10 +34,10 @@
 	}
 	batch := newBatch(sub, ledger.Claim{}, nil, nil, nil)
 	batch.route, batch.service = b.route, "s"
-	batch.usual = 50 * time.Millisecond
-	batch.asked = b.clock.Now()
+	batch.medianPace = 50 * time.Millisecond
+	batch.submittedAt = b.clock.Now()
 	batch.mu.Lock()
-	b.runner.rank(batch, 0, b.clock.Now().Add(rankEvery))
+	b.runner.rankQueue(batch, 0, b.clock.Now().Add(rankInterval))
 	is.True(batch.overloaded)
 	var order []string
 	for _, task := range batch.queue {
@@ -44,25 +45,25 @@
 	}
 	batch.mu.Unlock()
 	is.Equal(slices.Compact(order), []string{"small", "large", "middle"})
-	// An item that was broken off stays at the front of a step that has time.
+	// In a step that has time, an item whose stream broke stays at the front.
 	batch.mu.Lock()
 	batch.overloaded = false
 	batch.route.ResultDeadline = time.Hour
 	first := batch.queue[0]
 	first.attempts = 1
-	b.runner.rank(batch, 0, b.clock.Now().Add(2*rankEvery))
+	b.runner.rankQueue(batch, 0, b.clock.Now().Add(2*rankInterval))
 	is.Equal(batch.queue[0], first)
-	// Without a time at which it is due nothing is known of overload.
+	// Without a result deadline a step is never overloaded.
 	batch.route.ResultDeadline = 0
-	b.runner.rank(batch, 0, b.clock.Now().Add(3*rankEvery))
+	b.runner.rankQueue(batch, 0, b.clock.Now().Add(3*rankInterval))
 	is.Equal(batch.overloaded, false)
 	batch.overloaded = true
 	batch.mu.Unlock()
-	// With time enough the longest begin first.
+	// With enough time the longest items start first.
 	batch.route.ResultDeadline = time.Hour
 	first.attempts = 0
 	batch.mu.Lock()
-	b.runner.rank(batch, 0, b.clock.Now().Add(4*rankEvery))
+	b.runner.rankQueue(batch, 0, b.clock.Now().Add(4*rankInterval))
 	is.Equal(batch.overloaded, false)
 	is.Equal(batch.queue[0].item.Group, "large")
 	batch.mu.Unlock()
--- a/internal/batch/runner/read.go
+++ b/internal/batch/runner/read.go
@@ -9,7 +9,8 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// Page is a part of a batch's results.
+// Page is a part of a batch's results. Total is the number of items of the batch,
+// and Next the position after the last result of the page.
 type Page struct {
 	Total   int
 	Results []submission.Result
@@ -17,21 +18,21 @@
 }
 
 const (
-	// pageBytes bounds a page, which may have a megabyte. A trainer reads twice a
-	// second: what ends its step and does not fit one page is read half a second
-	// later.
-	pageBytes = 900 << 10
-	// pageOverhead is what a result takes beside its text in the answer: its names,
-	// versions and score.
-	pageOverhead = 160
+	// maxPageBytes limits a page, which may have a megabyte. A trainer reads
+	// twice a second: results at the end of its step that do not fit one page are
+	// read half a second later.
+	maxPageBytes = 900 << 10
+	// resultOverhead is how many bytes a result takes in the answer beside its
+	// text and its item's ID: field names, versions and score.
+	resultOverhead = 160
 )
 
-// page returns the results from a position on. The lock is held.
+// page returns the results from a position on. The caller holds b.mu.
 func (b *Batch) page(after int) Page {
 	return PageOf(len(b.sub.Items), b.listed, after)
 }
 
-// PageOf cuts a page out of all listed results.
+// PageOf returns the page of all listed results that begins at position after.
 func PageOf(total int, listed []submission.Result, after int) Page {
 	p := Page{
 		Total: total,
@@ -40,8 +41,8 @@
 	size := 0
 	for after < len(listed) {
 		r := listed[after]
-		size += len(r.Text) + len(r.Item) + pageOverhead
-		if size > pageBytes && len(p.Results) > 0 {
+		size += len(r.Text) + len(r.Item) + resultOverhead
+		if size > maxPageBytes && len(p.Results) > 0 {
 			break
 		}
 		p.Results = append(p.Results, r)
@@ -51,8 +52,8 @@
 	return p
 }
 
-// Read returns results from a position on, and waits for some if there are
-// none yet.
+// Read returns the results from a position on. If there are none yet, it waits
+// for some.
 func (r *Runner) Read(ctx context.Context, id string, after int, wait time.Duration) (Page, error) {
 	b := r.find(id)
 	if b == nil {
@@ -65,16 +66,16 @@
 		done = sub.C
 	}
 	w := &waiter{}
-	defer b.leave(w)
-	turned := b.turns()
-	graced := false
+	defer b.removeWaiter(w)
+	releases := b.releaseCount()
+	extended := false
 	for {
 		b.mu.Lock()
 		now := r.Timer.Now()
-		p, answered, err := b.answer(after, wait > 0 && b.turned == turned, now)
+		p, answered, err := b.answer(after, wait > 0 && b.releases == releases, now)
 		changed := b.changed
 		if !answered && err == nil {
-			b.wait(w, now)
+			b.addWaiter(w, now)
 		}
 		b.mu.Unlock()
 		if answered || err != nil {
@@ -83,11 +84,12 @@
 		select {
 		case <-changed:
 		case <-done:
-			if !graced && b.isSending() {
-				// Results are about to be listed; told of none, the trainer
-				// would find them at its next read and look away after that.
-				graced = true
-				sub := r.Timer.Once(sendGrace)
+			if !extended && b.isWriting() {
+				// Results are about to be listed. If the read were answered
+				// without them, the next read would find them at once, and the
+				// trainer would pause after that one.
+				extended = true
+				sub := r.Timer.Once(writeGrace)
 				defer sub.Close()
 				done = sub.C
 				continue
@@ -101,9 +103,9 @@
 	}
 }
 
-// answer returns what a read is answered with now, and whether it is: with
-// results, with the end of the batch, or with nothing if the read does not wait any
-// more. The lock is held.
+// answer returns the answer to a read, and whether the read can be answered now:
+// with results, with the end of the batch, or with nothing if the read does not
+// wait any longer. The caller holds b.mu.
 func (b *Batch) answer(after int, waits bool, now timer.Instant) (Page, bool, error) {
 	if b.lost || b.unstored {
 		return Page{}, false, ErrNotHere
@@ -112,14 +114,14 @@
 	if len(p.Results) > 0 {
 		return p, true, nil
 	}
-	if !waits && b.unsure(now) {
+	if !waits && b.mayLagLedger(now) {
 		return Page{}, false, ErrNotHere
 	}
 	return p, !waits || b.ended || p.Next >= p.Total, nil
 }
 
-// Body returns the body of an item that is not listed yet; ok is false when
-// there is none.
+// Body returns the body of an item that is not listed yet; ok is false if there
+// is no such item.
 func (r *Runner) Body(id, item string) (body []byte, ok bool, err error) {
 	b := r.find(id)
 	if b == nil {
@@ -134,7 +136,8 @@
 	return body, ok && !b.ended, nil
 }
 
-// BodyOf returns the body of an item that is not listed.
+// BodyOf returns the body of an item that is not listed, and false if there is no
+// such item.
 func BodyOf(sub *submission.Submission, listed []submission.Result, item string) ([]byte, bool) {
 	for _, res := range listed {
 		if res.Item == item {
@@ -149,85 +152,89 @@
 	return nil, false
 }
 
-// doubtAfter is how long a write may take before its results may have been read
-// elsewhere: a reader that saw them there must not find them missing here.
-const doubtAfter = 300 * time.Millisecond
+// writeDoubtAfter is how long a write may take before its results may have been
+// read elsewhere: a reader that saw them there must not find them missing here.
+const writeDoubtAfter = 300 * time.Millisecond
 
-// unsure reports whether the ledger may show more than is listed here: a write
-// was sent and not answered. The lock is held.
-func (b *Batch) unsure(now timer.Instant) bool {
-	return b.sending && now.Sub(b.sent) > doubtAfter
+// mayLagLedger reports whether the ledger may hold more results than are listed
+// here: a write was sent and has not been answered for some time. The caller
+// holds b.mu.
+func (b *Batch) mayLagLedger(now timer.Instant) bool {
+	return b.writeInFlight && now.Sub(b.writeStartedAt) > writeDoubtAfter
 }
 
-// sendGrace is how much longer a read waits for a write that is under way.
-const sendGrace = 100 * time.Millisecond
+// writeGrace is how much longer a read waits for a write that is in progress.
+const writeGrace = 100 * time.Millisecond
 
-// isSending reports whether a write of results is under way.
-func (b *Batch) isSending() bool {
+// isWriting reports whether a write of results is in progress.
+func (b *Batch) isWriting() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.sending
+	return b.writeInFlight
 }
 
-// waiter is a read of results.
+// waiter is a read that may have to wait for results.
 type waiter struct {
-	// waits says that its wait was noted.
-	waits bool
+	// registered says that the read was added to the waiting ones; it is added
+	// only once.
+	registered bool
 }
 
-// wait notes that a read waits from now on, if it does not yet. The lock is held.
-func (b *Batch) wait(w *waiter, now timer.Instant) {
-	if w.waits {
+// addWaiter adds a read to the waiting ones, unless it was added before. The
+// caller holds b.mu.
+func (b *Batch) addWaiter(w *waiter, now timer.Instant) {
+	if w.registered {
 		return
 	}
-	if b.waiting == nil {
-		b.waiting = make(map[*waiter]timer.Instant)
+	if b.waitingReads == nil {
+		b.waitingReads = make(map[*waiter]timer.Instant)
 	}
-	w.waits = true
-	b.waiting[w] = now
+	w.registered = true
+	b.waitingReads[w] = now
 }
 
-// leave notes that a read is answered.
-func (b *Batch) leave(w *waiter) {
+// removeWaiter removes a read that is answered from the waiting ones.
+func (b *Batch) removeWaiter(w *waiter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.waiting, w)
+	delete(b.waitingReads, w)
 }
 
-// turns returns how many turns there were.
-func (b *Batch) turns() int {
+// releaseCount returns how often the waiting reads were released early.
+func (b *Batch) releaseCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.turned
+	return b.releases
 }
 
-// waited returns how long the oldest read has waited. The lock is held.
-func (b *Batch) waited(now timer.Instant) time.Duration {
+// longestWait returns how long the oldest read has waited. The caller holds b.mu.
+func (b *Batch) longestWait(now timer.Instant) time.Duration {
 	longest := time.Duration(0)
-	for _, since := range b.waiting {
+	for _, since := range b.waitingReads {
 		longest = max(longest, now.Sub(since))
 	}
 	return longest
 }
 
-// reading describes the read that has waited longest. The lock is held.
-func (b *Batch) reading(now timer.Instant) schedule.Reading {
+// describeRead describes the read that has waited longest. The caller holds b.mu.
+func (b *Batch) describeRead(now timer.Instant) schedule.Reading {
 	reading := schedule.Reading{
-		Waited: b.waited(now),
+		Waited: b.longestWait(now),
 	}
-	if b.endsAt != 0 && b.made == 0 {
-		reading.Left = b.endsAt.Sub(now)
+	if b.expectedEnd != 0 && b.stepDoneAt == 0 {
+		reading.Left = b.expectedEnd.Sub(now)
 	}
 	return reading
 }
 
-// turn answers the reads that wait if the next ones should wait when the step
-// ends. The lock is held.
-func (b *Batch) turn(now timer.Instant) {
-	// Results that are pending are written and listed for the same reason.
-	if len(b.pending) == 0 && b.reading(now).Turn() {
-		b.turned++
-		clear(b.waiting)
-		b.tell()
+// releaseReads answers the waiting reads early if the reads that follow them are
+// the ones that should wait when the step ends. The caller holds b.mu.
+func (b *Batch) releaseReads(now timer.Instant) {
+	// Pending results are written and listed for the same reason, which answers
+	// the reads as well.
+	if len(b.pending) == 0 && b.describeRead(now).Turn() {
+		b.releases++
+		clear(b.waitingReads)
+		b.notifyReaders()
 	}
 }
--- a/internal/batch/runner/reward.go
+++ b/internal/batch/runner/reward.go
@@ -14,27 +14,27 @@
 	"github.com/egretbend/egretbend/internal/route/forward"
 )
 
-// The pauses before a reward call is sent once more.
+// The pauses before a reward call is repeated.
 const (
-	rewardPause = 100 * time.Millisecond
-	// quarantinePause is for a call that is refused as upstreams end under it. It may be
-	// cleared sooner than its refusal says.
-	quarantinePause = time.Second
+	rewardRetryPause = 100 * time.Millisecond
+	// quarantineRetryPause follows a call that is refused because upstreams crash
+	// while they run it. The quarantine may end sooner than the refusal says.
+	quarantineRetryPause = time.Second
 )
 
-// Rewards scores texts by calls through the routes.
+// Rewards scores texts by reward calls that it sends along the routes.
 type Rewards struct {
 	Config    *catalog.Holder
 	Forwarder *forward.Forwarder
 	Timer     timer.Service
 }
 
-// Score implements Scorer. It goes on until the call is answered with proof, or
-// until upstreams have failed it as often as its route allows.
+// Score implements Scorer. It repeats the call until it is answered with a proof,
+// or until upstreams have failed it as often as its route allows.
 func (s *Rewards) Score(ctx context.Context, reward *submission.Reward) (string, error) {
 	failures := 0
 	for {
-		attempts, pause := 1, rewardPause
+		attempts, pause := 1, rewardRetryPause
 		if route, ok := s.Config.Current().Find(reward.Host, reward.Path); ok {
 			attempts = max(1, route.Attempts)
 			answer, err := s.Forwarder.Do(ctx, forward.Request{
@@ -52,7 +52,7 @@
 				failures += answer.Failures
 			}
 			if problem.Is(err, problem.Quarantined) {
-				pause = quarantinePause
+				pause = quarantineRetryPause
 			}
 		}
 		if failures >= attempts {
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -20,38 +20,39 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// The times of the runner.
+// The intervals and time limits of the runner.
 const (
-	// lookEvery is how often streams are looked at for stalls.
-	lookEvery = 100 * time.Millisecond
-	// writeTimeout bounds one write of results.
+	// checkInterval is how often batches are checked, for stalled streams among
+	// other things.
+	checkInterval = 100 * time.Millisecond
+	// writeTimeout limits one write of results.
 	writeTimeout = 2 * time.Second
-	// writePause is the pause after a write that failed.
-	writePause = 300 * time.Millisecond
-	// defaultGiveUp is for routes that don't say when items are given up.
-	defaultGiveUp = 60 * time.Second
-	// forgetAfter is how long after its submission a batch stays in memory:
-	// its results can be read for two minutes.
+	// writeRetryPause is the pause after a write that failed.
+	writeRetryPause = 300 * time.Millisecond
+	// defaultGiveUpAfter is for routes that don't say when items are given up.
+	defaultGiveUpAfter = 60 * time.Second
+	// forgetAfter is how long after its submission a batch stays in memory: its
+	// results can be read for two minutes.
 	forgetAfter = 150 * time.Second
 )
 
-// ErrNotHere means that another process runs the batch, or none.
+// ErrNotHere means that another process runs the batch, or that none does.
 var ErrNotHere = errors.New("the batch is not run by this instance")
 
-// Generator makes one attempt at an item. emit is called for each whole event,
-// in order, and returns an error to end the attempt. A nil error means that
-// the engine ended the text as whole. Errors: those of package engine.
+// Generator makes one attempt at an item. emit is called for each complete event,
+// in order, and returns an error to end the attempt. A nil error means that the
+// engine has completed the text. Other errors are those of package engine.
 type Generator interface {
 	Generate(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error
 }
 
-// Scorer scores a finished text and returns the proof of it, or
-// engine.ErrAttemptFailed when the call fails for good.
+// Scorer scores a finished text and returns the proof of its score, or
+// engine.ErrAttemptFailed if the call has failed for good.
 type Scorer interface {
 	Score(ctx context.Context, reward *submission.Reward) (string, error)
 }
 
-// Runner runs batches.
+// Runner runs the batches that this process owns.
 type Runner struct {
 	Ledger    *ledger.Ledger
 	Book      *catalog.Book
@@ -61,27 +62,30 @@
 	Timer     timer.Service
 	Journal   *journal.Journal
 	Metrics   *Metrics
-	// FailureDomain is this process's own.
+	// FailureDomain is the failure domain of this process.
 	FailureDomain string
-	// Division says which engines are for which model; nil leaves all to all.
+	// Division assigns engines to models; if it is nil, every engine serves all
+	// models.
 	Division Division
-	// Copies finds what an earlier owner of a batch had made; nil finds nothing.
+	// Copies finds what an earlier owner of a batch had made; if it is nil,
+	// nothing is found.
 	Copies Copies
 
 	lengths schedule.Lengths
 	scoring schedule.Scoring
 	tomb    tomb.Tomb
-	begun   wake.Signal
-	mu      sync.Mutex
-	batches map[string]*Batch
+	// batchStarted wakes watch.
+	batchStarted wake.Signal
+	mu           sync.Mutex
+	batches      map[string]*Batch
 }
 
-// Start begins the runner's look-out.
+// Start starts the periodic check of all batches.
 func (r *Runner) Start() {
 	r.tomb.Go(r.watch)
 }
 
-// Stop ends all work at once. What was not written runs again at the next
+// Stop ends all work at once. What was not written is run again by the next
 // owner.
 func (r *Runner) Stop() {
 	r.tomb.Kill(nil)
@@ -93,63 +97,65 @@
 	_ = r.tomb.Wait()
 }
 
-// Submit accepts a batch and begins it. Errors: those of ledger.Accept.
+// Submit accepts a batch and starts it. Its errors are those of ledger.Accept.
 func (r *Runner) Submit(ctx context.Context, sub *submission.Submission, route catalog.Route) error {
 	claim, err := r.Ledger.Accept(ctx, sub)
 	if errors.Is(err, ledger.ErrExists) {
-		r.abandon(sub.ID, err)
+		r.dropUnstored(sub.ID, err)
 	}
 	if err != nil {
 		return err
 	}
-	if r.stored(claim) {
+	if r.attachClaim(claim) {
 		return nil
 	}
 	if claim.Found {
 		err := r.Adopt(ctx, claim)
 		if errors.Is(err, ledger.ErrFenced) {
-			// It was accepted, and has ended since: refused now, its trainer would
-			// be told that it has not run.
+			// The batch was accepted and has ended since. If it were refused now,
+			// its trainer would be told that it has not run.
 			return ledger.ErrExists
 		}
 		return err
 	}
-	r.adopt(newBatch(sub, claim, nil, nil, r.known(sub)), route, "accept")
+	r.startBatch(newBatch(sub, claim, nil, nil, r.earlierTokens(sub)), route, "accept")
 	return nil
 }
 
-// Adopt goes on with a batch that this process has claimed.
+// Adopt continues a batch that this process has claimed.
 func (r *Runner) Adopt(ctx context.Context, claim ledger.Claim) error {
-	if r.stored(claim) {
+	if r.attachClaim(claim) {
 		return nil
 	}
-	copied := r.copied(ctx, claim.Batch)
+	copied := r.findCopy(ctx, claim.Batch)
 	rec, err := r.Ledger.Load(ctx, claim.Batch)
 	if err != nil {
 		return err
 	}
 	if rec.Ended {
-		// It was ended after it was claimed: nothing of it may run any more.
+		// The batch was ended after it was claimed: nothing of it may run any
+		// more.
 		return ledger.ErrFenced
 	}
 	cfg := r.Holder.Current()
 	if cfg == nil {
 		return errors.New("no configuration yet")
 	}
-	// A route that is gone gives up its items at their time.
+	// If the route no longer exists, the items are given up when their time is
+	// over.
 	route, _ := cfg.Find(rec.Submission.Host, rec.Submission.Path)
 	claim.Chunks = rec.Chunks
 	c := <-copied
-	b := newBatch(rec.Submission, claim, rec.Results, longer(rec.Progress, c.Progress), r.known(rec.Submission))
+	b := newBatch(rec.Submission, claim, rec.Results, mergeProgress(rec.Progress, c.Progress), r.earlierTokens(rec.Submission))
 	b.mu.Lock()
-	b.restored = b.restore(c.Results, r.Timer.Now())
+	b.restored = b.restoreResults(c.Results, r.Timer.Now())
 	b.mu.Unlock()
-	r.adopt(b, route, "take_over")
+	r.startBatch(b, route, "take_over")
 	return nil
 }
 
-// copied looks for the copy of a batch.
-func (r *Runner) copied(ctx context.Context, id string) <-chan standby.Copy {
+// findCopy looks for the copy of a batch in the background.
+func (r *Runner) findCopy(ctx context.Context, id string) <-chan standby.Copy {
 	found := make(chan standby.Copy, 1)
 	if r.Copies == nil {
 		found <- standby.Copy{}
@@ -159,49 +165,50 @@
 	return found
 }
 
-// againSteps is how many steps back an item may come from: those whose texts
-// were not whole at the end of one step come again in one of the next.
-const againSteps = 4
+// maxCarryOverSteps is how many steps back an item may come from. Items whose
+// texts were not complete at the end of a step are submitted again in one of the
+// next steps.
+const maxCarryOverSteps = 4
 
-// known returns the items of a batch that an earlier one of its model had here,
-// with the tokens that they have at least.
-func (r *Runner) known(sub *submission.Submission) map[string]int {
+// earlierTokens returns the items of a submission that an earlier batch of its
+// model had here, each with the fewest tokens that its text can have.
+func (r *Runner) earlierTokens(sub *submission.Submission) map[string]int {
 	if sub.Model == "" {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := make(map[string]int)
+	tokens := make(map[string]int)
 	for _, b := range r.batches {
-		if b.sub.Model != sub.Model || b.sub.Step >= sub.Step || b.sub.Step < sub.Step-againSteps {
+		if b.sub.Model != sub.Model || b.sub.Step >= sub.Step || b.sub.Step < sub.Step-maxCarryOverSteps {
 			continue
 		}
 		b.mu.Lock()
 		for i := range sub.Items {
 			if t := b.tasks[sub.Items[i].ID]; t != nil {
-				known[t.item.ID] = max(known[t.item.ID], r.lengths.Tokens(t.last))
+				tokens[t.item.ID] = max(tokens[t.item.ID], r.lengths.Tokens(t.lastEvent))
 			}
 		}
 		b.mu.Unlock()
 	}
-	return known
+	return tokens
 }
 
-// adopt begins the work on a batch.
-func (r *Runner) adopt(b *Batch, route catalog.Route, why string) {
+// startBatch adds a batch to those of this process and starts to work on it.
+func (r *Runner) startBatch(b *Batch, route catalog.Route, decision string) {
 	b.route = route
 	b.service = route.Choose(rand.Float64())
 	after := route.GiveUpAfter
 	if after == 0 {
-		after = defaultGiveUp
+		after = defaultGiveUpAfter
 	}
 	age := time.Since(b.sub.Submitted())
-	b.begun = r.Timer.Now()
+	b.startedAt = r.Timer.Now()
 	for _, t := range b.tasks {
-		t.spent.since = b.begun
+		t.timings.lapStart = b.startedAt
 	}
-	b.asked = b.begun.Add(-max(0, age))
-	b.gives = r.Timer.Now().Add(after - min(max(0, age), after))
+	b.submittedAt = b.startedAt.Add(-max(0, age))
+	b.giveUpAt = r.Timer.Now().Add(after - min(max(0, age), after))
 	r.mu.Lock()
 	if r.batches == nil {
 		r.batches = make(map[string]*Batch)
@@ -212,8 +219,8 @@
 	}
 	r.batches[b.sub.ID] = b
 	r.mu.Unlock()
-	r.Metrics.begun()
-	r.Journal.Decision(why, log.Fields{
+	r.Metrics.batchStarted()
+	r.Journal.Decision(decision, log.Fields{
 		"request_id": b.sub.ID,
 		"step":       b.sub.Step,
 		"model":      b.sub.Model,
@@ -224,9 +231,9 @@
 		"service":    b.service,
 		"age_ms":     age.Milliseconds(),
 	})
-	r.begun.Set()
-	go r.drive(b)
-	go r.writeOut(b)
+	r.batchStarted.Set()
+	go r.dispatchLoop(b)
+	go r.writeLoop(b)
 }
 
 // HandOver stops a batch here and makes another process its owner, with all that
@@ -236,29 +243,29 @@
 	if b == nil {
 		return ErrNotHere
 	}
-	b.writing.Lock()
-	defer b.writing.Unlock()
+	b.writeMu.Lock()
+	defer b.writeMu.Unlock()
 	b.mu.Lock()
 	if b.over() {
 		b.mu.Unlock()
 		return ErrNotHere
 	}
 	b.lost = true
-	b.handing = true
+	b.handingOver = true
 	claim, pending, progress := b.claim, b.pending, b.progress(1)
-	b.tell()
+	b.notifyReaders()
 	b.mu.Unlock()
 	b.cancel()
 	err := r.Ledger.HandOver(ctx, claim, to, pending, progress)
 	if err == nil {
 		b.mu.Lock()
-		b.handing = false
+		b.handingOver = false
 		b.mu.Unlock()
 	}
 	return err
 }
 
-// Has reports whether this process runs the batch.
+// Has reports whether this process runs the batch and the ledger has accepted it.
 func (r *Runner) Has(id string) bool {
 	b := r.find(id)
 	if b == nil {
@@ -275,7 +282,7 @@
 	return r.batches[id]
 }
 
-// Claims returns the claims on batches that are not over.
+// Claims returns the claims on the stored batches that are not over.
 func (r *Runner) Claims() []ledger.Claim {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -290,7 +297,8 @@
 	return claims
 }
 
-// End ends a batch: its items stop at once, and the ledger keeps the end.
+// End ends a batch: its items stop at once, and the end is recorded in the
+// ledger.
 func (r *Runner) End(ctx context.Context, id string) error {
 	b := r.find(id)
 	if b == nil {
@@ -301,36 +309,37 @@
 		b.mu.Unlock()
 		return ErrNotHere
 	}
-	if b.endKept {
+	if b.endStored {
 		b.mu.Unlock()
 		return nil
 	}
-	already, open := b.ended, b.open
+	alreadyEnded, open := b.ended, b.open
 	b.ended = true
-	b.tell()
+	b.notifyReaders()
 	b.mu.Unlock()
 	b.cancel()
-	// A write that is under way decides its chunk first.
-	b.writing.Lock()
+	// A write that is in progress first stores its chunk or fails.
+	b.writeMu.Lock()
 	b.mu.Lock()
 	claim, lost := b.claim, b.lost
 	b.mu.Unlock()
-	b.writing.Unlock()
+	b.writeMu.Unlock()
 	if lost {
 		return ErrNotHere
 	}
-	if !already {
+	if !alreadyEnded {
 		r.Journal.Decision("end", log.Fields{
 			"request_id": id,
 			"unfinished": open,
-			"whole":      b.wholeGroups,
+			"whole":      b.completeGroups,
 			"wanted":     b.sub.WantedGroups,
-			// How the time of a step was spent: until the wanted groups were
-			// made, until they could be read, and until the trainer's end.
-			"critical":    b.critical,
-			"made_ms":     b.sinceBegun(b.made),
-			"readable_ms": b.sinceBegun(b.readable),
-			"age_ms":      r.Timer.Now().Sub(b.begun).Milliseconds(),
+			// How the time of a step was spent: until the groups that the trainer
+			// waits for were complete, until they could be read, and until the
+			// trainer ended the batch.
+			"critical":    b.criticalItem,
+			"made_ms":     b.msSinceStart(b.stepDoneAt),
+			"readable_ms": b.msSinceStart(b.readableAt),
+			"age_ms":      r.Timer.Now().Sub(b.startedAt).Milliseconds(),
 		})
 	}
 	if err := r.Ledger.EndClaimed(ctx, claim, time.Now()); err != nil {
@@ -338,6 +347,6 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.endKept = true
+	b.endStored = true
 	return nil
 }
--- a/internal/batch/runner/runner_test.go
+++ b/internal/batch/runner/runner_test.go
@@ -20,23 +20,23 @@
 	"github.com/egretbend/egretbend/internal/standin/space"
 )
 
-// script is a Generator that does what a test says.
-type script struct {
-	mu    sync.Mutex
-	calls []Generation
-	do    func(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error
+// scriptedGenerator is a Generator that does what a test specifies.
+type scriptedGenerator struct {
+	mu       sync.Mutex
+	calls    []Generation
+	generate func(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error
 }
 
 // Generate implements Generator.
-func (s *script) Generate(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error {
+func (s *scriptedGenerator) Generate(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error {
 	s.mu.Lock()
 	s.calls = append(s.calls, g)
 	s.mu.Unlock()
-	return s.do(ctx, u, g, emit)
+	return s.generate(ctx, u, g, emit)
 }
 
-// events emits events from after on, up to last.
-func events(after, last int, version uint64, emit func(Event) error) error {
+// emitEvents emits the events after the given number, up to last.
+func emitEvents(after, last int, version uint64, emit func(Event) error) error {
 	for n := after + 1; n <= last; n++ {
 		if err := emit(Event{
 			Number:  n,
@@ -49,26 +49,29 @@
 	return nil
 }
 
-// scores is a Scorer whose answers a test sets.
-type scores struct{ err error }
+// fixedScorer is a Scorer whose error a test sets.
+type fixedScorer struct{ err error }
 
 // Score implements Scorer.
-func (s scores) Score(context.Context, *submission.Reward) (string, error) { return "proof", s.err }
+func (s fixedScorer) Score(context.Context, *submission.Reward) (string, error) {
+	return "proof", s.err
+}
 
-// bench is a runner with two engines, on a clock that runs by itself.
-type bench struct {
-	clock  *timer.Manual
-	store  *space.Space
-	runner *Runner
-	script *script
-	route  catalog.Route
+// testBench is a runner with two engines, on a manual clock that advances by
+// itself.
+type testBench struct {
+	clock     *timer.Manual
+	store     *space.Space
+	runner    *Runner
+	generator *scriptedGenerator
+	route     catalog.Route
 }
 
-func newBench(t *testing.T, do func(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error) *bench {
-	b := &bench{
+func newTestBench(t *testing.T, do func(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error) *testBench {
+	b := &testBench{
 		clock: &timer.Manual{},
-		script: &script{
-			do: do,
+		generator: &scriptedGenerator{
+			generate: do,
 		},
 		route: catalog.Route{
 			Name:        "r",
@@ -113,8 +116,8 @@
 		},
 		Book:      book,
 		Holder:    holder,
-		Generator: b.script,
-		Scorer:    scores{},
+		Generator: b.generator,
+		Scorer:    fixedScorer{},
 		Timer:     b.clock,
 	}
 	b.runner.Start()
@@ -126,12 +129,12 @@
 	return b
 }
 
-func (b *bench) submit(items ...string) error {
-	return b.runner.Submit(context.Background(), b.batch(items...), b.route)
+func (b *testBench) submit(items ...string) error {
+	return b.runner.Submit(context.Background(), b.newSubmission(items...), b.route)
 }
 
-// batch returns a batch of some items.
-func (b *bench) batch(items ...string) *submission.Submission {
+// newSubmission returns a batch of some items.
+func (b *testBench) newSubmission(items ...string) *submission.Submission {
 	sub := &submission.Submission{
 		ID:            "b",
 		Host:          "h",
@@ -151,10 +154,10 @@
 	return sub
 }
 
-// results reads until n results are listed.
-func (b *bench) results(n int) []submission.Result {
+// waitForResults reads until n results are listed.
+func (b *testBench) waitForResults(n int) []submission.Result {
 	var page Page
-	if !until(func() bool {
+	if !eventually(func() bool {
 		var err error
 		page, err = b.runner.Read(context.Background(), "b", 0, 0)
 		return err == nil && len(page.Results) >= n
@@ -164,25 +167,25 @@
 	return page.Results
 }
 
-// until reports whether something holds within some seconds.
-func until(holds func() bool) bool {
+// eventually reports whether a condition holds within some seconds.
+func eventually(holds func() bool) bool {
 	return timer.Until(timer.Real{}, time.Millisecond, 5*time.Second, nil, holds)
 }
 
-// An engine breaks off a stream in the middle. The text goes on at another
-// engine after the last whole event; a trainer finds each event once and the
-// versions that made them.
-func TestTextIsJoinedOverEngines(t *testing.T) {
+// An engine breaks off a stream in the middle. The text continues at another
+// engine after the last complete event: the trainer must find each event once,
+// and the versions that made them.
+func TestTextContinuesAtAnotherEngine(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
 		if g.After == 0 {
-			_ = events(0, 3, 4, emit)
+			_ = emitEvents(0, 3, 4, emit)
 			return engine.ErrBroken
 		}
-		return events(g.After, 6, 5, emit)
+		return emitEvents(g.After, 6, 5, emit)
 	})
 	is.NoErr(b.submit("x"))
-	got := b.results(1)
+	got := b.waitForResults(1)
 	is.Equal(len(got), 1)
 	is.Equal(got[0].Text, "e1\ne2\ne3\ne4\ne5\ne6")
 	is.Equal(got[0].Versions, []uint64{4, 5})
@@ -190,34 +193,35 @@
 	is.Equal(got[0].State, submission.Completed)
 }
 
-// An engine goes dark while it runs an item. The stream moves to the other one
-// long before the step is due.
-func TestDarkEngineIsLeft(t *testing.T) {
+// An engine stops responding while it runs an item. The stream must move to the
+// other one long before the step is due.
+func TestStreamLeavesUnresponsiveEngine(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error {
 		if g.After == 0 {
-			_ = events(0, 2, 5, emit)
+			_ = emitEvents(0, 2, 5, emit)
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		return events(g.After, 4, 5, emit)
+		return emitEvents(g.After, 4, 5, emit)
 	})
 	is.NoErr(b.submit("x"))
-	got := b.results(1)
+	got := b.waitForResults(1)
 	is.Equal(len(got), 1)
 	is.Equal(got[0].Text, "e1\ne2\ne3\ne4")
-	b.script.mu.Lock()
-	defer b.script.mu.Unlock()
-	is.Equal(b.script.calls[1].After, 2) // resumed, not begun anew
+	b.generator.mu.Lock()
+	defer b.generator.mu.Unlock()
+	is.Equal(b.generator.calls[1].After, 2) // resumed, not begun anew
 }
 
-// An engine's weights turn out older than the trainer allows. Its text is
-// dropped: a sample under the bound would teach the model stale answers.
-func TestStaleWeightsAreDropped(t *testing.T) {
+// An engine's weights turn out to be older than the trainer allows. Its text must
+// be dropped: a sample of too old a version would train the model on stale
+// answers.
+func TestTextOfStaleWeightsIsDropped(t *testing.T) {
 	is := is.New(t)
 	first := true
 	var mu sync.Mutex
-	b := newBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
 		mu.Lock()
 		version := uint64(5)
 		if first {
@@ -225,48 +229,48 @@
 		}
 		first = false
 		mu.Unlock()
-		return events(g.After, 3, version, emit)
+		return emitEvents(g.After, 3, version, emit)
 	})
 	is.NoErr(b.submit("x"))
-	got := b.results(1)
+	got := b.waitForResults(1)
 	is.Equal(len(got), 1)
 	is.Equal(got[0].Versions, []uint64{5})
 }
 
-// An item fails at each run. It is listed as dead after the attempts of its
-// route and not sent again; its group is complete all the same.
+// An item fails on every run. After the attempts of its route it must be listed
+// as dead and not sent again; its group is complete all the same.
 func TestFailingItemEndsDead(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
 		if g.Item.ID == "bad" {
 			return engine.ErrAttemptFailed
 		}
-		return events(0, 1, 5, emit)
+		return emitEvents(0, 1, 5, emit)
 	})
 	is.NoErr(b.submit("bad", "good"))
-	got := b.results(2)
+	got := b.waitForResults(2)
 	is.Equal(len(got), 2)
 	states := map[string]submission.State{}
 	for _, r := range got {
 		states[r.Item] = r.State
 	}
 	is.Equal(states, map[string]submission.State{"bad": submission.Dead, "good": submission.Completed})
-	b.script.mu.Lock()
-	defer b.script.mu.Unlock()
-	is.Equal(len(b.script.calls), 3) // two attempts and the good one
+	b.generator.mu.Lock()
+	defer b.generator.mu.Unlock()
+	is.Equal(len(b.generator.calls), 3) // two attempts and the good one
 }
 
-// slow is a key-value service whose writes of results take long.
-type slow struct {
+// slowSpace is a key-value service whose writes of results take long.
+type slowSpace struct {
 	*space.Space
-	began, goOn chan struct{}
+	started, proceed chan struct{}
 }
 
 // Commit implements keyvalue.Space.
-func (s *slow) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
+func (s *slowSpace) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
 	if len(tx.Writes) > 0 && strings.Contains(tx.Writes[0].Key, "/result/") {
-		s.began <- struct{}{}
-		<-s.goOn
+		s.started <- struct{}{}
+		<-s.proceed
 		if err := ctx.Err(); err != nil {
 			_, _ = s.Space.Commit(context.Background(), tx)
 			return 0, errors.Join(keyvalue.ErrLost, err)
@@ -275,41 +279,42 @@
 	return s.Space.Commit(ctx, tx)
 }
 
-// forgetful is a key-value service that does what it is told to and whose answers
-// are lost until it is told otherwise.
-type forgetful struct {
+// lossySpace is a key-value service that carries out all writes but loses the
+// answers to the first writes of results.
+type lossySpace struct {
 	*space.Space
-	mu   sync.Mutex
-	lost int
+	mu            sync.Mutex
+	repliesToLose int
 }
 
 // Commit implements keyvalue.Space.
-func (f *forgetful) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
+func (f *lossySpace) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
 	rev, err := f.Space.Commit(ctx, tx)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(tx.Writes) > 0 && strings.Contains(tx.Writes[0].Key, "/result/") && f.lost > 0 {
-		f.lost--
+	if len(tx.Writes) > 0 && strings.Contains(tx.Writes[0].Key, "/result/") && f.repliesToLose > 0 {
+		f.repliesToLose--
 		return 0, keyvalue.ErrLost
 	}
 	return rev, err
 }
 
-// The answers to the writes of results are lost, though the results stand in the
-// ledger. A reader saw them there by way of another instance, and asked the owner
-// next: it found nothing at a position that it had read.
-func TestOwnerInDoubtSendsReadersToTheLedger(t *testing.T) {
+// The answers to the writes of results are lost, though the ledger has the
+// results. Guards against a reader that has seen them there through another
+// instance, asks the owner next, and finds nothing at a position that it has
+// already read.
+func TestReadIsRefusedWhileWriteIsUnconfirmed(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
-		return events(0, 1, 5, emit)
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+		return emitEvents(0, 1, 5, emit)
 	})
-	b.runner.Ledger.Space = &forgetful{
-		Space: b.store,
-		lost:  20,
+	b.runner.Ledger.Space = &lossySpace{
+		Space:         b.store,
+		repliesToLose: 20,
 	}
 	is.NoErr(b.submit("x"))
 	unsure := false
-	until(func() bool {
+	eventually(func() bool {
 		rec, err := b.runner.Ledger.Load(context.Background(), "b")
 		is.NoErr(err)
 		page, err := b.runner.Read(context.Background(), "b", 0, 0)
@@ -319,29 +324,30 @@
 		return err == nil && len(page.Results) > 0
 	})
 	is.True(unsure)
-	is.Equal(len(b.results(1)), 1) // it settles
+	is.Equal(len(b.waitForResults(1)), 1) // it settles
 }
 
-// A trainer ends its batch while the last results are on their way to the
-// ledger. A write that was cut then stood in the ledger and not in memory, and a
-// reader saw one result more at one instance than at the next.
-func TestEndDoesNotCutAWrite(t *testing.T) {
+// A trainer ends its batch while the last results are being written to the
+// ledger. If that cancelled the write, the results could be in the ledger and not
+// in memory, and a reader would see one result more at one instance than at the
+// next.
+func TestEndDoesNotCancelWrite(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
-		return events(0, 1, 5, emit)
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+		return emitEvents(0, 1, 5, emit)
 	})
-	store := &slow{
-		Space: b.store,
-		began: make(chan struct{}),
-		goOn:  make(chan struct{}),
+	store := &slowSpace{
+		Space:   b.store,
+		started: make(chan struct{}),
+		proceed: make(chan struct{}),
 	}
 	b.runner.Ledger.Space = store
 	is.NoErr(b.submit("x"))
-	<-store.began
+	<-store.started
 	ended := make(chan error, 1)
 	go func() { ended <- b.runner.End(context.Background(), "b") }()
 	timer.Wait(timer.Real{}, 20*time.Millisecond, nil)
-	close(store.goOn)
+	close(store.proceed)
 	is.NoErr(<-ended)
 	rec, err := b.runner.Ledger.Load(context.Background(), "b")
 	is.NoErr(err)
@@ -349,23 +355,24 @@
 	is.NoErr(err)
 	is.Equal(len(page.Results), len(rec.Results))
 	is.Equal(len(page.Results), 1)
-	// Trainers repeat the end; it stands, and costs no further call.
+	// Trainers repeat the request to end a batch; the batch stays ended, and the
+	// repetition makes no further call.
 	calls := b.store.Calls(space.Commit)
 	is.NoErr(b.runner.End(context.Background(), "b"))
 	is.Equal(b.store.Calls(space.Commit), calls)
 }
 
-// An instance is told to stop while its items run. Another one goes on with
-// their texts; begun anew, a long item would make its step late.
+// An instance is told to stop while its items run. Another one must continue
+// their texts; started again, a long item would make its step late.
 func TestHandOverKeepsTexts(t *testing.T) {
 	is := is.New(t)
 	reached := make(chan struct{})
 	var once sync.Once
-	b := newBench(t, func(ctx context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
 		if g.After > 0 {
-			return events(g.After, 8, 5, emit)
+			return emitEvents(g.After, 8, 5, emit)
 		}
-		_ = events(0, 5, 5, emit)
+		_ = emitEvents(0, 5, 5, emit)
 		once.Do(func() { close(reached) })
 		<-ctx.Done()
 		return ctx.Err()
@@ -385,7 +392,7 @@
 	is.NoErr(err)
 	is.Equal(claim.Owner, to)
 	is.NoErr(b.runner.Adopt(context.Background(), claim))
-	got := b.results(1)
+	got := b.waitForResults(1)
 	is.Equal(len(got), 1)
 	is.Equal(got[0].Text, "e1\ne2\ne3\ne4\ne5\ne6\ne7\ne8")
 }
--- a/internal/batch/runner/task.go
+++ b/internal/batch/runner/task.go
@@ -11,7 +11,7 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// phase is where an item stands.
+// phase is the state of an item.
 type phase int
 
 const (
@@ -21,103 +21,116 @@
 	finished
 )
 
-// Event is one whole event of a stream.
+// Event is one complete event of a stream.
 type Event struct {
 	Number int
 	Data   string
-	// Version made the event.
+	// Version is the weight version that made the event.
 	Version uint64
 }
 
-// Generation is one attempt at an item.
+// Generation describes one attempt at an item.
 type Generation struct {
 	Batch *submission.Submission
 	Item  *submission.Item
 	Route catalog.Route
-	// After is the number of the last event that is known; 0 for none.
+	// After is the number of the last event that is known; 0 if there is none.
 	After int
-	// Oldest is the oldest weight version of use.
+	// Oldest is the oldest weight version that may make events.
 	Oldest uint64
-	// Left is how long the item may still take.
+	// Left is the time until the item is given up.
 	Left time.Duration
-	// Urgent items bear on the end of their step.
+	// Urgent says that the end of the step may depend on the item.
 	Urgent bool
-	// Heard takes the engine's load, if it tells.
+	// Heard is called with the engine's load, if the engine reports it.
 	Heard func(engine.Report)
 }
 
-// task is an item under way. Its batch's lock guards it.
+// task is an item and the state of the work on it. The batch's lock guards it.
 type task struct {
 	item *submission.Item
-	// tokens is the expected length; 0 if unknown.
+	// tokens is the expected length of the text; 0 if unknown.
 	tokens int
 	phase  phase
 	events []string
-	last   int
-	// versions made the events, each once, in order of first use.
+	// lastEvent is the number of the last event; 0 if there is none.
+	lastEvent int
+	// versions are the weight versions that made the events, each once, in order
+	// of first use.
 	versions []uint64
 	failures int
 	moves    int
 	attempts int
 
 	upstream *catalog.Upstream
-	// reserved is the memory that the attempt was counted with, in tokens.
+	// reserved is the memory that is reserved at the engine for the attempt, in
+	// tokens.
 	reserved int64
 	cancel   context.CancelFunc
-	// left is the engine that the item moved away from last.
-	left  *catalog.Upstream
-	begun timer.Instant
-	heard timer.Instant
-	made  int
-	// marked and markedAt begin the events by which the engine's pace is
-	// measured.
-	marked   int
-	markedAt timer.Instant
-	moving   bool
-	stuck    bool
-	// end is the result, once it is finished; stored says that it was listed.
-	end    *submission.Result
-	stored bool
-	spent  spent
-	// setback puts it off after engines were lost under it.
-	setback setback
+	// movedFrom is the engine that the item was last moved away from.
+	movedFrom *catalog.Upstream
+	// attemptStart is when the attempt began, lastEventAt when its last event
+	// came (at first, when it began), and attemptEvents how many events it has
+	// made.
+	attemptStart  timer.Instant
+	lastEventAt   timer.Instant
+	attemptEvents int
+	// paceMark and paceMarkAt are the number of events and the time at which the
+	// measurement of the engine's pace began.
+	paceMark   int
+	paceMarkAt timer.Instant
+	// moving says that the attempt was cancelled to move the item, stalled that
+	// it had stalled then.
+	moving  bool
+	stalled bool
+	// final is the result once the item is finished; stored says that it is
+	// listed.
+	final   *submission.Result
+	stored  bool
+	timings timings
+	// backoff delays the item after engines were lost under it.
+	backoff backoff
 }
 
-// paceSpan is how many events measure the pace of an engine: the time of one
-// alone varies with the prompts that are read beside it.
-const paceSpan = 6
+// paceEvents is how many events a running attempt needs to measure the pace of
+// its engine: the time of a single event varies with the prompts that the engine
+// reads at the same time.
+const paceEvents = 6
 
-// leastSpan is how many events must do at the end of an attempt: one that was
-// moved for its slowness after four events would tell nothing otherwise, and its
-// engine would get the next item as if nothing had happened.
-const leastSpan = 3
+// minPaceEvents is how many events are enough at the end of an attempt. If more
+// were needed, an attempt that was moved for its slowness after four events would
+// tell nothing, and its engine would get the next item as if nothing had
+// happened.
+const minPaceEvents = 3
 
-// pace returns the time for an event over the last ones of this attempt, if there
-// are enough of them. The wait for the first event is not part of it.
-func (t *task) pace(least int) (time.Duration, bool) {
-	n := t.made - t.marked
-	if t.marked == 0 || n < least {
+// pace returns the time for an event over the last events of the attempt, if
+// there are at least minEvents of them, and begins a new measurement. The wait
+// for the first event is not part of it.
+func (t *task) pace(minEvents int) (time.Duration, bool) {
+	n := t.attemptEvents - t.paceMark
+	if t.paceMark == 0 || n < minEvents {
 		return 0, false
 	}
-	pace := t.heard.Sub(t.markedAt) / time.Duration(n)
-	t.marked, t.markedAt = t.made, t.heard
+	pace := t.lastEventAt.Sub(t.paceMarkAt) / time.Duration(n)
+	t.paceMark, t.paceMarkAt = t.attemptEvents, t.lastEventAt
 	return pace, true
 }
 
-// needs returns the memory that the whole item is expected to take, in tokens.
-func (t *task) needs() int64 { return int64(t.item.PromptTokens + t.tokens) }
+// memoryNeed returns the memory that the complete item is expected to take, in
+// tokens.
+func (t *task) memoryNeed() int64 { return int64(t.item.PromptTokens + t.tokens) }
 
-// add takes an event if it is the next one.
-func (t *task) add(e Event, now timer.Instant) bool {
-	if e.Number != t.last+1 {
+// addEvent adds an event, and reports false if it is not the next one.
+func (t *task) addEvent(e Event, now timer.Instant) bool {
+	if e.Number != t.lastEvent+1 {
 		return false
 	}
-	t.last = e.Number
+	t.lastEvent = e.Number
 	t.events = append(t.events, e.Data)
-	t.made++
-	t.heard = now
-	if t.marked == 0 {
-		t.marked, t.markedAt = t.made, now
+	t.attemptEvents++
+	t.lastEventAt = now
+	if t.paceMark == 0 {
+		t.paceMark, t.paceMarkAt = t.attemptEvents, now
 	}
 	if e.Version != 0 && !slices.Contains(t.versions, e.Version) {
 		t.versions = append(t.versions, e.Version)
@@ -125,15 +138,16 @@
 	return true
 }
 
-// restart drops what was generated.
-func (t *task) restart() {
-	t.spent.remade += t.last
+// discardEvents drops all events, so that the text is generated again from its
+// start.
+func (t *task) discardEvents() {
+	t.timings.regenerated += t.lastEvent
 	t.events = nil
-	t.last = 0
+	t.lastEvent = 0
 	t.versions = nil
 }
 
-// result is the end of a completed item.
+// result returns the result of a completed item.
 func (t *task) result(score string) submission.Result {
 	return submission.Result{
 		Item:     t.item.ID,
--- a/internal/batch/runner/write.go
+++ b/internal/batch/runner/write.go
@@ -13,17 +13,17 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// writeOut writes finished results and lists them.
-func (r *Runner) writeOut(b *Batch) {
+// writeLoop writes finished results to the ledger and lists them.
+func (r *Runner) writeLoop(b *Batch) {
 	for {
 		select {
-		case <-b.write.C():
+		case <-b.writeWake.C():
 		case <-b.ctx.Done():
 			return
 		case <-r.tomb.Dying():
 			return
 		}
-		if !r.writeDue(b) {
+		if !r.writePending(b) {
 			return
 		}
 		b.mu.Lock()
@@ -40,34 +40,34 @@
 	}
 }
 
-// progressEvents is how many events make the progress of an item worth storing:
-// a shorter text is soon made again.
-const progressEvents = 12
+// minProgressEvents is how many events of an unfinished item are worth storing: a
+// shorter text is soon generated again.
+const minProgressEvents = 12
 
-// writeDue writes the finished results if that is due. It reports false when
-// there is nothing more to write here.
-func (r *Runner) writeDue(b *Batch) bool {
-	b.writing.Lock()
-	defer b.writing.Unlock()
+// writePending writes the pending results if a write is due. It reports false
+// when nothing more is to be written here.
+func (r *Runner) writePending(b *Batch) bool {
+	b.writeMu.Lock()
+	defer b.writeMu.Unlock()
 	b.mu.Lock()
-	due := b.due(r.Timer.Now())
+	due := b.describePending(r.Timer.Now())
 	if b.over() || b.unstored || !schedule.Write(due) {
-		going := !b.over()
+		active := !b.over()
 		b.mu.Unlock()
-		return going
+		return active
 	}
 	results := b.pending
-	b.pending, b.whole = nil, false
+	b.pending, b.pendingCompletesGroup = nil, false
 	var progress []submission.Progress
 	if !due.Ends() {
-		// The trainer waits for results that end its step; texts beside them
-		// would hold them up.
-		progress = b.progress(progressEvents)
+		// The trainer waits for results that end its step; storing the texts of
+		// unfinished items with them would delay them.
+		progress = b.progress(minProgressEvents)
 	}
 	b.mu.Unlock()
 	for len(results) > 0 {
 		n := ledger.Fitting(results)
-		if !r.append(b, results[:n], progress) {
+		if !r.appendChunk(b, results[:n], progress) {
 			return false
 		}
 		results, progress = results[n:], nil
@@ -75,15 +75,15 @@
 	return true
 }
 
-// append writes one chunk, again and again while the service is away, and
-// lists it. It reports false when nothing more is to be written here. The end of
-// a batch does not cut a write short: a chunk that was stored without this
-// process knowing would show in the ledger and not here, so that a result that
-// was read once would be missing in the next answer.
-func (r *Runner) append(b *Batch, results []submission.Result, progress []submission.Progress) bool {
+// appendChunk writes one chunk of results and lists it. It repeats the write
+// while the key-value service is unavailable, and reports false when nothing more
+// is to be written here. The end of a batch does not cancel a write: a chunk that
+// was stored without this process knowing would be in the ledger but not listed
+// here, and a result that was read once would be missing in the next answer.
+func (r *Runner) appendChunk(b *Batch, results []submission.Result, progress []submission.Progress) bool {
 	b.mu.Lock()
 	claim := b.claim
-	b.sending, b.sent = true, r.Timer.Now()
+	b.writeInFlight, b.writeStartedAt = true, r.Timer.Now()
 	b.mu.Unlock()
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
@@ -92,8 +92,8 @@
 		if err == nil {
 			b.mu.Lock()
 			b.claim = next
-			b.sending = false
-			b.list(results, r.Timer.Now())
+			b.writeInFlight = false
+			b.listResults(results, r.Timer.Now())
 			b.mu.Unlock()
 			return true
 		}
@@ -108,7 +108,7 @@
 			"request_id": b.sub.ID,
 			"results":    len(results),
 		})
-		if !timer.Wait(r.Timer, writePause, r.tomb.Dying()) {
+		if !timer.Wait(r.Timer, writeRetryPause, r.tomb.Dying()) {
 			return false
 		}
 	}
