--- a/internal/batch/runner/backoff_test.go
+++ b/internal/batch/runner/backoff_test.go
@@ -28,10 +28,10 @@
 	})
 	is.NoErr(b.submit("bad", "good"))
 	is.Equal(len(b.waitForResults(1)), 1)
-	begun := b.clock.Now()
-	is.True(eventually(func() bool { return b.clock.Now().Sub(begun) >= 20*time.Second }))
+	start := b.clock.Now()
+	is.True(eventually(func() bool { return b.clock.Now().Sub(start) >= 20*time.Second }))
 	is.True(runs.Load() <= 4+20/4+2)
-	is.True(runs.Load() >= 4) // never for as long as a step may miss it
+	is.True(runs.Load() >= 4) // never delayed for so long that a step would lack it
 }
 
 // Guards against an item that is delayed because it lost one engine after the
@@ -48,11 +48,11 @@
 		return engine.ErrBroken
 	})
 	is.NoErr(b.submit("x"))
-	begun := b.clock.Now()
+	start := b.clock.Now()
 	got := b.waitForResults(1)
 	is.Equal(len(got), 1)
 	is.Equal(got[0].State, submission.Completed)
-	is.True(b.clock.Now().Sub(begun) < 2*time.Second)
+	is.True(b.clock.Now().Sub(start) < 2*time.Second)
 }
 
 // Guards against a delay that grows without limit, and against one after a single
--- a/internal/batch/runner/batch.go
+++ b/internal/batch/runner/batch.go
@@ -182,7 +182,7 @@
 // over reports whether the batch needs no more work here. The caller holds b.mu.
 func (b *Batch) over() bool { return b.ended || b.lost }
 
-// isLost reports whether another process has the batch.
+// isLost reports whether another process has the batch, or it was dropped here.
 func (b *Batch) isLost() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -259,13 +259,13 @@
 		b.openInGroup[item.Group]++
 		b.open++
 	}
-	whole := make(map[string]bool)
+	complete := make(map[string]bool)
 	for _, item := range sub.Items {
 		if b.openInGroup[item.Group] == 0 {
-			whole[item.Group] = true
+			complete[item.Group] = true
 		}
 	}
-	b.completeGroups = len(whole)
+	b.completeGroups = len(complete)
 	for _, p := range progress {
 		t := b.tasks[p.Item]
 		if t == nil {
--- a/internal/batch/runner/changes_test.go
+++ b/internal/batch/runner/changes_test.go
@@ -129,7 +129,7 @@
 	is.NoErr(b.submit("x", "y"))
 	is.Equal(len(b.waitForResults(1)), 1)
 	_, news, marks := b.runner.Changes(nil)
-	is.Equal(len(news[0].Pieces), 1) // x is listed
+	is.Equal(len(news[0].Pieces), 1) // x is listed already
 	is.Equal(news[0].Pieces[0].Item, "y")
 	_, news, _ = b.runner.Changes(marks)
 	is.Equal(len(news), 0)
--- a/internal/batch/runner/estimate.go
+++ b/internal/batch/runner/estimate.go
@@ -7,8 +7,8 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// estimateEnd estimates when the step of a batch ends, by which the trainer's
-// reads are answered. The caller holds b.mu.
+// estimateEnd estimates when the step of a batch ends, so that the trainer's reads
+// can be answered in time for it. The caller holds b.mu.
 func (r *Runner) estimateEnd(b *Batch, now timer.Instant) {
 	b.expectedEnd = 0
 	if b.sub.WantedGroups == 0 || b.stepDoneAt != 0 || b.medianPace <= 0 || !r.lengths.Known() {
--- a/internal/batch/runner/list_test.go
+++ b/internal/batch/runner/list_test.go
@@ -33,21 +33,21 @@
 	// step.
 	b.finish(b.tasks["y"], second, 2)
 	is.Equal(b.criticalItem, "y")
-	waits := b.changed
+	notified := b.changed
 	b.listResults([]submission.Result{first}, 3)
 	select {
-	case <-waits:
+	case <-notified:
 		t.Fatal("answered without the result that ends the step")
 	default:
 	}
 	is.True(b.readableAt == 0)
 	b.listResults([]submission.Result{second}, 4)
-	<-waits
+	<-notified
 	is.True(b.readableAt == 4)
 	// Results that come after it answer reads at once.
-	waits = b.changed
+	notified = b.changed
 	b.listResults([]submission.Result{{Item: "z"}}, 5)
-	<-waits
+	<-notified
 }
 
 // Guards against a step whose last results take two reads although one page has
@@ -64,10 +64,10 @@
 	is.Equal(p.Next, 18)
 	data, err := json.Marshal(p.Results)
 	is.NoErr(err)
-	is.True(len(data) < 1_000_000) // what callers take at the most
+	is.True(len(data) < 1_000_000) // the most that callers accept
 	is.Equal(PageOf(20, listed, 18).Next, 20)
 	large := []submission.Result{{Text: strings.Repeat("x", 2<<20)}}
-	is.Equal(PageOf(1, large, 0).Next, 1) // one at least
+	is.Equal(PageOf(1, large, 0).Next, 1) // at least one
 }
 
 // Guards against a read that is answered, near the end of a step, with results
@@ -81,13 +81,13 @@
 	b := newBatch(sub, ledger.Claim{}, nil, nil, nil)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	waits := b.changed
+	notified := b.changed
 	b.finish(b.tasks["x"], submission.Result{Item: "x"}, 1)
 	b.listResults([]submission.Result{{Item: "x"}}, 2)
 	select {
-	case <-waits:
+	case <-notified:
 		t.Fatal("answered with two groups to go")
 	default:
 	}
-	is.Equal(len(b.page(0).Results), 1) // who asks now gets it
+	is.Equal(len(b.page(0).Results), 1) // a read that begins now gets it
 }
--- a/internal/batch/runner/move_test.go
+++ b/internal/batch/runner/move_test.go
@@ -12,9 +12,9 @@
 )
 
 // All slots of the fast engines are taken when a long text begins, so it runs at
-// a slower engine, where it would take two seconds longer than its step has. When
-// a fast engine has a free slot, the text continues there after its last complete
-// event.
+// an engine of an older, slower kind, where it would take two seconds longer than
+// its step has. When a fast engine has a free slot, the text must continue there
+// after its last complete event.
 func TestLongTextMovesToAFasterEngine(t *testing.T) {
 	is := is.New(t)
 	const length = 100
@@ -58,7 +58,7 @@
 		defer b.generator.mu.Unlock()
 		return len(b.generator.calls) == 1
 	})
-	timer.Wait(timer.Real{}, 30*time.Millisecond, nil) // some events of the old engine
+	timer.Wait(timer.Real{}, 30*time.Millisecond, nil) // the old engine makes some events
 	fast[0].Ended()
 	got := b.waitForResults(1)
 	is.Equal(len(got), 1)
@@ -81,7 +81,7 @@
 		at = at.Add(200 * time.Millisecond)
 	}
 	_, ok := task.pace(paceEvents)
-	is.True(!ok) // too few while it runs
+	is.True(!ok) // too few for a running attempt
 	pace, ok := task.pace(minPaceEvents)
 	is.True(ok)
 	is.Equal(pace, 200*time.Millisecond)
--- a/internal/batch/runner/prepare_test.go
+++ b/internal/batch/runner/prepare_test.go
@@ -28,13 +28,13 @@
 	err := b.runner.Submit(context.Background(), sub, b.route)
 	is.True(errors.Is(err, keyvalue.ErrDown))
 	b.runner.Prepare(sub, b.route)
-	made := func() bool {
+	generated := func() bool {
 		batch := b.runner.find("b")
 		batch.mu.Lock()
 		defer batch.mu.Unlock()
 		return len(batch.pending) == 2
 	}
-	is.True(eventually(made))
+	is.True(eventually(generated))
 	_, err = b.runner.Read(context.Background(), "b", 0, 0)
 	is.True(errors.Is(err, ErrNotHere))
 	_, _, err = b.runner.Body("b", "x")
@@ -99,7 +99,7 @@
 	is.NoErr(err)
 	is.NoErr(b.runner.Adopt(context.Background(), claim))
 	is.Equal(len(b.waitForResults(1)), 1)
-	is.Equal(len(b.generator.calls), 1) // made once
+	is.Equal(len(b.generator.calls), 1) // generated once
 }
 
 // endingSpace ends a batch just before it is read.
--- a/internal/batch/runner/rank.go
+++ b/internal/batch/runner/rank.go
@@ -10,12 +10,12 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// rankInterval is how often the queue of a step is ordered.
+// rankInterval is the shortest time between two orderings of the queue of a step.
 const rankInterval = 200 * time.Millisecond
 
-// rankQueue orders the queue of a batch by whether its step can be complete in
-// time. earlierWork is the work of earlier steps of the same model; rankQueue
-// returns the sum of it and the work of this step. The caller holds b.mu.
+// rankQueue orders the queue of a batch; the order depends on whether the step can
+// be complete in time. earlierWork is the work of earlier steps of the same model;
+// rankQueue returns the sum of it and the work of this step. The caller holds b.mu.
 func (r *Runner) rankQueue(b *Batch, earlierWork time.Duration, now timer.Instant) time.Duration {
 	if b.sub.WantedGroups == 0 || b.route.ResultDeadline <= 0 || b.medianPace <= 0 || !r.lengths.Known() {
 		// It is not known when the step is due, or how much work it has left.
@@ -60,8 +60,8 @@
 		if place(x) != place(y) {
 			return place(x) < place(y)
 		}
-		if begun := x.attempts > 0; !rank.Overloaded && begun != (y.attempts > 0) {
-			return begun
+		if started := x.attempts > 0; !rank.Overloaded && started != (y.attempts > 0) {
+			return started
 		}
 		return x.tokens > y.tokens
 	})
--- a/internal/batch/runner/read.go
+++ b/internal/batch/runner/read.go
@@ -52,8 +52,8 @@
 	return p
 }
 
-// Read returns the results from a position on. If there are none yet, it waits
-// for some.
+// Read returns the results from position after on. If there are none yet, it waits
+// for some, for the given time at most.
 func (r *Runner) Read(ctx context.Context, id string, after int, wait time.Duration) (Page, error) {
 	b := r.find(id)
 	if b == nil {
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -71,6 +71,8 @@
 	// nothing is found.
 	Copies Copies
 
+	// lengths converts estimates in tokens to events, scoring estimates the time
+	// of reward calls; both learn from finished items.
 	lengths schedule.Lengths
 	scoring schedule.Scoring
 	tomb    tomb.Tomb
--- a/internal/batch/runner/runner_test.go
+++ b/internal/batch/runner/runner_test.go
@@ -211,7 +211,7 @@
 	is.Equal(got[0].Text, "e1\ne2\ne3\ne4")
 	b.generator.mu.Lock()
 	defer b.generator.mu.Unlock()
-	is.Equal(b.generator.calls[1].After, 2) // resumed, not begun anew
+	is.Equal(b.generator.calls[1].After, 2) // resumed, not restarted
 }
 
 // An engine's weights turn out to be older than the trainer allows. Its text must
@@ -257,7 +257,7 @@
 	is.Equal(states, map[string]submission.State{"bad": submission.Dead, "good": submission.Completed})
 	b.generator.mu.Lock()
 	defer b.generator.mu.Unlock()
-	is.Equal(len(b.generator.calls), 3) // two attempts and the good one
+	is.Equal(len(b.generator.calls), 3) // two attempts at bad and one at good
 }
 
 // slowSpace is a key-value service whose writes of results take long.
@@ -313,18 +313,18 @@
 		repliesToLose: 20,
 	}
 	is.NoErr(b.submit("x"))
-	unsure := false
+	refused := false
 	eventually(func() bool {
 		rec, err := b.runner.Ledger.Load(context.Background(), "b")
 		is.NoErr(err)
 		page, err := b.runner.Read(context.Background(), "b", 0, 0)
 		if len(rec.Results) > 0 && errors.Is(err, ErrNotHere) {
-			unsure = true
+			refused = true
 		}
 		return err == nil && len(page.Results) > 0
 	})
-	is.True(unsure)
-	is.Equal(len(b.waitForResults(1)), 1) // it settles
+	is.True(refused)
+	is.Equal(len(b.waitForResults(1)), 1) // the write is confirmed in the end
 }
 
 // A trainer ends its batch while the last results are being written to the
