--- a/internal/batch/runner/list_test.go
+++ b/internal/batch/runner/list_test.go
@@ -11,7 +11,8 @@
 	"github.com/egretbend/egretbend/internal/batch/submission"
 )
 
-// Guards against a read that is answered by the write before the one that ends the step.
+// Guards against a read that is answered by the write before the one that ends
+// the step.
 func TestReadWaitsForTheResultsThatEndTheStep(t *testing.T) {
 	is := is.New(t)
 	sub := &submission.Submission{
@@ -28,27 +29,29 @@
 	first := submission.Result{Item: "x"}
 	second := submission.Result{Item: "y"}
 	b.finish(b.tasks["x"], first, 1)
-	// The first result is on its way to the ledger when the second ends the step.
+	// The first result is being written to the ledger when the second ends the
+	// step.
 	b.finish(b.tasks["y"], second, 2)
-	is.Equal(b.critical, "y")
-	waits := b.changed
-	b.list([]submission.Result{first}, 3)
+	is.Equal(b.criticalItem, "y")
+	notified := b.changed
+	b.listResults([]submission.Result{first}, 3)
 	select {
-	case <-waits:
+	case <-notified:
 		t.Fatal("answered without the result that ends the step")
 	default:
 	}
-	is.True(b.readable == 0)
-	b.list([]submission.Result{second}, 4)
-	<-waits
-	is.True(b.readable == 4)
-	// What comes after it is told at once.
-	waits = b.changed
-	b.list([]submission.Result{{Item: "z"}}, 5)
-	<-waits
+	is.True(b.readableAt == 0)
+	b.listResults([]submission.Result{second}, 4)
+	<-notified
+	is.True(b.readableAt == 4)
+	// Results that come after it answer reads at once.
+	notified = b.changed
+	b.listResults([]submission.Result{{Item: "z"}}, 5)
+	<-notified
 }
 
-// Guards against an end of a step that takes two reads where one page has room for it.
+// Guards against a step whose last results take two reads although one page has
+// room for them.
 func TestEndOfAStepFitsOnePage(t *testing.T) {
 	is := is.New(t)
 	var listed []submission.Result
@@ -61,13 +64,14 @@
 	is.Equal(p.Next, 18)
 	data, err := json.Marshal(p.Results)
 	is.NoErr(err)
-	is.True(len(data) < 1_000_000) // what callers take at the most
+	is.True(len(data) < 1_000_000) // the most that callers accept
 	is.Equal(PageOf(20, listed, 18).Next, 20)
 	large := []submission.Result{{Text: strings.Repeat("x", 2<<20)}}
-	is.Equal(PageOf(1, large, 0).Next, 1) // one at least
+	is.Equal(PageOf(1, large, 0).Next, 1) // at least one
 }
 
-// Guards against a read that is answered near the end of a step with results written for their age.
+// Guards against a read that is answered, near the end of a step, with results
+// that were written only because of their age.
 func TestOldResultsDoNotAnswerReadsNearTheEnd(t *testing.T) {
 	is := is.New(t)
 	sub := &submission.Submission{
@@ -77,13 +81,13 @@
 	b := newBatch(sub, ledger.Claim{}, nil, nil, nil)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	waits := b.changed
+	notified := b.changed
 	b.finish(b.tasks["x"], submission.Result{Item: "x"}, 1)
-	b.list([]submission.Result{{Item: "x"}}, 2)
+	b.listResults([]submission.Result{{Item: "x"}}, 2)
 	select {
-	case <-waits:
+	case <-notified:
 		t.Fatal("answered with two groups to go")
 	default:
 	}
-	is.Equal(len(b.page(0).Results), 1) // who asks now gets it
+	is.Equal(len(b.page(0).Results), 1) // a read that begins now gets it
 }
