--- a/internal/fleet/member/doc.go
+++ b/internal/fleet/member/doc.go
@@ -1,13 +1,19 @@
-// Package member keeps the view of the live instances of the fleet.
+// Package member maintains each instance's view of the live instances of the
+// fleet, by gossip and failure detection.
 //
-// Each instance owns one gossip entry about itself. Others may only add a
-// suspicion to the version that they saw; the owner answers a suspicion by a
-// higher sequence number. So an instance that was frozen and thaws is back in
-// every view as soon as it hears that it was given up.
+// Each instance owns one gossip entry about itself. Other instances can only
+// raise the status of the version that they have seen, to suspect or dead. The
+// owner refutes this by publishing a higher sequence number, so an instance
+// that was paused is back in every view soon after it learns that it was
+// declared dead.
+//
+// Table holds the view and the failure detector of one instance, Exchanger
+// runs the periodic exchanges with other instances, and Receiver answers the
+// exchanges that they start:
 //
 //	view := table.View()
 //	for _, m := range view.Alive { ... }
 //	top := view.Top("step/17", 3)
 //
-// A View is immutable and is replaced as a whole.
+// A View is immutable; every change produces a new one.
 package member
--- a/internal/fleet/member/exchange.go
+++ b/internal/fleet/member/exchange.go
@@ -14,65 +14,73 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// How often instances talk.
+// Periods and fan-out of the exchanges.
 const (
-	// ExchangePeriod is the time between two exchanges of an instance.
+	// ExchangePeriod is the time between two exchanges that an instance starts.
 	ExchangePeriod = 500 * time.Millisecond
-	// watched is the number of successors that an instance watches.
-	watched = 3
-	// eagerFanout is how many instances hear at once of something new.
+	// probedSuccessors is the number of ring successors that an instance probes.
+	probedSuccessors = 3
+	// eagerFanout is the number of instances that a change is pushed to at once.
 	eagerFanout = 3
-	// pauseGap is a gap between ticks that only a paused process can have.
-	pauseGap = 4 * ExchangePeriod
+	// pauseThreshold is the gap between two ticks above which this process must
+	// have been paused.
+	pauseThreshold = 4 * ExchangePeriod
 )
 
-// Exchanger talks to other instances: in turn to its successors on the ring,
-// which it so watches, and to random ones, which spreads news.
+// Exchanger exchanges gossip with other instances. It alternates between its
+// successors on the ring, which probes them for failures, and random instances,
+// which spreads changes through the fleet.
 type Exchanger struct {
 	Table   *Table
 	Client  *peer.Client
 	Timer   timer.Service
 	Journal *journal.Journal
 	Rand    *rand.Rand
-	Seeds   []string
-	// SelfLoad tells the share of its capacity that this instance uses.
+	// Seeds are the configured peer addresses.
+	Seeds []string
+	// SelfLoad returns the share of its capacity that this instance uses, from
+	// 0 to 1; nil reports 0.
 	SelfLoad func() float64
 
-	turn     int
-	watching int
-	last     timer.Instant
+	// rounds is the number of rounds run so far.
+	rounds int
+	// nextSuccessor selects the successor to probe next, modulo their number.
+	nextSuccessor int
+	lastRound     timer.Instant
 }
 
-// Run exchanges until t dies. News is passed on at once, but not more often
-// than every tenth of a period, so that a burst of news is one burst of calls.
+// Run exchanges gossip until t dies. Changes are pushed at once, but at most
+// once in a tenth of ExchangePeriod, so that a burst of changes causes a single
+// burst of calls.
 func (x *Exchanger) Run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
 	tick := x.Timer.Every(ExchangePeriod)
 	defer tick.Close()
 	wake := x.Table.State.Wake()
-	x.last = x.Timer.Now()
-	x.joinSeeds(ctx)
+	x.lastRound = x.Timer.Now()
+	x.exchangeWithSeed(ctx)
 	for {
 		select {
 		case now := <-tick.C:
-			x.round(ctx, now)
+			x.runRound(ctx, now)
 		case <-wake:
-			x.spread(ctx)
+			x.pushChanges(ctx)
 			if !timer.Wait(x.Timer, ExchangePeriod/10, t.Dying()) {
 				return nil
 			}
 		case <-t.Dying():
-			x.spread(context.Background())
+			x.pushChanges(context.Background())
 			return nil
 		}
 	}
 }
 
-func (x *Exchanger) round(ctx context.Context, now timer.Instant) {
-	if now.Sub(x.last) > pauseGap {
+// runRound updates the statuses of the members and makes one exchange.
+func (x *Exchanger) runRound(ctx context.Context, now timer.Instant) {
+	if now.Sub(x.lastRound) > pauseThreshold {
 		x.Table.Forgive()
 	}
-	x.last = now
+	x.lastRound = now
 	for _, m := range x.Table.Tick() {
 		x.Journal.Event("member_dead", log.Fields{
 			"member":         m.ID,
@@ -80,91 +88,97 @@
 		})
 	}
 	x.Table.State.Expire(wallSeconds())
-	x.turn++
-	if x.turn%2 == 0 {
-		x.watch(ctx)
+	x.rounds++
+	if x.rounds%2 == 0 {
+		x.probeSuccessor(ctx)
 		return
 	}
-	x.gossip(ctx)
+	x.exchangeWithRandom(ctx)
 }
 
-// watch talks to the next successor. One that does not answer is asked again
-// the next time, and counted against, until it answers or is suspected; so a
-// dead one is found in three seconds, however many others are watched.
-func (x *Exchanger) watch(ctx context.Context) {
-	next := x.Table.View().Successors(watched)
-	if len(next) == 0 {
-		x.joinSeeds(ctx)
+// probeSuccessor exchanges with the next successor. One that does not answer is
+// probed again the next time, and its misses are counted, until it answers or
+// becomes suspect. A dead instance is therefore detected in three seconds,
+// however many others are probed.
+func (x *Exchanger) probeSuccessor(ctx context.Context) {
+	successors := x.Table.View().Successors(probedSuccessors)
+	if len(successors) == 0 {
+		x.exchangeWithSeed(ctx)
 		return
 	}
-	m := next[x.watching%len(next)]
+	m := successors[x.nextSuccessor%len(successors)]
 	started := x.Timer.Now()
-	err := x.with(ctx, m.ID, m.PeerAddress)
+	err := x.exchange(ctx, m.ID, m.PeerAddress)
 	if err == nil {
-		x.watching++
+		x.nextSuccessor++
 		return
 	}
-	// A call that took longer than its deadline tells of a pause of this
-	// process, not of the other one.
+	// A call that took longer than its deadline means that this process was
+	// paused; it says nothing about the other instance.
 	if x.Timer.Now().Sub(started) > 2*peer.CallTimeout {
 		return
 	}
 	if m.Status != Alive {
-		x.watching++
+		x.nextSuccessor++
 		return
 	}
 	if x.Table.Missed(m.ID) {
-		x.watching++
+		x.nextSuccessor++
 		x.Journal.Trouble("member_suspect", err, log.Fields{
 			"member": m.ID,
 		})
 	}
 }
 
-// Every so many turns an instance talks to a seed, and to one that may be
-// dead: it is how two sides of a cut find each other again.
+// Intervals, in rounds, at which an instance contacts a seed, or picks its peer
+// from all known instances, dead ones included. The two sides of a network
+// partition find each other again in this way.
 const (
-	seedEvery = 64
-	deadEvery = 16
+	seedInterval      = 64
+	anyStatusInterval = 16
 )
 
-// gossip talks to a random instance.
-func (x *Exchanger) gossip(ctx context.Context) {
-	if x.turn%seedEvery == 1 {
-		x.joinSeeds(ctx)
+// exchangeWithRandom exchanges with a random instance, or with a seed when one
+// is due.
+func (x *Exchanger) exchangeWithRandom(ctx context.Context) {
+	if x.rounds%seedInterval == 1 {
+		x.exchangeWithSeed(ctx)
 		return
 	}
-	if m, ok := x.pick(x.turn%deadEvery == 9); ok {
-		_ = x.with(ctx, m.ID, m.PeerAddress)
+	if m, ok := x.randomMember(x.rounds%anyStatusInterval == 9); ok {
+		_ = x.exchange(ctx, m.ID, m.PeerAddress)
 	}
 }
 
-func (x *Exchanger) pick(anyStatus bool) (Member, bool) {
+// randomMember returns a random instance other than self: an alive one, or one
+// of any status if anyStatus is set. It returns false if there is none.
+func (x *Exchanger) randomMember(anyStatus bool) (Member, bool) {
 	view := x.Table.View()
-	var list []Member
+	var candidates []Member
 	for _, m := range view.Known {
 		if m.ID != view.Self.ID && (anyStatus || m.Status == Alive) {
-			list = append(list, m)
+			candidates = append(candidates, m)
 		}
 	}
-	if len(list) == 0 {
+	if len(candidates) == 0 {
 		return Member{}, false
 	}
-	return list[x.Rand.IntN(len(list))], true
+	return candidates[x.Rand.IntN(len(candidates))], true
 }
 
-// spread passes news on to a few instances at once.
-func (x *Exchanger) spread(ctx context.Context) {
+// pushChanges exchanges concurrently with up to eagerFanout random instances
+// and waits for all of them.
+func (x *Exchanger) pushChanges(ctx context.Context) {
 	done := make(chan struct{}, eagerFanout)
 	n := 0
 	for range eagerFanout {
-		m, ok := x.pick(false)
+		m, ok := x.randomMember(false)
 		if !ok {
 			break
 		}
 		n++
 		go func() {
-			_ = x.with(ctx, m.ID, m.PeerAddress)
+			_ = x.exchange(ctx, m.ID, m.PeerAddress)
 			done <- struct{}{}
 		}()
 	}
@@ -173,20 +187,21 @@
 	}
 }
 
-// joinSeeds exchanges with one of the configured peers. The connection is
-// closed after it: all instances have the same few seeds, which would otherwise
-// hold a connection to each instance of the fleet.
-func (x *Exchanger) joinSeeds(ctx context.Context) {
+// exchangeWithSeed exchanges with a random seed and then closes the connection.
+// All instances have the same few seeds, each of which would otherwise hold a
+// connection to every instance of the fleet.
+func (x *Exchanger) exchangeWithSeed(ctx context.Context) {
 	if len(x.Seeds) == 0 {
 		return
 	}
 	seed := x.Seeds[x.Rand.IntN(len(x.Seeds))]
-	_ = x.with(ctx, "", seed)
+	_ = x.exchange(ctx, "", seed)
 	x.Client.Forget(seed)
 }
 
-// with runs one exchange with the instance at address.
-func (x *Exchanger) with(ctx context.Context, id, address string) error {
+// exchange runs one exchange with the instance at address. id is empty if it is
+// not known which instance has this address.
+func (x *Exchanger) exchange(ctx context.Context, id, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, peer.CallTimeout)
 	defer cancel()
 	state := x.Table.State
@@ -215,13 +230,15 @@
 	return x.SelfLoad()
 }
 
-// Receiver answers the exchanges of other instances.
+// Receiver answers the exchanges that other instances start.
 type Receiver struct {
-	Table    *Table
+	Table *Table
+	// SelfLoad returns the share of its capacity that this instance uses, from
+	// 0 to 1; nil reports 0.
 	SelfLoad func() float64
 }
 
-// Exchange is called by other instances.
+// Exchange answers one message of another instance. It is called over RPC.
 func (r *Receiver) Exchange(args gossip.Args, reply *gossip.Reply) error {
 	*reply = r.Table.State.Answer(args, wallSeconds())
 	if r.SelfLoad != nil {
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -6,11 +6,11 @@
 	"github.com/egretbend/egretbend/internal/fleet/gossip"
 )
 
-// Status is what the fleet believes about an instance.
+// Status is the liveness of an instance as the fleet sees it.
 type Status uint8
 
-// The statuses, in the order in which they override each other for the same
-// sequence number of the owner.
+// The statuses in order of precedence: for the same sequence number of the
+// owner, a later status overrides an earlier one.
 const (
 	Alive Status = iota
 	Suspect
@@ -18,7 +18,7 @@
 	statusCount
 )
 
-// String returns the status' name.
+// String returns the name of the status.
 func (s Status) String() string {
 	switch s {
 	case Alive:
@@ -31,7 +31,8 @@
 	return "unknown"
 }
 
-// Member is one instance as gossip tells it.
+// Member describes one instance. Its Incarnation, Sequence and Status are
+// encoded in the version of its gossip entry, the other fields in the value.
 type Member struct {
 	ID            string `json:"id"`
 	Incarnation   uint64 `json:"-"`
@@ -57,15 +58,15 @@
 	return m
 }
 
-// Usable reports whether new work may be given to the instance.
+// Usable reports whether the instance may receive new work.
 func (m Member) Usable() bool { return m.Status == Alive && !m.Leaving }
 
-// DeadTTL is for how many seconds a dead instance is remembered, so that two
-// sides of a cut find each other again.
+// DeadTTL is the number of seconds for which the entry of a dead instance is
+// kept, so that the two sides of a network partition can find each other again.
 const DeadTTL = 3600
 
-// Entry returns the member as a gossip entry. now is the wall time in Unix
-// seconds.
+// Entry returns the gossip entry of the member. now is the wall-clock time in
+// Unix seconds.
 func (m Member) Entry(now int64) gossip.Entry {
 	value, err := json.Marshal(m)
 	if err != nil {
@@ -86,7 +87,7 @@
 	return e
 }
 
-// FromEntry returns the member that a gossip entry tells.
+// FromEntry decodes a gossip entry. It returns false if the entry is not valid.
 func FromEntry(e gossip.Entry) (Member, bool) {
 	var m Member
 	if json.Unmarshal(e.Value, &m) != nil || m.ID != e.Key {
--- a/internal/fleet/member/part.go
+++ b/internal/fleet/member/part.go
@@ -21,16 +21,16 @@
 	})
 }
 
-// Gauge holds the load that this instance tells the others, from 0 to 1. Its
-// zero value tells none.
+// Gauge holds the function that measures the load of this instance, which it
+// reports to the others. Its zero value reports a load of 0.
 type Gauge struct {
 	read atomic.Pointer[func() float64]
 }
 
-// Set gives the function that measures the load.
+// Set sets the function that measures the load, from 0 to 1.
 func (g *Gauge) Set(read func() float64) { g.read.Store(&read) }
 
-// Load returns the current load.
+// Load returns the current load, from 0 to 1.
 func (g *Gauge) Load() float64 {
 	read := g.read.Load()
 	if read == nil {
@@ -39,6 +39,7 @@
 	return (*read)()
 }
 
+// memberPart runs the exchanger, and marks this instance as leaving on Stop.
 type memberPart struct {
 	exchanger *Exchanger
 	table     *Table
--- a/internal/fleet/member/proof_test.go
+++ b/internal/fleet/member/property_test.go
@@ -15,18 +15,18 @@
 
 const instances = 5
 
-// world is a fleet whose messages the test carries.
-type world struct {
-	t      *rapid.T
-	clock  *timer.Manual
-	tables []*member.Table
-	frozen [instances]bool
-	cut    bool
-	left   [instances]bool
+// simulation is a fleet whose messages the test delivers.
+type simulation struct {
+	t           *rapid.T
+	clock       *timer.Manual
+	tables      []*member.Table
+	frozen      [instances]bool
+	partitioned bool
+	leaving     [instances]bool
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{
 		t:     t,
 		clock: &timer.Manual{},
 	}
@@ -43,24 +43,24 @@
 		w.tables = append(w.tables, table)
 	}
 	for range 2 {
-		w.meetAll()
+		w.exchangeAll()
 	}
 	return w
 }
 
-// reaches reports whether a message from one instance gets to another. A cut
-// parts the two failure domains.
-func (w *world) reaches(from, to int) bool {
-	return !w.frozen[from] && !w.frozen[to] && (!w.cut || from%2 == to%2)
+// connected reports whether a message from one instance reaches another. A
+// partition separates the two failure domains.
+func (w *simulation) connected(from, to int) bool {
+	return !w.frozen[from] && !w.frozen[to] && (!w.partitioned || from%2 == to%2)
 }
 
-// exchange lets one instance talk to another, or notice that it can't.
-func (w *world) exchange(from, to int) {
+// exchange runs an exchange between two instances, or records a missed call.
+func (w *simulation) exchange(from, to int) {
 	if from == to || w.frozen[from] {
 		return
 	}
 	a, b := w.tables[from], w.tables[to]
-	if !w.reaches(from, to) {
+	if !w.connected(from, to) {
 		a.Missed(fmt.Sprintf("i%d", to))
 		return
 	}
@@ -72,7 +72,8 @@
 	a.Reached(fmt.Sprintf("i%d", to), 0)
 }
 
-func (w *world) meetAll() {
+// exchangeAll runs an exchange between each two instances.
+func (w *simulation) exchangeAll() {
 	for i := range instances {
 		if !w.frozen[i] {
 			w.tables[i].Tick()
@@ -83,14 +84,14 @@
 	}
 }
 
-// settle ends all failures. Every instance must then see every other one as
-// alive, and those that are leaving as leaving.
-func (w *world) settle() {
-	w.cut = false
+// healAndCheck ends all failures, and checks that every instance then sees every
+// other one as alive, and as leaving if it is.
+func (w *simulation) healAndCheck() {
+	w.partitioned = false
 	w.frozen = [instances]bool{}
 	for range 6 {
 		w.clock.Advance(time.Second)
-		w.meetAll()
+		w.exchangeAll()
 	}
 	for i, table := range w.tables {
 		view := table.View()
@@ -99,19 +100,20 @@
 			if !ok || m.Status != member.Alive {
 				w.t.Fatalf("instance %d sees %d as %v", i, j, m.Status)
 			}
-			if m.Leaving != w.left[j] {
-				w.t.Fatalf("instance %d sees %d leaving: %t, but it is: %t", i, j, m.Leaving, w.left[j])
+			if m.Leaving != w.leaving[j] {
+				w.t.Fatalf("instance %d sees %d leaving: %t, but it is: %t", i, j, m.Leaving, w.leaving[j])
 			}
 		}
 	}
 }
 
-// Instances are frozen and thawed, and regions lose each other and meet again.
-// A trainer or caller would notice an instance that is never asked again, and
-// an operator one that is asked for new work though it said that it leaves.
-func TestViewsMeetAgain(t *testing.T) {
+// Instances pause and resume, and a network partition separates the failure
+// domains and heals. If views did not converge afterwards, a live instance would
+// get no more requests from callers and trainers, or a leaving one would still
+// get new work.
+func TestViewsConvergeAfterFailures(t *testing.T) {
 	proof.CheckN(t, 300, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		which := rapid.IntRange(0, instances-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"exchange": func(t *rapid.T) { w.exchange(which.Draw(t, "from"), which.Draw(t, "to")) },
@@ -122,22 +124,22 @@
 			},
 			"wait":   func(*rapid.T) { w.clock.Advance(2 * time.Second) },
 			"freeze": func(t *rapid.T) { i := which.Draw(t, "instance"); w.frozen[i] = !w.frozen[i] },
-			"cut":    func(*rapid.T) { w.cut = !w.cut },
+			"cut":    func(*rapid.T) { w.partitioned = !w.partitioned },
 			"leave": func(t *rapid.T) {
 				i := which.Draw(t, "instance")
 				w.tables[i].Leave()
-				w.left[i] = true
+				w.leaving[i] = true
 			},
 		})
-		w.settle()
+		w.healAndCheck()
 	})
 }
 
-// An instance does not answer for a while. Until it is given up it must not be
-// taken for dead at the first missed call, nor be kept for ever.
+// An instance stops answering. It must not become suspect at the first missed
+// call, and must be declared dead when the time for suspicion is over.
 func TestSilentInstanceIsSuspectedThenDead(t *testing.T) {
 	proof.CheckN(t, 1, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		w.frozen[1] = true
 		status := func() member.Status {
 			m, _ := w.tables[0].View().Find("i1")
--- a/internal/fleet/member/table.go
+++ b/internal/fleet/member/table.go
@@ -9,36 +9,42 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// How failures are found.
+// Parameters of the failure detector.
 const (
-	// StrikeLimit is how many calls in a row must fail before an instance is
-	// suspected.
+	// StrikeLimit is the number of calls in a row that must fail before an
+	// instance becomes suspect.
 	StrikeLimit = 3
-	// SuspicionTime is how long a suspect may answer before it counts as dead.
+	// SuspicionTime is how long a suspect has to refute the suspicion before it
+	// is declared dead.
 	SuspicionTime = 3 * time.Second
 )
 
-// Table is one instance's view of the fleet over a gossip state.
+// Table maintains one instance's view of the fleet on top of its gossip state,
+// and detects failed instances.
 type Table struct {
 	State *gossip.State
 	Timer timer.Service
 
-	mu       sync.Mutex
-	self     Member
-	strikes  map[string]int
-	suspects map[string]suspicion
-	loads    map[string]float64
+	mu   sync.Mutex
+	self Member
+	// missedCalls counts the calls in a row that each instance did not answer.
+	missedCalls map[string]int
+	suspicions  map[string]suspicion
+	// loads holds the last reported load of each instance.
+	loads map[string]float64
 
 	view    atomic.Pointer[View]
 	decoded gossip.Decoded[Member]
 }
 
+// suspicion is a suspected version of a member's entry, and when it was first
+// seen.
 type suspicion struct {
 	version gossip.Version
 	since   timer.Instant
 }
 
-// Join makes self part of the fleet.
+// Join adds self to the fleet.
 func (t *Table) Join(self Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,7 +52,7 @@
 	t.State.Merge(self.Entry(wallSeconds()))
 }
 
-// Leave marks self as leaving. It sticks to this incarnation.
+// Leave marks self as leaving. The mark can't be removed from this incarnation.
 func (t *Table) Leave() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,46 +70,46 @@
 	return t.self
 }
 
-// View returns the current view. It is rebuilt only after a change.
+// View returns the current view, which is rebuilt only after a change.
 func (t *Table) View() *View {
-	gen := t.State.Changes(gossip.KindMember)
-	if v := t.view.Load(); v != nil && v.generation == gen {
+	changes := t.State.Changes(gossip.KindMember)
+	if v := t.view.Load(); v != nil && v.changeCount == changes {
 		return v
 	}
 	v := newView(t.Self(), t.decoded.List(t.State, gossip.KindMember, FromEntry))
-	v.generation = gen
+	v.changeCount = changes
 	t.view.Store(v)
 	return v
 }
 
-// Reached notes that an instance answered, and the load that it told.
+// Reached records that an instance answered, and the load that it reported.
 func (t *Table) Reached(id string, load float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.strikes, id)
+	delete(t.missedCalls, id)
 	if t.loads == nil {
 		t.loads = make(map[string]float64)
 	}
 	t.loads[id] = load
 }
 
-// Load returns the load that an instance told last, from 0 to 1.
+// Load returns the load that an instance reported last, from 0 to 1.
 func (t *Table) Load(id string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.loads[id]
 }
 
-// Missed notes that an instance did not answer, and suspects it after
-// StrikeLimit times in a row. It reports whether it became suspect now.
+// Missed records that an instance did not answer, and marks it as suspect after
+// StrikeLimit misses in a row. It reports whether this call made it suspect.
 func (t *Table) Missed(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.strikes == nil {
-		t.strikes = make(map[string]int)
+	if t.missedCalls == nil {
+		t.missedCalls = make(map[string]int)
 	}
-	t.strikes[id]++
-	if t.strikes[id] < StrikeLimit {
+	t.missedCalls[id]++
+	if t.missedCalls[id] < StrikeLimit {
 		return false
 	}
 	e, ok := t.State.Find(gossip.KindMember, id)
@@ -117,57 +123,62 @@
 	return t.State.Merge(m.WithStatus(Suspect).Entry(wallSeconds()))
 }
 
-// Forgive clears all strikes. It is called after this process itself was
-// paused: the calls that failed then tell nothing about the others.
+// Forgive clears the counts of missed calls of all instances. It is called
+// after this process itself was paused: calls that failed during the pause say
+// nothing about the other instances.
 func (t *Table) Forgive() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.strikes = nil
+	t.missedCalls = nil
 }
 
-// Tick answers suspicions of self and turns suspects whose time ran out into
-// dead ones. It returns those.
+// Tick refutes any suspicion of self, and declares dead the suspects that did
+// not refute theirs within SuspicionTime. It returns the latter.
 func (t *Table) Tick() []Member {
 	view := t.View()
 	now := t.Timer.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refute(view)
-	var died []Member
+	var dead []Member
 	for _, m := range view.Known {
 		if m.Status != Suspect || m.ID == t.self.ID {
-			delete(t.suspects, m.ID)
+			delete(t.suspicions, m.ID)
 			continue
 		}
-		if t.overdue(m, now) {
+		if t.suspicionExpired(m, now) {
 			t.State.Merge(m.WithStatus(Dead).Entry(wallSeconds()))
-			died = append(died, m)
+			dead = append(dead, m)
 		}
 	}
-	return died
+	return dead
 }
 
+// refute publishes a higher sequence number of self if the view has self as
+// suspect or dead, or under another incarnation.
 func (t *Table) refute(view *View) {
 	seen, ok := view.Find(t.self.ID)
 	if !ok || (seen.Incarnation == t.self.Incarnation && seen.Status == Alive) {
 		return
 	}
 	t.self.Sequence = max(t.self.Sequence, seen.Sequence) + 1
-	// A higher incarnation under this name is a younger process, or an older
-	// one whose clock ran ahead. Only one of the two can be in use at this
-	// address, and it is this one that is running.
+	// A higher incarnation of this name belongs to a newer process, or to an
+	// older one whose clock ran ahead. Only one process can serve this address,
+	// and this one is running.
 	t.self.Incarnation = max(t.self.Incarnation, seen.Incarnation)
 	t.State.Merge(t.self.Entry(wallSeconds()))
 }
 
-func (t *Table) overdue(m Member, now timer.Instant) bool {
+// suspicionExpired reports whether a member has been suspect for SuspicionTime.
+// The time starts at the first call for that version of its entry.
+func (t *Table) suspicionExpired(m Member, now timer.Instant) bool {
 	version := m.Entry(0).Version
-	s, ok := t.suspects[m.ID]
+	s, ok := t.suspicions[m.ID]
 	if !ok || s.version != version {
-		if t.suspects == nil {
-			t.suspects = make(map[string]suspicion)
+		if t.suspicions == nil {
+			t.suspicions = make(map[string]suspicion)
 		}
-		t.suspects[m.ID] = suspicion{
+		t.suspicions[m.ID] = suspicion{
 			version: version,
 			since:   now,
 		}
@@ -176,5 +187,6 @@
 	return now.Sub(s.since) >= SuspicionTime
 }
 
-// wallSeconds is the wall time for the expiry of entries.
+// wallSeconds returns the wall-clock time in Unix seconds, by which entries
+// expire.
 func wallSeconds() int64 { return time.Now().Unix() }
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -7,32 +7,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// View is an immutable picture of the fleet.
+// View is an immutable snapshot of the fleet.
 type View struct {
 	Self Member
-	// Alive has all usable or suspect instances that are not leaving, self
-	// included unless it is leaving, by hash.
+	// Alive holds the alive and suspect instances that are not leaving, in ring
+	// order. It includes self unless self is leaving.
 	Alive []Member
-	// Known has all instances, dead and leaving ones included, by hash.
+	// Known holds all instances, including dead and leaving ones, in ring order.
 	Known []Member
 
-	byID       map[string]Member
-	generation uint64
+	byID map[string]Member
+	// changeCount is the number of changes of member entries that the view was
+	// built after.
+	changeCount uint64
 }
 
-func newView(self Member, list []Member) *View {
+func newView(self Member, members []Member) *View {
 	v := &View{
 		Self:  self,
-		Known: list,
-		byID:  make(map[string]Member, len(list)),
+		Known: members,
+		byID:  make(map[string]Member, len(members)),
 	}
-	slices.SortFunc(list, func(a, b Member) int {
+	slices.SortFunc(members, func(a, b Member) int {
 		if ringLess(a, b) {
 			return -1
 		}
 		return 1
 	})
-	for _, m := range list {
+	for _, m := range members {
 		v.byID[m.ID] = m
 		if m.Status != Dead && !m.Leaving {
 			v.Alive = append(v.Alive, m)
@@ -41,6 +43,7 @@
 	return v
 }
 
+// ringLess orders instances on the ring, by the hash of their IDs.
 func ringLess(a, b Member) bool {
 	ha, hb := xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID)
 	if ha != hb {
@@ -49,14 +52,14 @@
 	return a.ID < b.ID
 }
 
-// Find returns the instance called id.
+// Find returns the instance with the given ID.
 func (v *View) Find(id string) (Member, bool) {
 	m, ok := v.byID[id]
 	return m, ok
 }
 
-// Successors returns up to n instances that follow self on the ring of hashes.
-// Each instance watches its successors, so each is watched by n others.
+// Successors returns up to n instances that follow self on the ring, except
+// dead ones. Each instance probes its successors, so each is probed by n others.
 func (v *View) Successors(n int) []Member {
 	var ring []Member
 	for _, m := range v.Known {
@@ -72,15 +75,15 @@
 	return out
 }
 
-// Top returns the n instances with the highest rendezvous hash for key. All
-// instances with the same view name the same ones, and when one dies only its
-// keys move.
+// Top returns the n alive instances with the highest rendezvous hash for key.
+// All instances with the same view get the same result, and when an instance
+// dies, only its keys move.
 func (v *View) Top(key string, n int) []Member {
 	return Top(v.Alive, key, n)
 }
 
-// TopOutside is Top without the instances of one failure domain, unless there
-// are none outside of it.
+// TopOutside is like Top but excludes the instances of a failure domain, unless
+// there are no others.
 func (v *View) TopOutside(domain, key string, n int) []Member {
 	var others []Member
 	for _, m := range v.Alive {
@@ -96,7 +99,8 @@
 
 // TopInDomain reports whether self is one of the n instances of its own
 // failure domain with the highest rendezvous hash for key. Work that a fixed
-// number of instances of each domain does is so shared out without a word.
+// number of instances of each domain does is divided in this way without
+// coordination.
 func (v *View) TopInDomain(key string, n int) bool {
 	var domain []Member
 	for _, m := range v.Alive {
@@ -141,7 +145,8 @@
 	return out
 }
 
-// Score is the rendezvous hash of a key and an instance's or upstream's id.
+// Score returns the rendezvous hash of a key and the ID of an instance or
+// upstream.
 func Score(key, id string) uint64 {
 	h := xxhash.Sum64String(key) ^ (xxhash.Sum64String(id) * 0x9e3779b97f4a7c15)
 	h ^= h >> 33
