--- a/internal/fleet/gossip/bench_test.go
+++ b/internal/fleet/gossip/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkAnswerQuiet measures an exchange between two instances that know
-// the same, with as many entries as the target fleet has.
+// BenchmarkAnswerQuiet measures an exchange between two instances that have the
+// same entries, up to the number of entries in the target fleet.
 func BenchmarkAnswerQuiet(b *testing.B) {
 	for _, n := range []int{20, 1100, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/fleet/gossip/decoded.go
+++ b/internal/fleet/gossip/decoded.go
@@ -2,30 +2,30 @@
 
 import "sync"
 
-// Decoded keeps the decoded values of one kind of entries, so that a change of
-// one entry costs the decoding of one. Its zero value is empty and works.
+// Decoded caches the decoded values of all entries of one kind, so that a change
+// of one entry decodes only that entry. Its zero value is empty and ready to use.
 type Decoded[T any] struct {
-	mu    sync.Mutex
-	known map[string]decoded[T]
+	mu     sync.Mutex
+	values map[string]decodedValue[T]
 }
 
-type decoded[T any] struct {
+type decodedValue[T any] struct {
 	version Version
 	value   T
 	ok      bool
 }
 
-// List returns the values of all entries of one kind, in no order. decode
-// returns the value of an entry, or false for one to leave out; it must be the
-// same for all calls.
+// List returns the values of all entries of one kind, in no particular order.
+// decode returns the value of an entry, or false to leave the entry out; all
+// calls must pass the same decode function.
 func (d *Decoded[T]) List(s *State, k Kind, decode func(e Entry) (T, bool)) []T {
 	entries := s.List(k)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	next := make(map[string]decoded[T], len(entries))
+	next := make(map[string]decodedValue[T], len(entries))
 	list := make([]T, 0, len(entries))
 	for _, e := range entries {
-		v, found := d.known[e.Key]
+		v, found := d.values[e.Key]
 		if !found || v.version != e.Version {
 			v.version = e.Version
 			v.value, v.ok = decode(e)
@@ -35,6 +35,6 @@
 			list = append(list, v.value)
 		}
 	}
-	d.known = next
+	d.values = next
 	return list
 }
--- a/internal/fleet/gossip/doc.go
+++ b/internal/fleet/gossip/doc.go
@@ -1,15 +1,18 @@
-// Package gossip spreads small monotone facts between instances.
+// Package gossip replicates small versioned entries to all instances of the
+// fleet by anti-entropy exchanges.
 //
-// A fact is an Entry: a kind, a key, a version and a value. Of two entries
-// with the same kind and key the higher version wins, so any instance may pass
-// on any entry, in any order, any number of times:
+// An Entry has a kind, a key, a version and a value. Of two entries with the
+// same kind and key the one with the higher version wins, so any instance may
+// pass on any entry, in any order, any number of times. State holds the entries
+// that one instance knows, and builds and answers the messages of an exchange:
 //
 //	var s gossip.State
-//	s.Merge(entry)            // true when it was news
-//	reply := s.Answer(args)   // what the asking instance lacks
+//	s.Merge(entry)               // true if the entry was newer
+//	reply := s.Answer(args, now) // the entries that the sender of args lacks
 //
-// Two instances compare one root hash first. Only when it differs do they
-// compare the hashes of the buckets, and then send the entries of those that
-// differ. Fresh entries travel along at once. In a quiet fleet an exchange is
-// therefore a few dozen bytes, however many entries there are.
+// Two instances first compare one root hash of all their entries. Only if it
+// differs do they compare a hash for each bucket of keys, and then send the
+// entries of the buckets that differ. Recently merged entries are sent along
+// with the first message and its reply. While nothing changes in the fleet, an
+// exchange therefore takes a few dozen bytes, however many entries there are.
 package gossip
--- a/internal/fleet/gossip/entry.go
+++ b/internal/fleet/gossip/entry.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind says what an entry is about.
+// Kind is the type of information that an entry holds.
 type Kind uint8
 
 // The kinds of entries.
@@ -22,7 +22,7 @@
 	kindCount
 )
 
-// String returns the kind's name.
+// String returns the name of the kind.
 func (k Kind) String() string {
 	switch k {
 	case KindMember:
@@ -45,13 +45,13 @@
 	return "unknown"
 }
 
-// Version orders the entries of one key.
+// Version orders the entries of one kind and key, by Major first.
 type Version struct {
 	Major uint64
 	Minor uint64
 }
 
-// Less reports whether v is before w.
+// Less reports whether v is lower than w.
 func (v Version) Less(w Version) bool {
 	if v.Major != w.Major {
 		return v.Major < w.Major
@@ -59,15 +59,15 @@
 	return v.Minor < w.Minor
 }
 
-// Entry is one fact. Its value is never changed in place.
+// Entry is a versioned value. The bytes of Value are never modified in place.
 type Entry struct {
 	Kind    Kind
 	Key     string
 	Version Version
 	Value   []byte
-	// Expires is the Unix second after which every instance forgets the entry;
-	// zero keeps it. It is wall time, so that no instance that still has the
-	// entry can bring it back to one that forgot it.
+	// Expires is the Unix time in seconds after which every instance removes the
+	// entry; zero means never. It is wall-clock time, so that an instance that
+	// still has the entry can't bring it back to one that removed it.
 	Expires int64
 }
 
@@ -83,7 +83,7 @@
 	}
 }
 
-// hash covers what Merge compares.
+// hash covers the fields that Merge compares.
 func (e Entry) hash() uint64 {
 	var b [17]byte
 	b[0] = byte(e.Kind)
--- a/internal/fleet/gossip/state.go
+++ b/internal/fleet/gossip/state.go
@@ -5,54 +5,62 @@
 	"sync/atomic"
 )
 
-// Buckets is the number of groups whose hashes two instances compare.
+// Buckets is the number of buckets that entries are divided into by the hash of
+// their key. Two instances compare one hash for each bucket.
 const Buckets = 64
 
-// Digest holds a hash for each bucket.
+// Digest holds a hash for each bucket: the XOR of the hashes of its entries.
 type Digest [Buckets]uint64
 
-// Transmissions is how often an instance passes on a fresh entry unasked. At
-// two exchanges a second with both sides passing on, this reaches a thousand
-// instances with near certainty; the digest catches the rest.
+// Transmissions is how many times an instance sends a newly merged entry without
+// being asked for it. With two exchanges a second in which both sides send, this
+// reaches a thousand instances almost certainly; the comparison of digests
+// delivers the entry to the rest.
 const Transmissions = 12
 
-// State is what one instance knows. Its zero value is empty and works.
+// State holds the entries that one instance knows. Its zero value is empty and
+// ready to use.
 type State struct {
-	mu      sync.Mutex
-	entries map[entryKey]Entry
-	counts  [kindCount]int
-	digest  Digest
-	hot     map[entryKey]int
-	changes [kindCount]atomic.Uint64
-	changed [kindCount]chan struct{}
-	wake    chan struct{}
+	mu          sync.Mutex
+	entries     map[entryKey]Entry
+	entryCounts [kindCount]int
+	digest      Digest
+	// transmissionsLeft counts, for each newly merged entry, how often it is still
+	// to be sent unasked.
+	transmissionsLeft map[entryKey]int
+	changeCounts      [kindCount]atomic.Uint64
+	// changeSignals holds the channels that Changed has returned and that are
+	// still open.
+	changeSignals [kindCount]chan struct{}
+	wake          chan struct{}
 }
 
-// Merge takes e if it is newer than what is known, and reports whether it was.
+// Merge stores e if its version is higher than that of the known entry, and
+// reports whether it did.
 func (s *State) Merge(e Entry) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.merge(e)
 }
 
-// MergeAll takes all that is newer and returns it.
+// MergeAll merges all entries of list, and returns those that were stored.
 func (s *State) MergeAll(list []Entry) []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var taken []Entry
+	var stored []Entry
 	for _, e := range list {
 		if s.merge(e) {
-			taken = append(taken, e)
+			stored = append(stored, e)
 		}
 	}
-	return taken
+	return stored
 }
 
 func (s *State) merge(e Entry) bool {
 	if e.Kind == 0 || e.Kind >= kindCount {
 		return false
 	}
-	s.prepare()
+	s.initMaps()
 	old, ok := s.entries[e.id()]
 	if ok && !old.Version.Less(e.Version) {
 		return false
@@ -60,12 +68,12 @@
 	if ok {
 		s.digest[old.bucket()] ^= old.hash()
 	} else {
-		s.counts[e.Kind]++
+		s.entryCounts[e.Kind]++
 	}
 	s.entries[e.id()] = e
 	s.digest[e.bucket()] ^= e.hash()
-	s.hot[e.id()] = Transmissions
-	s.note(e.Kind)
+	s.transmissionsLeft[e.id()] = Transmissions
+	s.recordChange(e.Kind)
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -73,46 +81,49 @@
 	return true
 }
 
-func (s *State) note(k Kind) {
-	s.changes[k].Add(1)
-	if s.changed[k] != nil {
-		close(s.changed[k])
-		s.changed[k] = nil
+// recordChange counts a change of one kind and closes the channel that Changed
+// returned for it.
+func (s *State) recordChange(k Kind) {
+	s.changeCounts[k].Add(1)
+	if s.changeSignals[k] != nil {
+		close(s.changeSignals[k])
+		s.changeSignals[k] = nil
 	}
 }
 
-// Changed returns a channel that is closed at the next change of one kind.
+// Changed returns a channel that is closed at the next change of an entry of one
+// kind.
 func (s *State) Changed(k Kind) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.changed[k] == nil {
-		s.changed[k] = make(chan struct{})
+	if s.changeSignals[k] == nil {
+		s.changeSignals[k] = make(chan struct{})
 	}
-	return s.changed[k]
+	return s.changeSignals[k]
 }
 
-func (s *State) prepare() {
+func (s *State) initMaps() {
 	if s.entries != nil {
 		return
 	}
 	s.entries = make(map[entryKey]Entry)
-	s.hot = make(map[entryKey]int)
+	s.transmissionsLeft = make(map[entryKey]int)
 	if s.wake == nil {
 		s.wake = make(chan struct{}, 1)
 	}
 }
 
-// Wake returns a channel that fires when something new was merged.
+// Wake returns a channel that receives a value after entries were stored.
 func (s *State) Wake() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.prepare()
+	s.initMaps()
 	return s.wake
 }
 
-// Changes counts the merges of one kind. A view that remembers the count
-// knows when it must be built again.
-func (s *State) Changes(k Kind) uint64 { return s.changes[k].Load() }
+// Changes returns the number of changes to the entries of one kind. Data derived
+// from these entries must be rebuilt when the number changes.
+func (s *State) Changes(k Kind) uint64 { return s.changeCounts[k].Load() }
 
 // Find returns the entry with this kind and key.
 func (s *State) Find(k Kind, key string) (Entry, bool) {
@@ -125,11 +136,11 @@
 	return e, ok
 }
 
-// List returns all entries of one kind, in no order.
+// List returns all entries of one kind, in no particular order.
 func (s *State) List(k Kind) []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := make([]Entry, 0, s.counts[k])
+	list := make([]Entry, 0, s.entryCounts[k])
 	for id, e := range s.entries {
 		if id.kind == k {
 			list = append(list, e)
@@ -138,7 +149,8 @@
 	return list
 }
 
-// Expire forgets the entries whose time was before now, in Unix seconds.
+// Expire removes the entries that expired before now, in Unix seconds, and
+// returns their number.
 func (s *State) Expire(now int64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,9 +161,9 @@
 		}
 		s.digest[e.bucket()] ^= e.hash()
 		delete(s.entries, id)
-		s.counts[id.kind]--
-		delete(s.hot, id)
-		s.note(id.kind)
+		s.entryCounts[id.kind]--
+		delete(s.transmissionsLeft, id)
+		s.recordChange(id.kind)
 		n++
 	}
 	return n
