--- a/internal/fleet/peer/client.go
+++ b/internal/fleet/peer/client.go
@@ -12,64 +12,72 @@
 	"time"
 )
 
-// MaxConns bounds the open connections to peers. A call beyond it closes the
-// connection that was idle longest.
+// MaxConns is the maximum number of open connections to peers. A new connection
+// beyond it closes the idle one that was used least recently; connections with
+// calls in progress are not closed.
 const MaxConns = 32
 
-// Client calls other instances. Its zero value works.
+// Client calls other instances, and keeps one connection open to each of them.
+// Its zero value is ready to use.
 type Client struct {
-	// Bytes counts what is sent and received; nil counts nothing.
+	// Bytes counts the bytes sent and received; nil counts nothing.
 	Bytes *Counter
-	// TLS is how calls are secured; nil calls in plain text.
+	// TLS configures the connections; nil connects in plain text.
 	TLS *tls.Config
 
 	mu    sync.Mutex
 	conns map[string]*conn
-	turn  uint64
+	// useCount numbers the uses of connections, to find the least recent one.
+	useCount uint64
 }
 
+// conn is a connection to one address.
 type conn struct {
-	rpc  *rpc.Client
-	used uint64
+	rpc *rpc.Client
+	// lastUse is the value of Client.useCount at the last use.
+	lastUse uint64
+	// busy is the number of calls in progress.
 	busy int
-	// given says that this side closed the connection: its calls may have been
-	// sent.
-	given atomic.Bool
+	// closedLocally is set when this side closes the connection: calls that then
+	// fail may have been sent.
+	closedLocally atomic.Bool
 }
 
-// errGone means that a call was not sent, as the other end of its connection is
-// gone.
-var errGone = errors.New("the connection is gone")
+// errPeerClosed means that a call was not sent because the peer had closed its
+// connection.
+var errPeerClosed = errors.New("the peer closed the connection before the call was sent")
 
-// Call calls method at address and waits for its reply until ctx ends. A
-// connection that was open and whose other end is gone, as after a restart, is
-// replaced: such a call was not sent.
+// Call calls method at address and waits for its reply until ctx ends. If the
+// peer has closed the open connection to it, for example in a restart, the call
+// was not sent, and is made again over a new connection.
 func (c *Client) Call(ctx context.Context, address, method string, args, reply any) error {
 	err := c.call(ctx, address, method, args, reply)
-	if errors.Is(err, errGone) {
+	if errors.Is(err, errPeerClosed) {
 		err = c.call(ctx, address, method, args, reply)
 	}
 	return err
 }
 
+// call makes one attempt at a call. It returns errPeerClosed if the call was not
+// sent because the peer had closed the connection.
 func (c *Client) call(ctx context.Context, address, method string, args, reply any) error {
-	cn, err := c.get(ctx, address)
+	cn, err := c.acquire(ctx, address)
 	if err != nil {
 		return fmt.Errorf("peer %s: %w", address, err)
 	}
 	call := cn.rpc.Go(method, args, reply, make(chan *rpc.Call, 1))
-	gone := false
+	peerClosed := false
 	select {
 	case <-call.Done:
-		gone = errors.Is(call.Error, rpc.ErrShutdown) && !cn.given.Load()
-		c.put(address, cn, call.Error)
+		peerClosed = errors.Is(call.Error, rpc.ErrShutdown) && !cn.closedLocally.Load()
+		c.release(address, cn, call.Error)
 	case <-ctx.Done():
-		c.drop(address, cn)
-		<-call.Done // Close ends all pending calls, so reply is no longer written.
+		c.discard(address, cn)
+		<-call.Done // closing ended the call, so reply is no longer written to
 		return fmt.Errorf("peer %s: %s: %w", address, method, ctx.Err())
 	}
-	if gone {
-		return fmt.Errorf("peer %s: %s: %w", address, method, errGone)
+	if peerClosed {
+		return fmt.Errorf("peer %s: %s: %w", address, method, errPeerClosed)
 	}
 	if call.Error != nil {
 		return fmt.Errorf("peer %s: %s: %w", address, method, call.Error)
@@ -87,7 +95,7 @@
 	}
 }
 
-// Forget closes the connection to address unless a call uses it.
+// Forget closes the connection to address unless a call is in progress on it.
 func (c *Client) Forget(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,11 +105,13 @@
 	}
 }
 
-func (c *Client) get(ctx context.Context, address string) (*conn, error) {
+// acquire returns the connection to address, opening one if there is none, and
+// counts a call in progress on it. release and discard are its counterparts.
+func (c *Client) acquire(ctx context.Context, address string) (*conn, error) {
 	c.mu.Lock()
-	c.turn++
+	c.useCount++
 	if cn, ok := c.conns[address]; ok {
-		cn.used = c.turn
+		cn.lastUse = c.useCount
 		cn.busy++
 		c.mu.Unlock()
 		return cn, nil
@@ -130,13 +140,15 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
+// add makes cn the connection to address, and closes another one if there are
+// more than MaxConns.
 func (c *Client) add(address string, cn *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conns == nil {
 		c.conns = make(map[string]*conn)
 	}
-	cn.used = c.turn
+	cn.lastUse = c.useCount
 	if old, ok := c.conns[address]; ok && old.busy == 0 {
 		_ = old.rpc.Close()
 	}
@@ -150,7 +162,7 @@
 func (c *Client) evict() {
 	var oldest string
 	for address, cn := range c.conns {
-		if cn.busy == 0 && (oldest == "" || cn.used < c.conns[oldest].used) {
+		if cn.busy == 0 && (oldest == "" || cn.lastUse < c.conns[oldest].lastUse) {
 			oldest = address
 		}
 	}
@@ -160,25 +172,29 @@
 	}
 }
 
-func (c *Client) put(address string, cn *conn, err error) {
+// release ends a call in progress on cn. It closes cn if the call failed other
+// than by an error of the method, or if cn is no longer the connection to address
+// and no other call uses it.
+func (c *Client) release(address string, cn *conn, err error) {
 	c.mu.Lock()
 	cn.busy--
-	orphan := c.conns[address] != cn && cn.busy == 0
+	replaced := c.conns[address] != cn && cn.busy == 0
 	c.mu.Unlock()
-	if _, answered := err.(rpc.ServerError); orphan || (err != nil && !answered) {
-		c.drop(address, cn)
+	if _, answered := err.(rpc.ServerError); replaced || (err != nil && !answered) {
+		c.discard(address, cn)
 	}
 }
 
-func (c *Client) drop(address string, cn *conn) {
+// discard closes cn, and removes it if it is the connection to address.
+func (c *Client) discard(address string, cn *conn) {
 	c.mu.Lock()
 	if c.conns[address] == cn {
 		delete(c.conns, address)
 	}
 	c.mu.Unlock()
-	cn.given.Store(true)
+	cn.closedLocally.Store(true)
 	_ = cn.rpc.Close()
 }
 
-// CallTimeout is the deadline of ordinary calls between instances.
+// CallTimeout is the timeout of ordinary calls between instances.
 const CallTimeout = time.Second
--- a/internal/fleet/peer/client_test.go
+++ b/internal/fleet/peer/client_test.go
@@ -12,23 +12,23 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// An instance is cut off while another one sends it a large batch: the
-// connection's buffers fill up, and the write waits for a reader that never
-// comes. Every later call to that address waited behind it, without end; such
-// an instance took no change of the configuration any more.
-func TestCallsEndThoughAWriteIsStuck(t *testing.T) {
+// An instance becomes unreachable while another one sends it a large batch: the
+// buffers of the connection fill up and the write blocks. Without a write
+// timeout, every later call to that address waits behind it forever, and an
+// instance whose calls hang in this way gets no more configuration changes.
+func TestCallsEndWhenAWriteBlocks(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer ln.Close()
-	held := make(chan net.Conn, 8)
+	accepted := make(chan net.Conn, 8)
 	go func() {
 		for {
 			nc, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			held <- nc // never read, and never closed
+			accepted <- nc // never read, and never closed
 		}
 	}()
 	c := &Client{}
@@ -55,14 +55,15 @@
 	}
 }
 
-// An instance has started again. Its peers held connections to its earlier life,
-// and the first call over each failed: a batch that was brought to it ran at one
-// of the smallest instances instead, and its step was late.
-func TestFirstCallAfterARestartArrives(t *testing.T) {
+// An instance restarts while its peers keep connections to its earlier process.
+// If the first call over such a connection fails, a batch that is submitted to
+// the instance runs at one of the smallest instances instead, and its step is
+// late.
+func TestFirstCallAfterPeerRestartSucceeds(t *testing.T) {
 	is := is.New(t)
 	serve := func(address string) (string, *tomb.Tomb) {
 		s := &Server{}
-		is.NoErr(s.Register("Test", answering{}))
+		is.NoErr(s.Register("Test", pingReceiver{}))
 		ln, err := net.Listen("tcp", address)
 		is.NoErr(err)
 		tb := &tomb.Tomb{}
@@ -77,14 +78,14 @@
 		var reply string
 		return c.Call(ctx, address, "Test.Ping", 1, &reply)
 	}
-	address, life := serve("127.0.0.1:0")
+	address, serverTomb := serve("127.0.0.1:0")
 	is.NoErr(call(address))
-	life.Kill(nil)
-	is.NoErr(life.Wait())
-	_, life = serve(address)
-	timer.Wait(timer.Real{}, 20*time.Millisecond, nil) // the client hears of the end
+	serverTomb.Kill(nil)
+	is.NoErr(serverTomb.Wait())
+	_, serverTomb = serve(address)
+	timer.Wait(timer.Real{}, 20*time.Millisecond, nil) // the client sees the connection end
 	is.NoErr(call(address))
-	life.Kill(nil)
-	is.NoErr(life.Wait())
+	serverTomb.Kill(nil)
+	is.NoErr(serverTomb.Wait())
 	is.True(call(address) != nil) // nobody is there
 }
--- a/internal/fleet/peer/counter.go
+++ b/internal/fleet/peer/counter.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Counter counts bytes of peer connections. Its zero value works, and a nil
-// Counter counts nothing.
+// Counter counts the bytes of peer connections. Its zero value is ready to use,
+// and a nil Counter counts nothing.
 type Counter struct {
 	Sent     atomic.Int64
 	Received atomic.Int64
 }
 
-// wrap returns a connection that is counted and whose writes end.
+// wrap returns a connection that counts its bytes in c and whose writes time out.
 func (c *Counter) wrap(nc net.Conn) net.Conn {
 	return &countedConn{
 		Conn:    nc,
@@ -21,20 +21,23 @@
 	}
 }
 
-// writeTimeout bounds one write to another instance. One that is cut off reads
-// nothing: once the buffers are full a write would wait for ever, and all later
-// calls on the connection behind it.
-const writeTimeout = 500 * time.Millisecond
+// baseWriteTimeout bounds a write to another instance, in addition to the time
+// that its bytes take at minWriteRate. An unreachable instance reads nothing:
+// once the buffers are full, a write without a timeout would block forever, and
+// all later calls on the connection with it.
+const baseWriteTimeout = 500 * time.Millisecond
 
-// slowLink is the fewest bytes a second that count as progress: a whole page of
-// results may take longer than writeTimeout on the link of a small instance.
-const slowLink = 1 << 20
+// minWriteRate is the slowest rate, in bytes per second, at which a large write
+// may proceed. A whole page of results may take longer than baseWriteTimeout on
+// the link of a small instance.
+const minWriteRate = 1 << 20
 
-// timeoutOf returns how long a write of n bytes may take.
-func timeoutOf(n int) time.Duration {
-	return writeTimeout + time.Duration(n)*time.Second/slowLink
+// writeTimeoutFor returns how long a write of n bytes may take.
+func writeTimeoutFor(n int) time.Duration {
+	return baseWriteTimeout + time.Duration(n)*time.Second/minWriteRate
 }
 
+// countedConn is a net.Conn that counts bytes and bounds the time of each write.
 type countedConn struct {
 	net.Conn
 	counter *Counter
@@ -51,7 +54,7 @@
 
 // Write implements net.Conn.
 func (c *countedConn) Write(p []byte) (int, error) {
-	if err := c.Conn.SetWriteDeadline(time.Now().Add(timeoutOf(len(p)))); err != nil {
+	if err := c.Conn.SetWriteDeadline(time.Now().Add(writeTimeoutFor(len(p)))); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(p)
--- a/internal/fleet/peer/part.go
+++ b/internal/fleet/peer/part.go
@@ -25,34 +25,35 @@
 }
 
 func makePart(h *part.Host) (part.Part, error) {
-	bytes := &Counter{}
+	counter := &Counter{}
 	h.Metrics.MustRegister(
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "egretbend_peer_sent_bytes_total",
 			Help: "Bytes sent to other instances.",
-		}, func() float64 { return float64(bytes.Sent.Load()) }),
+		}, func() float64 { return float64(counter.Sent.Load()) }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "egretbend_peer_received_bytes_total",
 			Help: "Bytes received from other instances.",
-		}, func() float64 { return float64(bytes.Received.Load()) }),
+		}, func() float64 { return float64(counter.Received.Load()) }),
 	)
-	part.Put(h, bytes)
-	secured, err := security(h)
+	part.Put(h, counter)
+	tlsConfig, err := peerTLSConfig(h)
 	if err != nil {
 		return nil, err
 	}
 	part.Put(h, &Client{
-		Bytes: bytes,
-		TLS:   secured,
+		Bytes: counter,
+		TLS:   tlsConfig,
 	})
 	part.Put(h, &Server{
-		Bytes: bytes,
+		Bytes: counter,
 	})
 	return part.Idle{}, nil
 }
 
-// security returns how peers talk by the settings; nil is plain text.
-func security(h *part.Host) (*tls.Config, error) {
+// peerTLSConfig returns the TLS configuration of peer connections from the
+// settings, or nil for plain text.
+func peerTLSConfig(h *part.Host) (*tls.Config, error) {
 	s := h.Settings.Security
 	if s.PeerCertificate == "" {
 		return nil, nil
@@ -67,7 +68,8 @@
 	return certificate.Fleet(pair, s.PeerAuthority), nil
 }
 
-// listener opens the peer address after all receivers are registered.
+// listener is the part that listens on the peer address. It starts after all
+// receivers are registered.
 type listener struct {
 	address string
 	server  *Server
--- a/internal/fleet/peer/server.go
+++ b/internal/fleet/peer/server.go
@@ -9,10 +9,10 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Server answers calls of other instances. Its zero value works; receivers
-// are registered before Serve.
+// Server answers calls of other instances. Its zero value is ready to use;
+// receivers must be registered before Serve is called.
 type Server struct {
-	// Bytes counts what is sent and received; nil counts nothing.
+	// Bytes counts the bytes sent and received; nil counts nothing.
 	Bytes *Counter
 
 	rpc   rpc.Server
@@ -20,12 +20,12 @@
 	conns map[net.Conn]struct{}
 }
 
-// Register makes the methods of receiver callable as name.Method.
+// Register makes the methods of receiver callable under name.Method.
 func (s *Server) Register(name string, receiver any) error {
 	return s.rpc.RegisterName(name, receiver)
 }
 
-// Serve accepts connections on ln until t dies.
+// Serve accepts connections on ln until t dies, and then closes all of them.
 func (s *Server) Serve(t *tomb.Tomb, ln net.Listener) error {
 	t.Go(func() error {
 		<-t.Dying()
--- a/internal/fleet/peer/tls_test.go
+++ b/internal/fleet/peer/tls_test.go
@@ -23,19 +23,20 @@
 	"github.com/egretbend/egretbend/internal/kernel/certificate"
 )
 
-// authority signs certificates.
-type authority struct {
+// testAuthority is a certificate authority.
+type testAuthority struct {
 	file string
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func write(t *testing.T, file, kind string, der []byte) {
+// writePEM writes one PEM block to a file.
+func writePEM(t *testing.T, file, kind string, der []byte) {
 	t.Helper()
 	is.New(t).NoErr(os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
 }
 
-func newAuthority(t *testing.T, file string) *authority {
+func newAuthority(t *testing.T, file string) *testAuthority {
 	t.Helper()
 	is := is.New(t)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -52,16 +53,16 @@
 	is.NoErr(err)
 	cert, err := x509.ParseCertificate(der)
 	is.NoErr(err)
-	write(t, file, "CERTIFICATE", der)
-	return &authority{
+	writePEM(t, file, "CERTIFICATE", der)
+	return &testAuthority{
 		file: file,
 		cert: cert,
 		key:  key,
 	}
 }
 
-// issue writes a certificate of the authority that is good until a time.
-func (a *authority) issue(t *testing.T, name string, until time.Time) *certificate.Pair {
+// issue writes a certificate signed by the authority that expires at until.
+func (a *testAuthority) issue(t *testing.T, name string, until time.Time) *certificate.Pair {
 	t.Helper()
 	is := is.New(t)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -80,30 +81,31 @@
 		Certificate: filepath.Join(filepath.Dir(a.file), name+".pem"),
 		PrivateKey:  filepath.Join(filepath.Dir(a.file), name+".key"),
 	}
-	write(t, pair.PrivateKey, "EC PRIVATE KEY", raw)
-	write(t, pair.Certificate, "CERTIFICATE", der)
-	is.NoErr(os.Chtimes(pair.Certificate, until, until)) // each issue has its own time
+	writePEM(t, pair.PrivateKey, "EC PRIVATE KEY", raw)
+	writePEM(t, pair.Certificate, "CERTIFICATE", der)
+	is.NoErr(os.Chtimes(pair.Certificate, until, until)) // a renewed file has another modification time
 	return pair
 }
 
-// answering is a receiver that answers.
-type answering struct{}
+// pingReceiver is an RPC receiver with one method.
+type pingReceiver struct{}
 
-// Ping answers.
-func (answering) Ping(_ int, reply *string) error {
+// Ping replies with a fixed text.
+func (pingReceiver) Ping(_ int, reply *string) error {
 	*reply = "here"
 	return nil
 }
 
-// Instances check each other. Somebody on their network who has no certificate of
-// the fleet, or one that has run out, reads and orders nothing; a certificate that
-// is renewed in its file works from the next connection on.
-func TestPeersCheckEachOther(t *testing.T) {
+// Instances authenticate each other by certificates. A client without a
+// certificate of the fleet, or with an expired one, must not be able to make
+// calls. A certificate that is renewed in its file must be used from the next
+// connection on.
+func TestPeersAuthenticateEachOther(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	ca := newAuthority(t, filepath.Join(folder, "ca.pem"))
 	server := &Server{}
-	is.NoErr(server.Register("Test", answering{}))
+	is.NoErr(server.Register("Test", pingReceiver{}))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	var tb tomb.Tomb
@@ -122,15 +124,15 @@
 		return c.Call(ctx, ln.Addr().String(), "Test.Ping", 1, &reply)
 	}
 	expired := ca.issue(t, "client", time.Now().Add(-time.Minute))
-	member := certificate.Fleet(expired, ca.file)
-	is.True(call(member) != nil)
+	clientTLS := certificate.Fleet(expired, ca.file)
+	is.True(call(clientTLS) != nil)
 	ca.issue(t, "client", time.Now().Add(time.Hour)) // renewed in the same files
-	is.NoErr(call(member))
+	is.NoErr(call(clientTLS))
 
 	is.True(call(nil) != nil)                                      // plain text
 	is.True(call(&tls.Config{InsecureSkipVerify: true}) != nil)    // no certificate
 	other := newAuthority(t, filepath.Join(t.TempDir(), "ca.pem")) // another fleet
-	stranger := other.issue(t, "client", time.Now().Add(time.Hour))
-	is.True(call(certificate.Fleet(stranger, ca.file)) != nil)                                            // the server refuses it
+	foreign := other.issue(t, "client", time.Now().Add(time.Hour))
+	is.True(call(certificate.Fleet(foreign, ca.file)) != nil)                                             // the server refuses it
 	is.True(call(certificate.Fleet(ca.issue(t, "client", time.Now().Add(time.Hour)), other.file)) != nil) // it refuses the server
 }
