--- a/internal/fleet/lease/doc.go
+++ b/internal/fleet/lease/doc.go
@@ -1,11 +1,12 @@
-// Package lease holds one lease of the key-value service and knows, at any
-// moment, whether it may still act on it.
+// Package lease acquires and renews a lease of the key-value service, and tells
+// whether this instance may still act as its holder.
 //
 //	if number, ok := holder.Held(timer.Now()); ok {
 //		order(number) // the fencing number
 //	}
 //
-// A holder that was paused may wake up after its lease was given to another.
-// Held therefore compares with a clock that counts pauses, from the moment
-// before the lease was asked for, and gives up a margin early.
+// A holder that was paused may resume after another instance has acquired the
+// lease. Held therefore uses a clock that counts the time of pauses, measures
+// from the moment before the lease was requested, and treats the lease as ended
+// a safety margin before its expiry.
 package lease
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -14,55 +14,63 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// The times of a lease.
+// Durations of a lease and of the calls for it.
 const (
-	// TTL is the length of a lease.
+	// TTL is the time after which a lease expires unless it is renewed.
 	TTL = 6 * time.Second
-	// renewPeriod is the time between two renewals: three may fail.
+	// renewPeriod is the time between two renewals, of which three may fail.
 	renewPeriod = 1500 * time.Millisecond
-	// margin is for clocks that run at different rates and for an order that
-	// is on its way when the lease ends.
-	margin      = time.Second
+	// expiryMargin is how long before its expiry a lease is no longer used. It
+	// allows for clocks that run at different rates and for an order that is
+	// being sent when the lease expires.
+	expiryMargin = time.Second
+	// callTimeout bounds one call of the key-value service.
 	callTimeout = time.Second
 )
 
-// Holder holds one lease while it is a candidate for it.
+// Holder acquires one lease and keeps it for as long as this instance is a
+// candidate for it.
 type Holder struct {
 	Store   keyvalue.Store
 	Timer   timer.Service
 	Journal *journal.Journal
-	// Key is where the holder's name lies; Self is that name.
-	Key  string
+	// Key is the key that the name of the lease holder is stored under.
+	Key string
+	// Self is the name of this instance.
 	Self string
-	// Candidate tells whether this instance should try for the lease.
+	// Candidate reports whether this instance should try to hold the lease.
 	Candidate func() bool
 
-	mu     sync.Mutex
-	lease  uint64
-	number uint64
-	until  timer.Instant
-	last   uint64
+	mu sync.Mutex
+	// leaseID is the lease of the key-value service, or zero if none is held.
+	leaseID uint64
+	// fencingNumber is the revision of the write of Key under the lease.
+	fencingNumber uint64
+	validUntil    timer.Instant
+	// lastNumber is the last fencing number held, also after the lease ended.
+	lastNumber uint64
 }
 
-// Held returns the fencing number while the lease is held. A later holder's
-// number is always higher.
+// Held returns the fencing number and true while the lease is held at now. The
+// number of a later holder is always higher.
 func (h *Holder) Held(now timer.Instant) (uint64, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.number == 0 || now >= h.until {
+	if h.fencingNumber == 0 || now >= h.validUntil {
 		return 0, false
 	}
-	return h.number, true
+	return h.fencingNumber, true
 }
 
-// Last returns the last fencing number that this instance held, or zero.
+// Last returns the last fencing number that this instance held, or zero if it
+// never held the lease.
 func (h *Holder) Last() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.last
+	return h.lastNumber
 }
 
-// Run takes and renews the lease until t dies, and then gives it back.
+// Run acquires and renews the lease until t dies, and then releases it.
 func (h *Holder) Run(t *tomb.Tomb) error {
 	tick := h.Timer.Every(renewPeriod)
 	defer tick.Close()
@@ -71,55 +79,58 @@
 		select {
 		case <-tick.C:
 		case <-t.Dying():
-			h.giveBack()
+			h.release()
 			return nil
 		}
 	}
 }
 
-// Step renews the lease, or tries to take it.
+// Step renews the lease, or tries to acquire it. It releases the lease if this
+// instance is no longer a candidate.
 func (h *Holder) Step(ctx context.Context) {
 	h.mu.Lock()
-	lease := h.lease
+	leaseID := h.leaseID
 	h.mu.Unlock()
 	if !h.Candidate() {
-		if lease != 0 {
-			h.giveBack()
+		if leaseID != 0 {
+			h.release()
 		}
 		return
 	}
-	if lease != 0 {
-		h.renew(ctx, lease)
+	if leaseID != 0 {
+		h.renew(ctx, leaseID)
 		return
 	}
-	h.take(ctx)
+	h.acquire(ctx)
 }
 
-func (h *Holder) renew(ctx context.Context, lease uint64) {
+// renew extends the lease, or gives it up if it has ended.
+func (h *Holder) renew(ctx context.Context, leaseID uint64) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	asked := h.Timer.Now()
-	err := h.Store.KeepAlive(ctx, lease)
+	requested := h.Timer.Now()
+	err := h.Store.KeepAlive(ctx, leaseID)
 	if errors.Is(err, keyvalue.ErrLeaseGone) {
-		h.lost()
+		h.recordLoss()
 		return
 	}
 	if err != nil {
-		// The service is down or slow. The lease runs out by itself; until
-		// then nobody else can have it.
+		// The service is down or slow. The lease expires by itself; until then
+		// no other instance can acquire it.
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.lease == lease {
-		h.until = asked.Add(TTL - margin)
+	if h.leaseID == leaseID {
+		h.validUntil = requested.Add(TTL - expiryMargin)
 	}
 }
 
-// take asks for a lease and puts the holder's name under it. If the answer to
-// the put is lost, the name under this very lease is read back; the number is
+// acquire requests a lease and stores the name of this instance under it, unless
+// there is a holder. If the answer to the write is lost, the item is read back:
+// the write was done if the item is under this lease, and the fencing number is
 // then the revision of the item.
-func (h *Holder) take(ctx context.Context) {
+func (h *Holder) acquire(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 2*callTimeout)
 	defer cancel()
 	if item, err := h.Store.Get(ctx, h.Key); err == nil && item.Revision > 0 {
@@ -127,64 +138,68 @@
 	} else if err != nil && !errors.Is(err, keyvalue.ErrNotFound) {
 		return
 	}
-	asked := h.Timer.Now()
-	lease, err := h.Store.Grant(ctx, TTL)
+	requested := h.Timer.Now()
+	leaseID, err := h.Store.Grant(ctx, TTL)
 	if err != nil {
 		return
 	}
-	number, err := h.Store.Put(ctx, h.Key, []byte(h.Self), 0, lease)
+	fencingNumber, err := h.Store.Put(ctx, h.Key, []byte(h.Self), 0, leaseID)
 	if errors.Is(err, keyvalue.ErrLost) {
-		number, err = h.readBack(ctx, lease)
+		fencingNumber, err = h.confirmPut(ctx, leaseID)
 	}
 	if err != nil {
-		_ = h.Store.Revoke(ctx, lease)
+		_ = h.Store.Revoke(ctx, leaseID)
 		return
 	}
 	h.mu.Lock()
-	h.lease = lease
-	h.number = number
-	h.last = number
-	h.until = asked.Add(TTL - margin)
+	h.leaseID = leaseID
+	h.fencingNumber = fencingNumber
+	h.lastNumber = fencingNumber
+	h.validUntil = requested.Add(TTL - expiryMargin)
 	h.mu.Unlock()
 	h.Journal.Decision("lease_taken", log.Fields{
 		"key":            h.Key,
-		"fencing_number": number,
+		"fencing_number": fencingNumber,
 		"reason":         "no_holder",
 	})
 }
 
-func (h *Holder) readBack(ctx context.Context, lease uint64) (uint64, error) {
+// confirmPut returns the revision of the item at Key if it was written under
+// leaseID, and ErrConflict if it was not.
+func (h *Holder) confirmPut(ctx context.Context, leaseID uint64) (uint64, error) {
 	item, err := h.Store.Get(ctx, h.Key)
 	if err != nil {
 		return 0, err
 	}
-	if item.Lease != lease {
+	if item.Lease != leaseID {
 		return 0, keyvalue.ErrConflict
 	}
 	return item.Revision, nil
 }
 
-func (h *Holder) lost() {
+// recordLoss gives up the lease after the service reported that it has ended.
+func (h *Holder) recordLoss() {
 	h.mu.Lock()
-	number := h.number
-	h.lease, h.number = 0, 0
+	fencingNumber := h.fencingNumber
+	h.leaseID, h.fencingNumber = 0, 0
 	h.mu.Unlock()
 	h.Journal.Event("lease_lost", log.Fields{
 		"key":            h.Key,
-		"fencing_number": number,
+		"fencing_number": fencingNumber,
 	})
 }
 
-// giveBack ends the lease at once, so that the next holder need not wait.
-func (h *Holder) giveBack() {
+// release revokes the lease, so that the next holder need not wait for its
+// expiry.
+func (h *Holder) release() {
 	h.mu.Lock()
-	lease := h.lease
-	h.lease, h.number = 0, 0
+	leaseID := h.leaseID
+	h.leaseID, h.fencingNumber = 0, 0
 	h.mu.Unlock()
-	if lease == 0 {
+	if leaseID == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	_ = h.Store.Revoke(ctx, lease)
+	_ = h.Store.Revoke(ctx, leaseID)
 }
