--- a/internal/fleet/placement/doc.go
+++ b/internal/fleet/placement/doc.go
@@ -1,14 +1,19 @@
-// Package placement orders weight versions onto engines.
+// Package placement orders engines to fetch and load the newest published
+// version of their weights.
 //
-// The engines of a deployment are shared out over a fixed number of shards by
-// a hash of their names. The holder of a shard's lease compares what each
-// engine reports with the newest published version, and orders the difference
-// in two steps: fetch the weights, under the fleet's share of the weight
-// store's rate, and then switch.
+// The engines of a deployment are divided into a fixed number of shards by a
+// hash of their IDs. The holder of a shard's lease compares the version that
+// each engine reports with the newest published one. Engines that are behind get
+// two orders: to fetch the weights, within the fleet's share of the rate of the
+// weight store, and then to switch to them. Orderer runs this for all shards of
+// which this instance holds the lease, and Plan computes the orders:
 //
-//	for _, o := range placement.Plan(engines, newest, limits) { give(o) }
+//	for _, order := range placement.Plan(engines, newest, inFlight, limits) {
+//		send(order)
+//	}
 //
-// Orders name the wanted state and only go up, so one that comes twice, late
-// or from two holders is harmless. With the key-value service down, one
-// instance by rendezvous hash goes on under the last known fencing number.
+// An order names the wanted version, and wanted versions only increase, so an
+// order that arrives twice, late or from two holders does no harm. While the
+// key-value service is down, one instance, chosen by rendezvous hash, continues
+// under the last fencing number that it knows.
 package placement
--- a/internal/fleet/placement/orderer.go
+++ b/internal/fleet/placement/orderer.go
@@ -23,118 +23,136 @@
 	"github.com/egretbend/egretbend/internal/outside/roster"
 )
 
-// How orders are given.
+// Periods, timeouts and limits of orders.
 const (
-	// orderPeriod is the time between two looks for something to do when
-	// nothing was published and no order ended.
+	// orderPeriod is the time between two rounds in which nothing was published
+	// and no order ended.
 	orderPeriod = 500 * time.Millisecond
-	// looksPerSecond bounds the reports that a holder asks for while its
-	// engines have what is wanted; it looks only for those that restarted.
-	looksPerSecond = 16
-	// candidates is how many instances try for the lease of a shard, which
-	// bounds the calls to the key-value service.
-	candidates = 3
-	// fetchTimeout bounds a fetch, switchTimeout a switch.
+	// reportsPerSecond is the rate at which the holder of a shard requests
+	// reports from engines that have the wanted version. These reports only serve
+	// to find engines that restarted.
+	reportsPerSecond = 16
+	// candidatesPerShard is the number of instances that try to acquire the lease
+	// of a shard. It bounds the calls to the key-value service.
+	candidatesPerShard = 3
+	// fetchTimeout bounds an order to fetch, switchTimeout one to switch.
 	fetchTimeout  = 60 * time.Second
 	switchTimeout = 10 * time.Second
+	// reportTimeout bounds a request for a report, and a check for an outage.
 	reportTimeout = time.Second
-	// failPause is how long an engine is left alone after a failed order.
-	failPause = 500 * time.Millisecond
-	// switchShare is the share of a shard's engines that switch at once.
-	switchShare = 0.5
-	// outageGrace is how long a shard must be without a holder that this
-	// instance could be before it goes on without a lease.
+	// failureBackoff is the time after a failed order in which its engine gets no
+	// other order.
+	failureBackoff = 500 * time.Millisecond
+	// maxSwitchShare is the share of a shard's engines that may switch at once.
+	maxSwitchShare = 0.5
+	// outageGrace is how long the key-value service must have been down before
+	// this instance gives orders without a lease. All leases have expired by then.
 	outageGrace = 2 * lease.TTL
-	// askPeriod is the time between two looks whether there is an outage.
-	askPeriod = 2 * time.Second
+	// outageCheckPeriod is the minimum time between two checks for an outage.
+	outageCheckPeriod = 2 * time.Second
 )
 
-// Orderer gives the orders for the shards whose leases this instance holds.
+// Orderer gives the orders to the engines of all shards whose leases this
+// instance holds.
 type Orderer struct {
-	Store   keyvalue.Store
+	Store keyvalue.Store
+	// Holder holds the configuration in force.
 	Holder  *configuration.Holder
 	Members *member.Table
+	// Listing holds the engines.
 	Listing *listing.Book
+	// Board holds the newest published version of each deployment.
 	Board   *version.Board
 	Engine  engine.Adapter
 	Timer   timer.Service
 	Journal *journal.Journal
-	Self    string
+	// Self is the name of this instance.
+	Self string
 
-	mu       sync.Mutex
-	shards   map[string]*shard
-	answered timer.Instant
-	asked    timer.Instant
-	down     bool
-	// ended fires when an order ended.
-	ended chan struct{}
+	mu sync.Mutex
+	// shards holds the shards of all deployments by the key of their lease.
+	shards map[string]*shard
+	// lastAnswer is when the key-value service last answered a check for an
+	// outage, and lastCheck when the last check was made.
+	lastAnswer timer.Instant
+	lastCheck  timer.Instant
+	storeDown  bool
+	// orderDone receives a value after an order ended.
+	orderDone chan struct{}
 }
 
 // shard is one shard of a deployment's engines.
 type shard struct {
 	deployment string
 	index      int
-	of         int
+	// shardCount is the number of shards of the deployment.
+	shardCount int
 	lease      *lease.Holder
 
-	mu       sync.Mutex
-	underWay map[string]engine.Action
-	fence    uint64
-	// looked is what engines said last, and when.
-	looked map[string]look
+	mu sync.Mutex
+	// inFlight holds the action of the order in progress of each engine.
+	inFlight map[string]engine.Action
+	// lastFence is the highest fencing number that orders were given under.
+	lastFence uint64
+	// reports holds the last report of each engine that answered.
+	reports map[string]cachedReport
 }
 
-// look is an engine's word of a moment.
-type look struct {
+// cachedReport is the last report of an engine, and when it was requested.
+type cachedReport struct {
 	engine Engine
 	at     timer.Instant
 }
 
-func shardKey(deployment string, index int) string {
+// leaseKey returns the key of the lease of a shard.
+func leaseKey(deployment string, index int) string {
 	return fmt.Sprintf("egretbend/lease/%s/%d", deployment, index)
 }
 
-// Run gives orders until t dies: at once after a version was published or an
-// order ended, and from time to time for engines that restarted.
+// Run gives orders until t dies. It runs a round at once after a version was
+// published or an order ended, and otherwise each orderPeriod, for engines that
+// restarted.
 func (o *Orderer) Run(t *tomb.Tomb) error {
 	tick := o.Timer.Every(orderPeriod)
 	defer tick.Close()
-	o.ended = make(chan struct{}, 1)
+	o.orderDone = make(chan struct{}, 1)
 	for {
 		published := o.Board.State.Changed(gossip.KindWeights)
 		if doc := o.Holder.Current(); doc != nil {
-			o.round(t, doc.Parsed())
+			o.reconcile(t, doc.Parsed())
 		}
 		select {
 		case <-tick.C:
 		case <-published:
-		case <-o.ended:
+		case <-o.orderDone:
 		case <-t.Dying():
 			return nil
 		}
 	}
 }
 
-func (o *Orderer) round(t *tomb.Tomb, cfg *configuration.Configuration) {
+// reconcile runs one round for all shards of all model deployments.
+func (o *Orderer) reconcile(t *tomb.Tomb, cfg *configuration.Configuration) {
 	for _, d := range cfg.Deployments {
 		if d.Kind != configuration.KindModel {
 			continue
 		}
 		newest, ok := o.Board.Newest(d.Name)
 		for i := range d.Shards {
-			s := o.shard(t, d, i)
+			s := o.ensureShard(t, d, i)
 			if ok {
-				o.order(t, d, s, newest)
+				o.orderShard(t, d, s, newest)
 			}
 		}
 	}
 }
 
-// shard returns the state of a shard and starts its lease.
-func (o *Orderer) shard(t *tomb.Tomb, d configuration.Deployment, index int) *shard {
+// ensureShard returns the shard of a deployment with the given index. The first
+// call for a shard creates it and starts trying for its lease.
+func (o *Orderer) ensureShard(t *tomb.Tomb, d configuration.Deployment, index int) *shard {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	key := shardKey(d.Name, index)
+	key := leaseKey(d.Name, index)
 	if s, ok := o.shards[key]; ok {
 		return s
 	}
@@ -144,16 +162,16 @@
 	s := &shard{
 		deployment: d.Name,
 		index:      index,
-		of:         d.Shards,
-		underWay:   make(map[string]engine.Action),
-		looked:     make(map[string]look),
+		shardCount: d.Shards,
+		inFlight:   make(map[string]engine.Action),
+		reports:    make(map[string]cachedReport),
 		lease: &lease.Holder{
 			Store:     o.Store,
 			Timer:     o.Timer,
 			Journal:   o.Journal,
 			Key:       key,
 			Self:      o.Self,
-			Candidate: func() bool { return o.candidate(key, candidates) },
+			Candidate: func() bool { return o.isCandidate(key, candidatesPerShard) },
 		},
 	}
 	o.shards[key] = s
@@ -161,7 +179,9 @@
 	return s
 }
 
-func (o *Orderer) candidate(key string, n int) bool {
+// isCandidate reports whether this instance is among the n instances with the
+// highest rendezvous hash for key.
+func (o *Orderer) isCandidate(key string, n int) bool {
 	for _, m := range o.Members.View().Top(key, n) {
 		if m.ID == o.Self {
 			return true
@@ -170,100 +190,103 @@
 	return false
 }
 
-// order gives the orders of one shard if this instance may.
-func (o *Orderer) order(t *tomb.Tomb, d configuration.Deployment, s *shard, newest version.Published) {
+// orderShard plans and sends the orders for the engines of one shard, if this
+// instance may do so.
+func (o *Orderer) orderShard(t *tomb.Tomb, d configuration.Deployment, s *shard, newest version.Published) {
 	number, ok := o.mayOrder(t, s)
 	if !ok {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if number < s.fence {
+	if number < s.lastFence {
 		return
 	}
-	s.fence = number
-	engines := o.look(t, d, s, newest.Version)
+	s.lastFence = number
+	engines := o.pollEngines(t, d, s, newest.Version)
 	limits := Limits{
 		Fetches:  max(1, d.FetchesAtOnce/d.Shards),
-		Switches: max(1, int(switchShare*float64(len(engines)))),
+		Switches: max(1, int(maxSwitchShare*float64(len(engines)))),
 	}
-	for _, order := range Plan(engines, newest.Version, s.underWay, limits) {
-		s.underWay[order.Engine.ID] = order.Action
+	for _, order := range Plan(engines, newest.Version, s.inFlight, limits) {
+		s.inFlight[order.Engine.ID] = order.Action
 		t.Go(func() error {
-			o.give(t, s, order, newest, number)
+			o.sendOrder(t, s, order, newest, number)
 			return nil
 		})
 	}
 }
 
-// mayOrder returns the fencing number to order with. In an outage of the
-// key-value service no lease can be had; the first instance by rendezvous hash
-// then goes on, as orders for versions only go up and two who give the same
-// ones do no harm.
+// mayOrder returns the fencing number for the orders of a shard, and whether this
+// instance may give orders. During an outage of the key-value service no lease
+// can be acquired, and the first instance by rendezvous hash gives the orders.
+// That is safe: ordered versions only increase, and two instances that give the
+// same orders do no harm.
 func (o *Orderer) mayOrder(t *tomb.Tomb, s *shard) (uint64, bool) {
 	if number, ok := s.lease.Held(o.Timer.Now()); ok {
 		return number, true
 	}
-	key := shardKey(s.deployment, s.index)
-	if !o.candidate(key, 1) || !o.outage(t, key) {
+	key := leaseKey(s.deployment, s.index)
+	if !o.isCandidate(key, 1) || !o.storeOutage(t, key) {
 		return 0, false
 	}
-	return max(s.lease.Last(), s.fence), true
+	return max(s.lease.Last(), s.lastFence), true
 }
 
-// outage reports whether the key-value service has not answered for longer
-// than any lease lives. It asks at most once every askPeriod.
-func (o *Orderer) outage(t *tomb.Tomb, key string) bool {
+// storeOutage reports whether the key-value service has not answered for longer
+// than any lease lasts. It calls the service at most once every
+// outageCheckPeriod.
+func (o *Orderer) storeOutage(t *tomb.Tomb, key string) bool {
 	now := o.Timer.Now()
 	o.mu.Lock()
-	due := o.asked == 0 || now.Sub(o.asked) > askPeriod
+	due := o.lastCheck == 0 || now.Sub(o.lastCheck) > outageCheckPeriod
 	if due {
-		o.asked = now
+		o.lastCheck = now
 	}
-	down := o.down
+	storeDown := o.storeDown
 	o.mu.Unlock()
 	if !due {
-		return down
+		return storeDown
 	}
 	ctx, cancel := context.WithTimeout(t.Context(context.Background()), reportTimeout)
 	defer cancel()
 	_, err := o.Store.Get(ctx, key)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if err == nil || errors.Is(err, keyvalue.ErrNotFound) || o.answered == 0 {
-		o.answered = now
+	if err == nil || errors.Is(err, keyvalue.ErrNotFound) || o.lastAnswer == 0 {
+		o.lastAnswer = now
 	}
-	o.down = now.Sub(o.answered) > outageGrace
-	return o.down
+	o.storeDown = now.Sub(o.lastAnswer) > outageGrace
+	return o.storeDown
 }
 
-// look asks the shard's engines what they have. An order is given only on the
-// engine's own word of this moment; one that had the wanted version a moment
-// ago is not asked again at once.
-func (o *Orderer) look(t *tomb.Tomb, d configuration.Deployment, s *shard, wanted version.Version) []Engine {
+// pollEngines returns the engines of a shard with the versions that they report.
+// Each engine is asked for its current state before it gets an order, except
+// that one that recently reported the wanted version is not asked again yet.
+func (o *Orderer) pollEngines(t *tomb.Tomb, d configuration.Deployment, s *shard, wanted version.Version) []Engine {
 	now := o.Timer.Now()
-	var mine []roster.Instance
+	var owned []roster.Instance
 	for _, in := range o.Listing.List() {
 		if in.Group == d.Group && !in.Leaving && s.owns(in) {
-			mine = append(mine, in)
+			owned = append(owned, in)
 		}
 	}
-	rest := time.Duration(len(mine)) * time.Second / looksPerSecond
+	pollInterval := time.Duration(len(owned)) * time.Second / reportsPerSecond
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, in := range mine {
-		old, known := s.looked[in.ID]
-		quiet := known && !old.engine.Version.Less(wanted) && now.Sub(old.at) < rest
-		if s.underWay[in.ID] != "" || quiet {
+	for _, in := range owned {
+		cached, known := s.reports[in.ID]
+		upToDate := known && !cached.engine.Version.Less(wanted) && now.Sub(cached.at) < pollInterval
+		if s.inFlight[in.ID] != "" || upToDate {
 			continue
 		}
 		wg.Go(func() {
-			e, ok := o.ask(t, in)
+			e, ok := o.requestReport(t, in)
 			mu.Lock()
 			defer mu.Unlock()
-			delete(s.looked, in.ID)
+			delete(s.reports, in.ID)
 			if ok {
-				s.looked[in.ID] = look{
+				s.reports[in.ID] = cachedReport{
 					engine: e,
 					at:     now,
 				}
@@ -271,16 +294,18 @@
 		})
 	}
 	wg.Wait()
-	engines := make([]Engine, 0, len(mine))
-	for _, in := range mine {
-		if l, ok := s.looked[in.ID]; ok {
-			engines = append(engines, l.engine)
+	engines := make([]Engine, 0, len(owned))
+	for _, in := range owned {
+		if report, ok := s.reports[in.ID]; ok {
+			engines = append(engines, report.engine)
 		}
 	}
 	return engines
 }
 
-func (o *Orderer) ask(t *tomb.Tomb, in roster.Instance) (Engine, bool) {
+// requestReport returns the state that an engine reports, and false if it does
+// not answer.
+func (o *Orderer) requestReport(t *tomb.Tomb, in roster.Instance) (Engine, bool) {
 	ctx, cancel := context.WithTimeout(t.Context(context.Background()), reportTimeout)
 	defer cancel()
 	report, err := o.Engine.Report(ctx, in.Address)
@@ -292,21 +317,23 @@
 	}, err == nil
 }
 
+// owns reports whether the shard contains an engine.
 func (s *shard) owns(in roster.Instance) bool {
-	return member.Score("shard", in.ID)%uint64(s.of) == uint64(s.index)
+	return member.Score("shard", in.ID)%uint64(s.shardCount) == uint64(s.index)
 }
 
-// give gives one order and notes its end. A process that was paused just here
-// gives an order under an old number: engines that check it refuse, and for
-// the others the order names a version that some holder wanted, which the
-// next round of the new holder raises again.
-func (o *Orderer) give(t *tomb.Tomb, s *shard, order Order, p version.Published, number uint64) {
+// sendOrder sends one order, waits until it is carried out, and logs the result.
+// If this process is paused before the call, the order carries an outdated
+// fencing number. Engines that check the number reject it. Other engines follow
+// the order, which names a version that some holder wanted; the new holder's
+// next round raises the version again.
+func (o *Orderer) sendOrder(t *tomb.Tomb, s *shard, order Order, p version.Published, number uint64) {
 	defer func() {
 		s.mu.Lock()
-		delete(s.underWay, order.Engine.ID)
+		delete(s.inFlight, order.Engine.ID)
 		s.mu.Unlock()
 		select {
-		case o.ended <- struct{}{}:
+		case o.orderDone <- struct{}{}:
 		default:
 		}
 	}()
@@ -332,7 +359,7 @@
 	}
 	if err != nil {
 		o.Journal.Trouble("order_failed", err, fields)
-		timer.Wait(o.Timer, failPause, t.Dying())
+		timer.Wait(o.Timer, failureBackoff, t.Dying())
 		return
 	}
 	o.Journal.Decision("order", fields)
--- a/internal/fleet/placement/part.go
+++ b/internal/fleet/placement/part.go
@@ -20,6 +20,7 @@
 	})
 }
 
+// placementPart runs the orderer.
 type placementPart struct {
 	orderer *Orderer
 }
--- a/internal/fleet/placement/plan.go
+++ b/internal/fleet/placement/plan.go
@@ -7,16 +7,18 @@
 	"github.com/egretbend/egretbend/internal/outside/engine"
 )
 
-// Engine is what is known of one engine.
+// Engine is the last reported state of an engine.
 type Engine struct {
 	ID      string
 	Address string
+	// Version is the version that the engine runs.
 	Version version.Version
+	// Fetched is the newest version whose weights the engine has fetched.
 	Fetched version.Version
 	Busy    bool
 }
 
-// Limits bound the orders that are under way.
+// Limits bounds the number of orders in progress, by action.
 type Limits struct {
 	Fetches  int
 	Switches int
@@ -28,13 +30,13 @@
 	Action engine.Action
 }
 
-// Plan returns the orders that bring engines to the wanted version. Engines
-// that already have an order under way are left alone; the orders that are
-// under way count against the limits. An engine is never ordered to an older
-// version than it reports.
-func Plan(engines []Engine, wanted version.Version, underWay map[string]engine.Action, l Limits) []Order {
-	fetches, switches := l.Fetches, l.Switches
-	for _, action := range underWay {
+// Plan returns the next orders that bring engines to the wanted version. inFlight
+// holds the action of the order in progress of each engine, by engine ID: these
+// engines get no other order, and their orders count against the limits. An
+// engine is never ordered to an older version than it reports.
+func Plan(engines []Engine, wanted version.Version, inFlight map[string]engine.Action, limits Limits) []Order {
+	fetches, switches := limits.Fetches, limits.Switches
+	for _, action := range inFlight {
 		switch action {
 		case engine.ActionFetch:
 			fetches--
@@ -43,22 +45,22 @@
 		}
 	}
 	sorted := append([]Engine(nil), engines...)
-	// The engines that are furthest behind come first: they are the first
-	// whose samples become too old.
+	// The engines that are furthest behind come first, because their samples are
+	// the first to become too old.
 	sort.SliceStable(sorted, func(i, j int) bool { return sorted[i].Version.Less(sorted[j].Version) })
 	var orders []Order
 	for _, e := range sorted {
-		if _, ok := underWay[e.ID]; ok || !e.Version.Less(wanted) {
+		if _, ok := inFlight[e.ID]; ok || !e.Version.Less(wanted) {
 			continue
 		}
-		action, room := engine.ActionSwitch, &switches
+		action, available := engine.ActionSwitch, &switches
 		if e.Fetched.Less(wanted) {
-			action, room = engine.ActionFetch, &fetches
+			action, available = engine.ActionFetch, &fetches
 		}
-		if *room <= 0 {
+		if *available <= 0 {
 			continue
 		}
-		*room--
+		*available--
 		orders = append(orders, Order{
 			Engine: e,
 			Action: action,
--- a/internal/fleet/placement/plan_test.go
+++ b/internal/fleet/placement/plan_test.go
@@ -12,24 +12,26 @@
 	"github.com/egretbend/egretbend/internal/standin/proof"
 )
 
-// world is a few engines that carry out orders late, partway, or not at all.
-type world struct {
+// simulation is a few engines that carry out orders late, partly, or not at all.
+type simulation struct {
 	engines  []placement.Engine
-	underWay map[string]engine.Action
+	inFlight map[string]engine.Action
 	wanted   version.Version
 }
 
-func (w *world) plan() []placement.Order {
-	return placement.Plan(w.engines, w.wanted, w.underWay, placement.Limits{
+func (w *simulation) plan() []placement.Order {
+	return placement.Plan(w.engines, w.wanted, w.inFlight, placement.Limits{
 		Fetches:  2,
 		Switches: 2,
 	})
 }
 
-func (w *world) carryOut(o placement.Order, fate string) {
-	delete(w.underWay, o.Engine.ID)
+// carryOut ends an order. An outcome of "lost" means that the engine did not
+// carry it out.
+func (w *simulation) carryOut(o placement.Order, outcome string) {
+	delete(w.inFlight, o.Engine.ID)
 	for i := range w.engines {
-		if w.engines[i].ID != o.Engine.ID || fate == "lost" {
+		if w.engines[i].ID != o.Engine.ID || outcome == "lost" {
 			continue
 		}
 		switch o.Action {
@@ -41,14 +43,14 @@
 	}
 }
 
-// Swaps fail partway, engines restart with old weights, and versions are
-// published faster than they are ordered. An operator would notice an engine
-// that is sent back to older weights, or more fetches at once than the weight
-// store allows.
-func TestPlanOnlyGoesUpWithinLimits(t *testing.T) {
+// Switches fail partway, engines restart with old weights, and versions are
+// published faster than they are ordered. No engine must be ordered back to
+// older weights, and no more fetches be in progress at once than the weight store
+// allows.
+func TestPlanNeverDowngradesAndKeepsLimits(t *testing.T) {
 	proof.Check(t, func(t *rapid.T) {
-		w := &world{
-			underWay: make(map[string]engine.Action),
+		w := &simulation{
+			inFlight: make(map[string]engine.Action),
 			wanted: version.Version{
 				Epoch:  1,
 				Number: 1,
@@ -59,7 +61,7 @@
 				ID: fmt.Sprint(i),
 			})
 		}
-		var open []placement.Order
+		var pending []placement.Order
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(*rapid.T) { w.wanted.Number++ },
 			"plan": func(t *rapid.T) {
@@ -68,16 +70,16 @@
 						t.Fatalf("engine %v is ordered from %v to %v", o.Engine.ID, o.Engine.Version, w.wanted)
 					}
 					if o.Action == engine.ActionSwitch && o.Engine.Fetched.Less(w.wanted) {
-						t.Fatalf("engine %s is to switch to weights that it lacks", o.Engine.ID)
+						t.Fatalf("engine %s is ordered to switch to weights that it has not fetched", o.Engine.ID)
 					}
-					if _, ok := w.underWay[o.Engine.ID]; ok {
+					if _, ok := w.inFlight[o.Engine.ID]; ok {
 						t.Fatalf("engine %s has two orders", o.Engine.ID)
 					}
-					w.underWay[o.Engine.ID] = o.Action
-					open = append(open, o)
+					w.inFlight[o.Engine.ID] = o.Action
+					pending = append(pending, o)
 				}
 				fetches, switches := 0, 0
-				for _, a := range w.underWay {
+				for _, a := range w.inFlight {
 					if a == engine.ActionFetch {
 						fetches++
 					} else {
@@ -89,11 +91,11 @@
 				}
 			},
 			"end": func(t *rapid.T) {
-				if len(open) == 0 {
+				if len(pending) == 0 {
 					return
 				}
-				w.carryOut(open[0], rapid.SampledFrom([]string{"done", "lost"}).Draw(t, "fate"))
-				open = open[1:]
+				w.carryOut(pending[0], rapid.SampledFrom([]string{"done", "lost"}).Draw(t, "fate"))
+				pending = pending[1:]
 			},
 			"restart": func(t *rapid.T) {
 				i := rapid.IntRange(0, len(w.engines)-1).Draw(t, "engine")
@@ -101,7 +103,7 @@
 				w.engines[i].Fetched = version.Version{}
 			},
 		})
-		for _, o := range open {
+		for _, o := range pending {
 			w.carryOut(o, "lost")
 		}
 		for range 4 * len(w.engines) {
