--- a/internal/fleet/registry/doc.go
+++ b/internal/fleet/registry/doc.go
@@ -1,5 +1,8 @@
-// Package registry tells which instances there are, by keys under leases in
-// the key-value service.
+// Package registry tracks the live instances of the fleet by keys under leases
+// in the key-value service.
+//
+// Registry writes the entry of this instance, renews its lease, and follows the
+// entries of the other instances:
 //
 //	r := &registry.Registry{
 //		Space: space,
@@ -9,7 +12,7 @@
 //	t.Go(func() error { return r.Run(t) })
 //	for _, m := range r.Members() { ... }
 //
-// An instance that dies falls out of the view when its lease ends. One whose
-// lease was revoked writes itself again. While the service is away the view
-// stands still.
+// An instance that dies leaves the view when its lease expires. An instance whose
+// lease was revoked writes its entry again. While the service is unreachable the
+// view does not change.
 package registry
--- a/internal/fleet/registry/eligible_test.go
+++ b/internal/fleet/registry/eligible_test.go
@@ -7,9 +7,9 @@
 )
 
 // Instances of very different sizes share a deployment. A step of two hundred
-// streams on the smallest takes longer than it may; it runs on one of the large
-// ones, as long as that is not leaving.
-func TestSmallInstancesRunNoBatches(t *testing.T) {
+// streams would take too long on the smallest, so it must run on one of the large
+// ones that are not leaving.
+func TestAbleExcludesSmallAndLeaving(t *testing.T) {
 	is := is.New(t)
 	members := []Member{
 		{Name: "small", Cores: 0.134},
@@ -23,5 +23,5 @@
 	}
 	is.Equal(names, []string{"large", "fair"})
 	is.Equal(len(Able(members[:1])), 1)                 // the only one there is
-	is.Equal(len(Able([]Member{{Name: "unknown"}})), 1) // one that does not tell
+	is.Equal(len(Able([]Member{{Name: "unknown"}})), 1) // one that does not report its cores
 }
--- a/internal/fleet/registry/lease.go
+++ b/internal/fleet/registry/lease.go
@@ -13,115 +13,120 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// pause returns the time until the next renewal.
-func (r *Registry) pause(err error) time.Duration {
-	if err == nil && time.Duration(r.ttl.Load()) == smallTTL {
-		return smallEvery
+// renewInterval returns the time until the next renewal, after a renewal that
+// returned err.
+func (r *Registry) renewInterval(err error) time.Duration {
+	if err == nil && time.Duration(r.ttl.Load()) == smallInstanceTTL {
+		return smallInstanceRenewPeriod
 	}
-	return renewEvery
+	return renewPeriod
 }
 
-// wants returns how long this instance's lease should last.
-func (r *Registry) wants() time.Duration {
+// desiredTTL returns the TTL that the lease of this instance should have.
+func (r *Registry) desiredTTL() time.Duration {
 	if r.Synced() && !r.Able() {
-		return smallTTL
+		return smallInstanceTTL
 	}
 	return leaseTTL
 }
 
-func (r *Registry) logLease(err error) {
+// logLeaseState logs that the lease is held, or that its renewal failed by err.
+func (r *Registry) logLeaseState(err error) {
 	if err != nil {
 		r.Journal.Trouble("lease not renewed", err, log.Fields{
-			"lease": r.lease,
+			"lease": r.leaseID,
 		})
 		return
 	}
 	r.Journal.Event("lease held", log.Fields{
-		"lease": r.lease,
+		"lease": r.leaseID,
 	})
 }
 
-// renew keeps the lease, or begins another one and writes this instance under
-// it.
+// renew extends the lease, or requests a new one and writes the entry of this
+// instance under it.
 func (r *Registry) renew(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	asked := r.Timer.Now()
-	ttl := r.wants()
-	// One that became able begins a shorter lease; its key moves over to it.
-	if r.lease != 0 && ttl >= time.Duration(r.ttl.Load()) {
-		err := r.Space.KeepAlive(ctx, r.lease)
+	requested := r.Timer.Now()
+	ttl := r.desiredTTL()
+	// An instance that became eligible for batches requests a shorter lease and
+	// moves its entry to it.
+	if r.leaseID != 0 && ttl >= time.Duration(r.ttl.Load()) {
+		err := r.Space.KeepAlive(ctx, r.leaseID)
 		if err == nil {
-			r.renewed.Store(int64(asked))
+			r.renewedAt.Store(int64(requested))
 		}
 		if !errors.Is(err, keyvalue.ErrLeaseGone) {
 			return err
 		}
-		r.lease = 0
-		r.renewed.Store(0)
-		r.lapsed = true
+		r.leaseID = 0
+		r.renewedAt.Store(0)
+		r.leaseLost = true
 	}
-	lease, err := r.Space.Grant(ctx, ttl)
+	leaseID, err := r.Space.Grant(ctx, ttl)
 	if err != nil {
 		return err
 	}
-	if err := r.write(ctx, lease); err != nil {
+	if err := r.writeSelf(ctx, leaseID); err != nil {
 		return err
 	}
-	r.lease = lease
+	r.leaseID = leaseID
 	r.ttl.Store(int64(ttl))
-	r.number.Store(lease)
-	r.renewed.Store(int64(asked))
-	if r.lapsed && r.Lapsed != nil {
+	r.currentLease.Store(leaseID)
+	r.renewedAt.Store(int64(requested))
+	if r.leaseLost && r.Lapsed != nil {
 		r.Lapsed()
 	}
-	r.lapsed = false
+	r.leaseLost = false
 	return nil
 }
 
-// Held reports whether this instance's lease surely stands: nobody takes it for
-// dead.
+// Held reports whether the lease of this instance is certainly still valid, so
+// that no other instance considers this one dead.
 func (r *Registry) Held() bool {
 	_, ok := r.Lease(time.Duration(r.ttl.Load()))
 	return ok
 }
 
 // Lease returns the number of this instance's lease, and whether it was renewed
-// within a time.
+// less than within ago.
 func (r *Registry) Lease(within time.Duration) (uint64, bool) {
-	at := r.renewed.Load()
-	return r.number.Load(), at != 0 && r.Timer.Now().Sub(timer.Instant(at)) < within
+	at := r.renewedAt.Load()
+	return r.currentLease.Load(), at != 0 && r.Timer.Now().Sub(timer.Instant(at)) < within
 }
 
-// writeTries is how often a write is made that meets another one of this instance.
-const writeTries = 3
+// maxWriteTries is how many times a write of this instance's entry is attempted
+// when it conflicts with another write of the entry.
+const maxWriteTries = 3
 
-// write writes this instance under a lease, in place of what stands there now. A
-// write without an answer may be carried out seconds later; were it not bound to
-// what it replaces, it would put the key back under a lease that nobody renews, and
-// others would take this instance for dead while it goes on. What stands there is
-// known from the write before, or shows in the conflict: all instances that start
-// together would else read their keys first.
-func (r *Registry) write(ctx context.Context, lease uint64) error {
-	r.writing.Lock()
-	defer r.writing.Unlock()
+// writeSelf writes the entry of this instance under a lease, on condition that
+// the entry in the service still has the expected revision. A write without an
+// answer may be carried out seconds later. Without the condition it would then
+// put the entry back under a lease that nobody renews, and other instances would
+// consider this one dead while it runs. The expected revision is known from the
+// previous write or from a conflict; reading the entry first would cost a call
+// for each of the instances that start together.
+func (r *Registry) writeSelf(ctx context.Context, lease uint64) error {
+	r.writeMu.Lock()
+	defer r.writeMu.Unlock()
 	self := r.Self()
 	value, err := json.Marshal(self)
 	if err != nil {
 		return err
 	}
-	for range writeTries {
+	for range maxWriteTries {
 		var revision uint64
 		revision, err = r.Space.Commit(ctx, keyvalue.Transaction{
 			Expects: []keyvalue.Expect{
-				{Key: Key(self.Name), Revision: r.stored},
+				{Key: Key(self.Name), Revision: r.storedRevision},
 			},
 			Writes: []keyvalue.Write{
 				{Key: Key(self.Name), Value: value, Lease: lease},
 			},
 		})
 		if err == nil {
-			r.stored = revision
+			r.storedRevision = revision
 			return nil
 		}
 		var conflict *keyvalue.ConflictError
@@ -129,7 +134,7 @@
 			return err
 		}
 		item := conflict.Item(Key(self.Name))
-		r.stored = item.Revision
+		r.storedRevision = item.Revision
 		if item.Lease == lease && bytes.Equal(item.Value, value) {
 			return nil
 		}
--- a/internal/fleet/registry/lease_test.go
+++ b/internal/fleet/registry/lease_test.go
@@ -14,11 +14,12 @@
 )
 
 // An instance starts while the service loses answers and carries out writes late.
-// Its first write gets no answer, it writes itself under another lease, and then
-// the first write is carried out and puts its key back under the lease that nobody
-// renews. The key vanishes while the instance renews its lease and takes itself for
-// alive: others take over its batches and its duty, and engines hear two holders.
-func TestLateWriteDoesNotMoveTheKeyToADeadLease(t *testing.T) {
+// Its first write gets no answer, so it writes its entry under another lease.
+// If the first write is then carried out and puts the entry back under the lease
+// that nobody renews, the entry expires while the instance renews its lease and
+// considers itself alive. Other instances take over its batches and its duty, and
+// engines get orders from two holders.
+func TestLateWriteDoesNotMoveEntryToExpiredLease(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	clock := &timer.Manual{}
@@ -45,17 +46,18 @@
 	is.NoErr(r.renew(ctx))
 	store.Settle()
 	for range 8 {
-		clock.Advance(renewEvery)
+		clock.Advance(renewPeriod)
 		is.NoErr(r.renew(ctx))
 	}
 	is.True(r.Held())
 	_, err := store.Get(ctx, Key("a"))
-	is.NoErr(err) // whoever renews its lease is in the view
+	is.NoErr(err) // an instance that renews its lease is in the view
 }
 
-// The answer to an instance's write is lost, though the write was done. Written
-// again with the same lease it meets itself, which is no fault.
-func TestWriteThatMeetsItselfIsDone(t *testing.T) {
+// The answer to an instance's write is lost although the write was done. The
+// write is repeated under the same lease and conflicts with itself, which must not
+// be an error.
+func TestRepeatedCommitOfSameWriteSucceeds(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	clock := &timer.Manual{}
@@ -63,7 +65,7 @@
 		Timer: clock,
 	}
 	r := &Registry{
-		Space: &twice{
+		Space: &doubleCommit{
 			Space: store,
 		},
 		Timer: clock,
@@ -77,12 +79,12 @@
 	is.True(r.Held())
 }
 
-// twice carries each write out two times, as another way does after an answer that
-// was lost.
-type twice struct{ *space.Space }
+// doubleCommit is a Space that carries out each write twice, as happens when a
+// write is repeated by another route after its answer was lost.
+type doubleCommit struct{ *space.Space }
 
 // Commit implements keyvalue.Space.
-func (s *twice) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
+func (s *doubleCommit) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
 	if _, err := s.Space.Commit(ctx, tx); err != nil {
 		return 0, err
 	}
--- a/internal/fleet/registry/member.go
+++ b/internal/fleet/registry/member.go
@@ -6,49 +6,51 @@
 	"github.com/egretbend/egretbend/internal/fleet/member"
 )
 
-// Member is one instance.
+// Member is the entry of one instance.
 type Member struct {
 	Name string `json:"name"`
-	// Incarnation tells the lives of an instance apart.
+	// Incarnation identifies one process of the instance, from start to end.
 	Incarnation   string `json:"incarnation"`
 	PeerAddress   string `json:"peer_address"`
 	EntryAddress  string `json:"entry_address,omitempty"`
 	FailureDomain string `json:"failure_domain"`
 	Region        string `json:"region"`
-	// Cores is the processor share of the instance.
+	// Cores is the number of processor cores that the instance may use, which may
+	// be a fraction; zero if it does not report any.
 	Cores   float64 `json:"cores,omitempty"`
 	Leaving bool    `json:"leaving,omitempty"`
 }
 
-// ableShare is how much of the largest instance's processor share one must have
-// to count as able.
-const ableShare = 0.6
+// eligibleShare is the fraction of the largest instance's Cores that an instance
+// must have to be eligible for batches.
+const eligibleShare = 0.6
 
-// Able returns the members that are not leaving and have about the most
-// processor there is. A step of two hundred streams is seconds of work for the
-// smallest instances, longer than the step may take.
+// Able returns the members that are eligible for batches: those that are not
+// leaving and have nearly as many cores as the largest instance. A step of two
+// hundred streams takes the smallest instances seconds, longer than the step may
+// take.
 func Able(members []Member) []Member {
-	most := 0.0
+	maxCores := 0.0
 	for _, m := range members {
 		if !m.Leaving {
-			most = max(most, m.Cores)
+			maxCores = max(maxCores, m.Cores)
 		}
 	}
-	var able []Member
+	var eligible []Member
 	for _, m := range members {
-		if !m.Leaving && m.Cores >= ableShare*most {
-			able = append(able, m)
+		if !m.Leaving && m.Cores >= eligibleShare*maxCores {
+			eligible = append(eligible, m)
 		}
 	}
-	return able
+	return eligible
 }
 
-// Ranked returns the first n able members for a key by a rendezvous hash. All
-// instances with the same view come to the same ones, and few change when a member
-// comes or goes.
+// Ranked returns the n eligible members with the highest rendezvous hash for key,
+// the highest first. All instances with the same view get the same result, and
+// few keys change members when a member joins or leaves.
 func Ranked(members []Member, key string, n int) []Member {
-	able := Able(members)
-	slices.SortFunc(able, func(a, b Member) int {
+	eligible := Able(members)
+	slices.SortFunc(eligible, func(a, b Member) int {
 		x, y := member.Score(a.Name, key), member.Score(b.Name, key)
 		switch {
 		case x > y:
@@ -58,20 +60,21 @@
 		}
 		return 0
 	})
-	return able[:min(n, len(able))]
+	return eligible[:min(n, len(eligible))]
 }
 
-// Without returns the members but the one called name.
+// Without returns the members except the one called name.
 func Without(members []Member, name string) []Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Name == name })
 }
 
-// successors is how many instances hold copies of what an instance runs: with two,
-// half of all instances may be lost at once and the copies of most are left.
-const successors = 2
+// successorCount is the number of instances that hold copies of what an instance
+// runs. With two, half of all instances may be lost at once and copies of most of
+// their work remain.
+const successorCount = 2
 
-// Successors returns the instances that take over from the one called name, the first
-// one first.
+// Successors returns the instances that take over the work of the one called
+// name, in the order in which they are to do so.
 func Successors(members []Member, name string) []Member {
-	return Ranked(Without(members, name), name, successors)
+	return Ranked(Without(members, name), name, successorCount)
 }
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -20,7 +20,8 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// Prefix is where the registry's keys lie, so that one watch tells of them.
+// Prefix is the common prefix of all keys of the registry, so that one watch
+// covers them.
 const Prefix = "egretbend/fleet/"
 
 const (
@@ -29,81 +30,97 @@
 	boardPrefix    = Prefix + "board/"
 )
 
-// The times of a lease.
+// Durations of leases and of the calls for them.
 const (
-	// leaseTTL is how long after its last renewal an instance is taken for
-	// dead. Its batches are taken over then; shorter would take them from
+	// leaseTTL is how long after its last renewal an instance is considered dead
+	// and its batches are taken over. A shorter TTL would take batches from
 	// instances that are only slow.
 	leaseTTL = 2200 * time.Millisecond
-	// renewEvery leaves room for two lost renewals.
-	renewEvery = 700 * time.Millisecond
-	// smallTTL and smallEvery are for instances that run no batches and that
-	// nobody hears the service from. Their successors find out when they are
-	// lost; a renewal costs a tenth of a call, and there are hundreds of them.
-	smallTTL   = 12 * time.Second
-	smallEvery = 4 * time.Second
-	// ViewWait is how long an instance waits for the view before it writes
-	// itself: the view says which of the two it is.
+	// renewPeriod is the time between two renewals. It allows for two lost ones.
+	renewPeriod = 700 * time.Millisecond
+	// smallInstanceTTL and smallInstanceRenewPeriod are for instances that run no
+	// batches and don't relay changes from the service to other instances. Their
+	// successors detect their loss. A renewal costs a tenth of a call, and there
+	// are hundreds of these instances.
+	smallInstanceTTL         = 12 * time.Second
+	smallInstanceRenewPeriod = 4 * time.Second
+	// ViewWait is how long an instance waits for the view before it writes its
+	// entry. The view tells whether it is one of the small instances.
 	ViewWait = 500 * time.Millisecond
-	// callTimeout bounds one call of the lease.
+	// callTimeout bounds the calls of one renewal.
 	callTimeout = 900 * time.Millisecond
-	// viewSettle is how long instances are kept after an outage of the
-	// service, in which their leases may have run out.
-	viewSettle = 1500 * time.Millisecond
+	// missingKeyGrace is how long instances without an entry stay in the view
+	// after an outage of the service, in which their leases may have expired.
+	missingKeyGrace = 1500 * time.Millisecond
 )
 
-// Key returns where an instance writes itself.
+// Key returns the key of an instance's entry.
 func Key(name string) string { return instancePrefix + name }
 
-// DutyKey returns where the holder of a duty that only one instance has writes
-// its name.
+// DutyKey returns the key that stores the name of the instance that holds a
+// duty. Only one instance holds a duty at a time.
 func DutyKey(duty string) string { return dutyPrefix + duty }
 
-// BoardKey returns where something lies that all instances hear of with the view.
+// BoardKey returns the key of a value that is delivered to all instances together
+// with the view.
 func BoardKey(name string) string { return boardPrefix + name }
 
-// Registry writes this instance and follows the others.
+// Registry maintains the entry of this instance and a view of all instances.
 type Registry struct {
 	Space   keyvalue.Space
 	Timer   timer.Service
 	Journal *journal.Journal
-	// Gone is called with the names of instances that left the view, and with
-	// this one's when the view is first known; nil is not called.
+	// Gone is called with the names of instances that left the view or became
+	// suspect, and with the name of this instance when the view is first known;
+	// nil is not called.
 	Gone func(names []string)
-	// Posted is called with changes of keys made by BoardKey; nil is not called.
+	// Posted is called with changes of keys returned by BoardKey; nil is not
+	// called.
 	Posted func(changes []keyvalue.Change)
-	// Following says how the view is followed; nil follows Space itself.
+	// Following configures the mirror that follows the view, before it runs; nil
+	// leaves it following Space.
 	Following func(m *mirror.Mirror)
 	// Lapsed is called when this instance holds a lease again after it had lost
-	// one: others may have taken it for dead meanwhile. nil is not called.
+	// one: other instances may have considered it dead meanwhile. nil is not
+	// called.
 	Lapsed func()
 
-	self  atomic.Pointer[Member]
-	lease uint64
-	// writing is held while this instance writes its key; stored is the revision of
-	// that key as far as it is known.
-	writing sync.Mutex
-	stored  uint64
-	ttl     atomic.Int64
-	number  atomic.Uint64
-	renewed atomic.Int64
-	lapsed  bool
+	self atomic.Pointer[Member]
+	// leaseID is the lease of this instance's entry, or zero if none is held.
+	leaseID uint64
+	// writeMu is held while this instance writes its entry. storedRevision is the
+	// last known revision of the entry.
+	writeMu        sync.Mutex
+	storedRevision uint64
+	// ttl is the TTL of the lease.
+	ttl atomic.Int64
+	// currentLease is the last lease that the entry was written under, for readers
+	// in other goroutines.
+	currentLease atomic.Uint64
+	// renewedAt is the instant before the last successful renewal, or zero after
+	// the lease was lost.
+	renewedAt atomic.Int64
+	// leaseLost is set from the loss of a lease until a new one is held.
+	leaseLost bool
+
 	mu      sync.Mutex
 	members map[string]Member
-	// suspects are members whose keys are missing after an outage.
+	// suspects holds the members whose entries are missing after an outage.
 	suspects map[string]bool
-	duties   map[string]string
-	view     atomic.Pointer[[]Member]
-	follow   atomic.Pointer[mirror.Mirror]
+	// duties holds the name of the holder of each duty.
+	duties     map[string]string
+	view       atomic.Pointer[[]Member]
+	viewMirror atomic.Pointer[mirror.Mirror]
 }
 
-// SetSelf says who this instance is. It is called before Run.
+// SetSelf sets the entry of this instance. It must be called before Run.
 func (r *Registry) SetSelf(m Member) { r.self.Store(&m) }
 
-// Self returns this instance.
+// Self returns the entry of this instance.
 func (r *Registry) Self() Member { return *r.self.Load() }
 
-// Members returns the instances in order of their names, this one included.
+// Members returns the instances in the view in order of their names, including
+// this one.
 func (r *Registry) Members() []Member {
 	if v := r.view.Load(); v != nil {
 		return *v
@@ -121,7 +138,8 @@
 	return Member{}, false
 }
 
-// First returns the name of the first able instance.
+// First returns the name of the eligible instance whose name sorts first, or an
+// empty string if there is none.
 func (r *Registry) First() string {
 	for _, m := range Able(r.Members()) {
 		return m.Name
@@ -129,30 +147,31 @@
 	return ""
 }
 
-// Able reports whether this instance is among the able ones as far as is known.
+// Able reports whether this instance is eligible for batches, by the present view.
 func (r *Registry) Able() bool {
 	name := r.Self().Name
 	return slices.ContainsFunc(Able(r.Members()), func(m Member) bool { return m.Name == name })
 }
 
-// Duty returns the name of the instance that holds a duty, or nothing.
+// Duty returns the name of the instance that holds a duty, or an empty string.
 func (r *Registry) Duty(duty string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.duties[duty]
 }
 
-// Suspected reports whether an instance that is in the view has no key after an
-// outage of the service: it may be dead, or about to write itself again.
+// Suspected reports whether an instance that is in the view has no entry after an
+// outage of the service. It may be dead, or about to write its entry again.
 func (r *Registry) Suspected(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.suspects[name]
 }
 
-// suspect notes members whose keys are missing. Their batches may be taken over
-// if they don't answer, before the view gives them up.
-func (r *Registry) suspect(keys []string) {
+// markSuspects marks the members whose keys are missing as suspects, and passes
+// their names to Gone: their batches may be taken over if they don't answer,
+// before they leave the view.
+func (r *Registry) markSuspects(keys []string) {
 	var names []string
 	r.mu.Lock()
 	if r.suspects == nil {
@@ -176,34 +195,34 @@
 	return ok
 }
 
-// Alive reports whether a life of an instance is in the view.
+// Alive reports whether an incarnation of an instance is in the view.
 func (r *Registry) Alive(name, incarnation string) bool {
 	m, ok := r.Find(name)
 	return ok && m.Incarnation == incarnation
 }
 
-// Synced reports whether the view was read from the service.
+// Synced reports whether the view has been read from the service.
 func (r *Registry) Synced() bool {
-	m := r.follow.Load()
+	m := r.viewMirror.Load()
 	return m != nil && m.Synced()
 }
 
-// Run writes this instance and follows the others until t dies.
+// Run maintains the entry of this instance and the view until t dies.
 func (r *Registry) Run(t *tomb.Tomb) error {
-	follow := &mirror.Mirror{
+	viewMirror := &mirror.Mirror{
 		Space:   r.Space,
 		Prefix:  Prefix,
-		Take:    r.take,
+		Take:    r.applyChanges,
 		Timer:   r.Timer,
 		Journal: r.Journal,
-		Settle:  viewSettle,
-		Suspect: r.suspect,
+		Settle:  missingKeyGrace,
+		Suspect: r.markSuspects,
 	}
 	if r.Following != nil {
-		r.Following(follow)
+		r.Following(viewMirror)
 	}
-	r.follow.Store(follow)
-	t.Go(func() error { return follow.Run(t) })
+	r.viewMirror.Store(viewMirror)
+	t.Go(func() error { return viewMirror.Run(t) })
 	r.AwaitView(t, ViewWait)
 	ctx := t.Context(context.Background())
 	failing := false
@@ -211,38 +230,39 @@
 		err := r.renew(ctx)
 		if t.Alive() && (err != nil) != failing {
 			failing = err != nil
-			r.logLease(err)
+			r.logLeaseState(err)
 		}
-		timer.Wait(r.Timer, r.pause(err), t.Dying())
+		timer.Wait(r.Timer, r.renewInterval(err), t.Dying())
 	}
 	return nil
 }
 
-// AwaitView waits for the view to be read, for a time at the most.
-func (r *Registry) AwaitView(t *tomb.Tomb, most time.Duration) {
-	const look = 20 * time.Millisecond
-	timer.Until(r.Timer, look, most, t.Dying(), r.Synced)
+// AwaitView waits until the view has been read, at most for timeout.
+func (r *Registry) AwaitView(t *tomb.Tomb, timeout time.Duration) {
+	const pollPeriod = 20 * time.Millisecond
+	timer.Until(r.Timer, pollPeriod, timeout, t.Dying(), r.Synced)
 }
 
-// Leave tells all others that this instance takes no new work.
+// Leave marks this instance as leaving, so that the others give it no new work.
 func (r *Registry) Leave(ctx context.Context) error {
 	self := r.Self()
 	self.Leaving = true
 	r.self.Store(&self)
-	r.publish()
-	return r.write(ctx, r.lease)
+	r.updateView()
+	return r.writeSelf(ctx, r.leaseID)
 }
 
-// End gives the lease back, after Run has returned.
+// End revokes the lease. It must be called after Run has returned.
 func (r *Registry) End(ctx context.Context) error {
-	if r.lease == 0 {
+	if r.leaseID == 0 {
 		return nil
 	}
-	return r.Space.Revoke(ctx, r.lease)
+	return r.Space.Revoke(ctx, r.leaseID)
 }
 
-// take applies changes of the view.
-func (r *Registry) take(changes []keyvalue.Change) {
+// applyChanges applies changes of the registry's keys to the view and calls
+// Posted and Gone.
+func (r *Registry) applyChanges(changes []keyvalue.Change) {
 	r.mu.Lock()
 	var gone []string
 	if r.members == nil {
@@ -269,7 +289,7 @@
 		}
 		var m Member
 		if err := json.Unmarshal(c.Value, &m); err != nil {
-			r.Journal.Trouble("instance entry not understood", err, log.Fields{
+			r.Journal.Trouble("invalid instance entry", err, log.Fields{
 				"key": c.Key,
 			})
 			continue
@@ -283,7 +303,7 @@
 	if len(posted) == len(changes) && len(gone) == 0 {
 		return
 	}
-	r.publish()
+	r.updateView()
 	r.Journal.Event("instances", log.Fields{
 		"known":   len(r.Members()),
 		"changes": len(changes),
@@ -293,7 +313,8 @@
 	}
 }
 
-func (r *Registry) publish() {
+// updateView rebuilds the view from the members and this instance's own entry.
+func (r *Registry) updateView() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	self := r.Self()
@@ -307,20 +328,20 @@
 	r.view.Store(&list)
 }
 
-// EntryAddresses returns where callers connect, those of a failure domain
-// first, at most n. Instances that are leaving are not among them.
+// EntryAddresses returns at most n addresses that callers connect to, those in
+// the failure domain first. Leaving instances are excluded.
 func (r *Registry) EntryAddresses(domain string, n int) []string {
-	var near, far []string
+	var sameDomain, otherDomains []string
 	for _, m := range r.Members() {
 		switch {
 		case m.Leaving || m.EntryAddress == "":
 		case m.FailureDomain == domain:
-			near = append(near, m.EntryAddress)
+			sameDomain = append(sameDomain, m.EntryAddress)
 		default:
-			far = append(far, m.EntryAddress)
+			otherDomains = append(otherDomains, m.EntryAddress)
 		}
 	}
-	rand.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
-	all := append(near, far...)
+	rand.Shuffle(len(otherDomains), func(i, j int) { otherDomains[i], otherDomains[j] = otherDomains[j], otherDomains[i] })
+	all := append(sameDomain, otherDomains...)
 	return all[:min(n, len(all))]
 }
