--- a/internal/fleet/gossip/property_test.go
+++ b/internal/fleet/gossip/property_test.go
@@ -113,16 +113,16 @@
 func historyProperty(lastWins bool) func(*rapid.T) {
 	return func(t *rapid.T) {
 		w := newSimulation(t, lastWins)
-		which := rapid.IntRange(0, states-1)
+		anyState := rapid.IntRange(0, states-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"tell": func(t *rapid.T) {
-				w.add(which.Draw(t, "state"), fmt.Sprintf("u%d", rapid.IntRange(0, 200).Draw(t, "key")), gossip.Version{
+				w.add(anyState.Draw(t, "state"), fmt.Sprintf("u%d", rapid.IntRange(0, 200).Draw(t, "key")), gossip.Version{
 					Major: rapid.Uint64Range(1, 3).Draw(t, "major"),
 					Minor: rapid.Uint64Range(0, 3).Draw(t, "minor"),
 				})
 			},
 			"exchange": func(t *rapid.T) {
-				w.exchange(which.Draw(t, "from"), which.Draw(t, "to"),
+				w.exchange(anyState.Draw(t, "from"), anyState.Draw(t, "to"),
 					rapid.SampledFrom([]string{"", "answer", "second"}).Draw(t, "lost"))
 			},
 			"": func(*rapid.T) { w.checkMonotonic() },
--- a/internal/fleet/member/property_test.go
+++ b/internal/fleet/member/property_test.go
@@ -114,19 +114,19 @@
 func TestViewsConvergeAfterFailures(t *testing.T) {
 	proof.CheckN(t, 300, func(t *rapid.T) {
 		w := newSimulation(t)
-		which := rapid.IntRange(0, instances-1)
+		anyInstance := rapid.IntRange(0, instances-1)
 		t.Repeat(map[string]func(*rapid.T){
-			"exchange": func(t *rapid.T) { w.exchange(which.Draw(t, "from"), which.Draw(t, "to")) },
+			"exchange": func(t *rapid.T) { w.exchange(anyInstance.Draw(t, "from"), anyInstance.Draw(t, "to")) },
 			"tick": func(t *rapid.T) {
-				if i := which.Draw(t, "instance"); !w.frozen[i] {
+				if i := anyInstance.Draw(t, "instance"); !w.frozen[i] {
 					w.tables[i].Tick()
 				}
 			},
 			"wait":   func(*rapid.T) { w.clock.Advance(2 * time.Second) },
-			"freeze": func(t *rapid.T) { i := which.Draw(t, "instance"); w.frozen[i] = !w.frozen[i] },
+			"freeze": func(t *rapid.T) { i := anyInstance.Draw(t, "instance"); w.frozen[i] = !w.frozen[i] },
 			"cut":    func(*rapid.T) { w.partitioned = !w.partitioned },
 			"leave": func(t *rapid.T) {
-				i := which.Draw(t, "instance")
+				i := anyInstance.Draw(t, "instance")
 				w.tables[i].Leave()
 				w.leaving[i] = true
 			},
--- a/internal/fleet/registry/lease.go
+++ b/internal/fleet/registry/lease.go
@@ -107,7 +107,7 @@
 // consider this one dead while it runs. The expected revision is known from the
 // previous write or from a conflict; reading the entry first would cost a call
 // for each of the instances that start together.
-func (r *Registry) writeSelf(ctx context.Context, lease uint64) error {
+func (r *Registry) writeSelf(ctx context.Context, leaseID uint64) error {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
 	self := r.Self()
@@ -122,7 +122,7 @@
 				{Key: Key(self.Name), Revision: r.storedRevision},
 			},
 			Writes: []keyvalue.Write{
-				{Key: Key(self.Name), Value: value, Lease: lease},
+				{Key: Key(self.Name), Value: value, Lease: leaseID},
 			},
 		})
 		if err == nil {
@@ -135,7 +135,7 @@
 		}
 		item := conflict.Item(Key(self.Name))
 		r.storedRevision = item.Revision
-		if item.Lease == lease && bytes.Equal(item.Value, value) {
+		if item.Lease == leaseID && bytes.Equal(item.Value, value) {
 			return nil
 		}
 	}
