--- a/internal/fleet/configuration/bench_test.go
+++ b/internal/fleet/configuration/bench_test.go
@@ -8,7 +8,8 @@
 	"github.com/egretbend/egretbend/internal/fleet/configuration"
 )
 
-// BenchmarkDecode measures what one changed document costs an instance.
+// BenchmarkDecode measures the time an instance takes to decode a changed document
+// with 50 deployments.
 func BenchmarkDecode(b *testing.B) {
 	var list []string
 	for i := range 50 {
--- a/internal/fleet/configuration/configuration.go
+++ b/internal/fleet/configuration/configuration.go
@@ -10,7 +10,7 @@
 // Format is the version of the configuration format.
 const Format = 1
 
-// Configuration is what operators decide.
+// Configuration holds everything that operators can change at run time.
 type Configuration struct {
 	Format      int          `json:"format" need:"true" min:"1" max:"1" doc:"version of this format"`
 	Team        string       `json:"team" need:"true" doc:"name of the team that runs this fleet"`
@@ -18,37 +18,39 @@
 	Callers     []Caller     `json:"callers" doc:"callers with a priority or weight of their own"`
 	Trainers    []Trainer    `json:"trainers" doc:"trainers with a weight of their own"`
 	Addresses   Addresses    `json:"addresses" doc:"what callers are told to connect to"`
-	// Organisations are those whose keys requests bear.
+	// Organisations lists the organisations whose keys requests must carry. If it
+	// is empty, requests need no key.
 	Organisations []Organisation `json:"organisations,omitempty" doc:"organisations whose keys requests must bear; without any, requests need no key"`
 }
 
-// Organisation is who requests are made for.
+// Organisation is an organisation on whose behalf requests are made, with the
+// digests of its keys.
 type Organisation struct {
 	Name       string   `json:"name" need:"true" doc:"name of the organisation"`
 	KeyDigests []string `json:"key_digests" doc:"SHA-256 digests of its keys in hexadecimal, as printed by egretbend digest"`
 	Priority   string   `json:"priority" default:"interactive" oneof:"interactive,training,background" doc:"highest priority of its requests; goes before that of a caller"`
 }
 
-// Kind says what the upstreams of a deployment are.
+// Kind is the type of a deployment's upstreams.
 type Kind string
 
-// The kinds of deployments.
+// The kinds of deployments: plain services and model engines.
 const (
 	KindService Kind = "service"
 	KindModel   Kind = "model"
 )
 
-// Weighting says which measure goes first where idle time and staleness pull
-// apart.
+// Weighting selects the measure that takes precedence when trainer idle time and
+// sample staleness conflict.
 type Weighting string
 
-// The weightings.
+// The values of Weighting.
 const (
 	WeightIdleTime  Weighting = "idle_time"
 	WeightStaleness Weighting = "staleness"
 )
 
-// Deployment is one model or service.
+// Deployment configures one model or service.
 type Deployment struct {
 	Name           string    `json:"name" need:"true" doc:"name that callers use"`
 	Kind           Kind      `json:"kind" need:"true" oneof:"service,model" doc:"whether upstreams are plain services or model engines"`
@@ -75,7 +77,7 @@
 	MaxAgeMS    int64  `json:"max_age_ms" default:"0" min:"0" doc:"most milliseconds from a sample's first token to its hand-over; 0 sets no bound"`
 }
 
-// Rounds says how steps are worked off.
+// Rounds configures how the steps of trainers are run.
 type Rounds struct {
 	Weighting      Weighting `json:"weighting" default:"idle_time" oneof:"idle_time,staleness" doc:"measure that goes first"`
 	DropAfterMS    int64     `json:"drop_after_ms" default:"0" min:"0" doc:"a step older than this is dropped and recorded, in milliseconds; 0 never drops"`
@@ -83,26 +85,27 @@
 	AtOnce         int       `json:"at_once" default:"256" min:"1" max:"100000" doc:"most samples of one session that run at the same time"`
 }
 
-// Caller is a caller with a priority or weight of its own.
+// Caller sets the priority and the weight of one caller.
 type Caller struct {
 	Name     string  `json:"name" need:"true" doc:"name that the caller sends as Egretbend-Caller"`
 	Priority string  `json:"priority" default:"interactive" oneof:"interactive,training,background" doc:"highest priority of its requests"`
 	Weight   float64 `json:"weight" default:"1" min:"0.01" max:"1000" doc:"share relative to other callers when capacity is short"`
 }
 
-// Trainer is a trainer with a weight of its own.
+// Trainer sets the weight of one trainer.
 type Trainer struct {
 	Name   string  `json:"name" need:"true" doc:"name that the trainer uses in paths"`
 	Weight float64 `json:"weight" default:"1" min:"0.01" max:"1000" doc:"share relative to other trainers of the same engines"`
 }
 
-// Addresses says what callers are told.
+// Addresses configures the answers that tell callers which instances to connect to.
 type Addresses struct {
 	Count  int   `json:"count" default:"3" min:"1" max:"16" doc:"addresses in one answer"`
 	KeepMS int64 `json:"keep_ms" default:"10000" min:"100" max:"600000" doc:"how long a caller may keep an answer, in milliseconds"`
 }
 
-// Check implements setting.Checker.
+// Check implements setting.Checker. It reports duplicate names, invalid key
+// digests and keys that several organisations share.
 func (c *Configuration) Check(string) []setting.Fault {
 	var faults []setting.Fault
 	seen := make(map[string]bool)
@@ -110,8 +113,8 @@
 		if seen[d.Name] {
 			faults = append(faults, setting.Fault{
 				Path:     fmt.Sprintf("deployments[%d].name", i),
-				Expected: "a name used once",
-				Got:      fmt.Sprintf("%q again", d.Name),
+				Expected: "a unique name",
+				Got:      fmt.Sprintf("duplicate %q", d.Name),
 				Remedy:   "rename or remove one of them",
 			})
 		}
@@ -120,18 +123,19 @@
 	return append(faults, c.checkOrganisations()...)
 }
 
-// checkOrganisations finds names and keys that stand twice, and what is no digest.
+// checkOrganisations reports duplicate names, invalid digests and keys listed more
+// than once.
 func (c *Configuration) checkOrganisations() []setting.Fault {
 	var faults []setting.Fault
 	names := make(map[string]bool)
-	holders := make(map[organisation.Digest]string)
+	owners := make(map[organisation.Digest]string)
 	for i, o := range c.Organisations {
 		path := fmt.Sprintf("organisations[%d]", i)
 		if names[o.Name] {
 			faults = append(faults, setting.Fault{
 				Path:     path + ".name",
-				Expected: "a name used once",
-				Got:      fmt.Sprintf("%q again", o.Name),
+				Expected: "a unique name",
+				Got:      fmt.Sprintf("duplicate %q", o.Name),
 				Remedy:   "rename or remove one of them",
 			})
 		}
@@ -141,18 +145,18 @@
 				Path: fmt.Sprintf("%s.key_digests[%d]", path, j),
 			}
 			digest, err := organisation.ParseDigest(text)
-			holder, taken := holders[digest]
+			owner, found := owners[digest]
 			switch {
 			case err != nil:
 				fault.Expected = "a SHA-256 digest in hexadecimal"
-				fault.Got = "something else"
+				fault.Got = "a value in another form"
 				fault.Remedy = err.Error()
-			case taken:
-				fault.Expected = "a key of one organisation"
-				fault.Got = fmt.Sprintf("one that %q holds too", holder)
-				fault.Remedy = "make another key"
+			case found:
+				fault.Expected = "a key that is listed once"
+				fault.Got = fmt.Sprintf("a key that is already listed for %q", owner)
+				fault.Remedy = "create another key"
 			default:
-				holders[digest] = o.Name
+				owners[digest] = o.Name
 				continue
 			}
 			faults = append(faults, fault)
@@ -161,7 +165,7 @@
 	return faults
 }
 
-// Directory returns what finds organisations by their keys.
+// Directory returns an index of the organisations by the digests of their keys.
 func (c *Configuration) Directory() organisation.Directory {
 	list := make([]organisation.Organisation, 0, len(c.Organisations))
 	for _, o := range c.Organisations {
@@ -169,7 +173,7 @@
 			Name: o.Name,
 		}
 		for _, text := range o.KeyDigests {
-			// What is no digest was refused by Check.
+			// Check has rejected invalid digests.
 			if digest, err := organisation.ParseDigest(text); err == nil {
 				entry.Digests = append(entry.Digests, digest)
 			}
@@ -199,7 +203,8 @@
 	return Deployment{}, false
 }
 
-// Caller returns the entry of a caller, with defaults for one without.
+// Caller returns the settings of the caller called name, or the defaults if it has
+// no entry.
 func (c *Configuration) Caller(name string) Caller {
 	for _, caller := range c.Callers {
 		if caller.Name == name {
@@ -213,7 +218,8 @@
 	}
 }
 
-// TrainerWeight returns the weight of a trainer.
+// TrainerWeight returns the weight of the trainer called name, or 1 if it has no
+// entry.
 func (c *Configuration) TrainerWeight(name string) float64 {
 	for _, t := range c.Trainers {
 		if t.Name == name {
--- a/internal/fleet/configuration/document.go
+++ b/internal/fleet/configuration/document.go
@@ -8,25 +8,26 @@
 	"github.com/egretbend/egretbend/internal/route/organisation"
 )
 
-// Key is where the document lies in the key-value service.
+// Key is the key of the document in the key-value service.
 const Key = "egretbend/configuration"
 
-// HistoryLength is how many accepted changes a document names. An operator
-// whose answer was lost finds the change there: at one change in ten seconds
-// it reaches back an hour and a half.
+// HistoryLength is the maximum number of accepted changes in a document's history.
+// An operator who got no answer looks the change up there: at one change every
+// ten seconds the history covers an hour and a half.
 const HistoryLength = 512
 
-// Change names one accepted change.
+// Change identifies one change of the configuration.
 type Change struct {
 	ID       string `json:"id"`
 	Operator string `json:"operator"`
 	Note     string `json:"note,omitempty"`
-	// Parent is the revision that the change was made from.
+	// Parent is the revision that the change is based on.
 	Parent uint64 `json:"parent"`
 }
 
-// Document is the stored object. Its revision is the key-value service's and
-// is not part of the stored value.
+// Document is the value stored at Key: the configuration and its accepted changes,
+// newest first. Revision is the key-value service's revision of the item and is
+// not part of the stored value.
 type Document struct {
 	Revision      uint64          `json:"-"`
 	History       []Change        `json:"history"`
@@ -36,30 +37,30 @@
 	organisations organisation.Directory
 }
 
-// Parsed returns the configuration.
+// Parsed returns the decoded configuration.
 func (d *Document) Parsed() *Configuration { return &d.parsed }
 
-// Organisations finds organisations by their keys.
+// Organisations returns the index of organisations by the digests of their keys.
 func (d *Document) Organisations() organisation.Directory { return d.organisations }
 
-// Encode returns the stored value.
+// Encode returns the value to store.
 func (d *Document) Encode() ([]byte, error) { return json.Marshal(d) }
 
-// Decode returns the document of a stored value.
+// Decode parses and checks a stored value.
 func Decode(value []byte, revision uint64) (*Document, error) {
 	d := &Document{}
 	if err := json.Unmarshal(value, d); err != nil {
-		return nil, fmt.Errorf("configuration revision %d: %w; put a valid configuration", revision, err)
+		return nil, fmt.Errorf("decode configuration revision %d: %w; put a valid configuration", revision, err)
 	}
 	d.Revision = revision
 	if err := setting.Decode(d.Configuration, &d.parsed); err != nil {
-		return nil, fmt.Errorf("configuration revision %d: %w", revision, err)
+		return nil, fmt.Errorf("check configuration revision %d: %w", revision, err)
 	}
 	d.organisations = d.parsed.Directory()
 	return d, nil
 }
 
-// Parse checks a configuration.
+// Parse decodes and checks a configuration.
 func Parse(data []byte) (*Configuration, error) {
 	c := &Configuration{}
 	if err := setting.Decode(data, c); err != nil {
@@ -68,7 +69,8 @@
 	return c, nil
 }
 
-// With returns the document that change makes of d. It has no revision yet.
+// With returns a document with the given configuration and with change prepended to
+// the history of d. It has no revision until it is stored.
 func (d *Document) With(change Change, configuration []byte) *Document {
 	history := append([]Change{change}, d.History...)
 	if len(history) > HistoryLength {
@@ -80,18 +82,18 @@
 	}
 }
 
-// Bare returns the document without its history, which is what instances hand
-// to each other: the history is settled against the key-value service alone,
-// and is several times as large as the configuration.
+// Bare returns a copy of the document without its history. Instances send each
+// other this copy: changes are looked up only in the key-value service, and the
+// history is several times as large as the configuration.
 func (d *Document) Bare() *Document {
 	bare := *d
 	bare.History = nil
 	return &bare
 }
 
-// Accepted looks for a change in the history and returns the revision that it
-// made. A change below another one made the revision that the other one was
-// made from.
+// Accepted returns the revision that the change with the given ID created, if the
+// history contains it. The newest change created the document's own revision; any
+// other created the parent revision of the next newer change.
 func (d *Document) Accepted(id string) (uint64, bool) {
 	for i, c := range d.History {
 		if c.ID != id {
--- a/internal/fleet/configuration/document_test.go
+++ b/internal/fleet/configuration/document_test.go
@@ -9,9 +9,9 @@
 	"github.com/egretbend/egretbend/internal/fleet/configuration"
 )
 
-// A configuration has been changed as often as its history is long. Peers that
-// passed the history on would spend most of their bytes on it.
-func TestPeersPassNoHistoryOn(t *testing.T) {
+// Guards against peers that send each other the history of the configuration: once it
+// is full, it would be most of what they transfer.
+func TestBareDocumentOmitsHistory(t *testing.T) {
 	is := is.New(t)
 	doc := &configuration.Document{}
 	for i := range configuration.HistoryLength + 10 {
@@ -20,7 +20,7 @@
 			Operator: "an",
 			Note:     "more slots for the panels",
 			Parent:   uint64(i),
-		}, text("t"))
+		}, configurationJSON("t"))
 	}
 	whole, err := doc.Encode()
 	is.NoErr(err)
--- a/internal/fleet/configuration/follow.go
+++ b/internal/fleet/configuration/follow.go
@@ -18,30 +18,32 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// How an instance follows the configuration.
+// Limits of following the configuration.
 const (
-	// watchersPerDomain is how many instances of a failure domain ask the
-	// key-value service. It doesn't grow with the fleet.
+	// watchersPerDomain is the number of instances in each failure domain that watch
+	// the key-value service. It does not grow with the fleet.
 	watchersPerDomain = 2
-	// followPeriod is how often an instance looks whether it lacks a revision
-	// that it failed to fetch when it heard of it.
-	followPeriod = 500 * time.Millisecond
-	// watchPeriod is how often an instance looks whether it is a watcher.
-	watchPeriod = time.Second
-	// joinTime is how long a new instance asks peers only. The key-value
-	// service may answer with an older revision than one that was accepted.
-	joinTime = 2 * time.Second
-	// watchTime bounds one waiting watch.
-	watchTime = 20 * time.Second
-	// noChangePause and downPause are waits before the next watch: calls are
-	// counted, and a service that answers at once would get many.
+	// fetchRetryInterval is the time between attempts to fetch a revision that gossip
+	// announced and that could not be fetched at once.
+	fetchRetryInterval = 500 * time.Millisecond
+	// watcherCheckInterval is the time between checks whether this instance is a watcher.
+	watcherCheckInterval = time.Second
+	// peersOnlyTime is how long a new instance asks only peers for its first document.
+	// The key-value service may answer with an older revision than the accepted one.
+	peersOnlyTime = 2 * time.Second
+	// watchTimeout bounds one watch call.
+	watchTimeout = 20 * time.Second
+	// noChangePause and errorPause are the pauses before the next watch after one
+	// without a change and after one that failed. The service counts calls, and
+	// without a pause one that answers at once would get many.
 	noChangePause = 100 * time.Millisecond
-	downPause     = time.Second
-	// pushCount is how many peers have a document before it counts as accepted.
+	errorPause    = time.Second
+	// pushCount is the number of peers that an accepted document is sent to before
+	// the operator gets the answer.
 	pushCount = 3
 )
 
-// Follower keeps a Holder up to date.
+// Follower keeps a Holder up to date from peers and from the key-value service.
 type Follower struct {
 	Holder  *Holder
 	Store   keyvalue.Store
@@ -52,29 +54,31 @@
 	Rand    *rand.Rand
 	Seeds   []string
 
-	trouble atomic.Uint64
+	// lastUndecodable is the last revision logged as undecodable. It prevents logging
+	// the same one again.
+	lastUndecodable atomic.Uint64
 }
 
-// FetchArgs asks a peer for a document above a revision.
+// FetchArgs asks a peer for its document if the revision is higher than Above.
 type FetchArgs struct {
 	Above uint64
 }
 
-// FetchReply carries a document, or none.
+// FetchReply holds a document; a zero revision means none.
 type FetchReply struct {
 	Revision uint64
 	Value    []byte
 }
 
-// PushArgs hands a document to a peer.
+// PushArgs holds a document that is sent to a peer.
 type PushArgs FetchReply
 
-// Receiver answers other instances.
+// Receiver serves the calls of other instances.
 type Receiver struct {
 	Holder *Holder
 }
 
-// Fetch returns the document in force if it is above what the peer has.
+// Fetch returns the document in force if its revision is higher than the caller's.
 func (r *Receiver) Fetch(args FetchArgs, reply *FetchReply) error {
 	d := r.Holder.Current()
 	if d == nil || d.Revision <= args.Above {
@@ -86,7 +90,7 @@
 	return err
 }
 
-// Push takes a document from a peer.
+// Push puts a document from a peer in force unless it is outdated.
 func (r *Receiver) Push(args PushArgs, _ *struct{}) error {
 	d, err := Decode(args.Value, args.Revision)
 	if err != nil {
@@ -96,39 +100,40 @@
 	return nil
 }
 
-// Run follows gossip until t dies.
+// Run fetches the revisions that gossip announces until t dies.
 func (f *Follower) Run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
 	started := f.Timer.Now()
-	tick := f.Timer.Every(followPeriod)
+	tick := f.Timer.Every(fetchRetryInterval)
 	defer tick.Close()
 	for {
-		told := f.Table.State.Changed(gossip.KindConfiguration)
+		changed := f.Table.State.Changed(gossip.KindConfiguration)
 		if f.Holder.Revision() == 0 {
-			f.first(ctx, f.Timer.Now().Sub(started) > joinTime)
+			f.fetchFirst(ctx, f.Timer.Now().Sub(started) > peersOnlyTime)
 		} else if f.Holder.Told() > f.Holder.Revision() {
 			f.fetchFromPeers(ctx)
 		}
 		select {
 		case <-tick.C:
-		case <-told:
+		case <-changed:
 		case <-t.Dying():
 			return nil
 		}
 	}
 }
 
-// first looks for the first document: at peers, and after a while also at the
-// key-value service.
-func (f *Follower) first(ctx context.Context, askStore bool) {
+// fetchFirst fetches the first document from peers or, if askStore is set and no peer
+// has one, from the key-value service.
+func (f *Follower) fetchFirst(ctx context.Context, askStore bool) {
 	f.fetchFromPeers(ctx)
 	if f.Holder.Revision() == 0 && askStore {
 		f.fetchFromStore(ctx)
 	}
 }
 
+// fetchFromPeers asks two random peers for a newer document.
 func (f *Follower) fetchFromPeers(ctx context.Context) {
-	for _, address := range f.peers(2) {
+	for _, address := range f.randomPeers(2) {
 		callCtx, cancel := context.WithTimeout(ctx, peer.CallTimeout)
 		var reply FetchReply
 		err := f.Client.Call(callCtx, address, "Configuration.Fetch", FetchArgs{
@@ -136,13 +141,14 @@
 		}, &reply)
 		cancel()
 		if err == nil && reply.Revision > 0 {
-			f.take(reply.Value, reply.Revision, "peer")
+			f.apply(reply.Value, reply.Revision, "peer")
 		}
 	}
 }
 
-// peers returns n random addresses of others.
-func (f *Follower) peers(n int) []string {
+// randomPeers returns up to n random addresses of other instances, or of seeds if no
+// other instance is known.
+func (f *Follower) randomPeers(n int) []string {
 	view := f.Table.View()
 	var list []string
 	for _, m := range view.Alive {
@@ -157,8 +163,8 @@
 	return list[:min(n, len(list))]
 }
 
-// Watch asks the key-value service while this instance is one of the watchers
-// of its failure domain.
+// Watch watches the key-value service while this instance is one of the watchers of
+// its failure domain and has a document. It returns when t dies.
 func (f *Follower) Watch(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
 	for ctx.Err() == nil {
@@ -166,44 +172,46 @@
 			f.watchOnce(ctx)
 			continue
 		}
-		timer.Wait(f.Timer, watchPeriod, t.Dying())
+		timer.Wait(f.Timer, watcherCheckInterval, t.Dying())
 	}
 	return nil
 }
 
+// watchOnce waits for one change and pauses if there was none.
 func (f *Follower) watchOnce(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, watchTime)
+	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	item, err := f.Store.Watch(ctx, Key, f.Holder.Revision())
 	switch {
 	case err == nil:
-		f.take(item.Value, item.Revision, "key_value")
+		f.apply(item.Value, item.Revision, "key_value")
 	case ctx.Err() != nil:
 	case errors.Is(err, keyvalue.ErrNoChange):
 		timer.Wait(f.Timer, noChangePause, ctx.Done())
 	default:
-		// The service is down or slow; a pause keeps all watchers from calling
-		// it in a tight loop while it comes back.
-		timer.Wait(f.Timer, downPause, ctx.Done())
+		// The service is down or slow. The pause keeps the watchers from calling it
+		// in a tight loop while it recovers.
+		timer.Wait(f.Timer, errorPause, ctx.Done())
 	}
 }
 
+// fetchFromStore reads the document from the key-value service.
 func (f *Follower) fetchFromStore(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	item, err := f.Store.Get(ctx, Key)
 	if err == nil {
-		f.take(item.Value, item.Revision, "key_value")
+		f.apply(item.Value, item.Revision, "key_value")
 	}
 }
 
-// take puts a document in force. One that this program can't understand stays
-// out, the last one stays in force, and the log says so: a half understood
-// configuration would be worse than yesterday's.
-func (f *Follower) take(value []byte, revision uint64, source string) {
+// apply puts a document in force. If this version of the program cannot decode it,
+// the previous document stays in force and the error is logged: applying part of a
+// configuration would be worse than keeping the old one.
+func (f *Follower) apply(value []byte, revision uint64, source string) {
 	d, err := Decode(value, revision)
 	if err != nil {
-		if f.trouble.Swap(revision) != revision {
+		if f.lastUndecodable.Swap(revision) != revision {
 			f.Journal.Trouble("configuration_not_understood", err, log.Fields{
 				"revision":       revision,
 				"in_force_still": f.Holder.Revision(),
@@ -219,9 +227,9 @@
 	}
 }
 
-// Push hands a document to a few peers in other failure domains and waits for
-// them. An accepted change is then known to survivors when this instance and
-// the key-value service fail in the next moment.
+// Push sends a document to a few peers in other failure domains and waits for their
+// answers. The accepted change then survives if this instance and the key-value
+// service fail right after it.
 func (f *Follower) Push(ctx context.Context, d *Document) {
 	value, err := d.Bare().Encode()
 	if err != nil {
--- a/internal/fleet/configuration/holder.go
+++ b/internal/fleet/configuration/holder.go
@@ -7,12 +7,12 @@
 	"github.com/egretbend/egretbend/internal/fleet/gossip"
 )
 
-// entryKey is the one key of gossip entries of kind configuration.
-const entryKey = "revision"
+// gossipKey is the only key of gossip entries of kind configuration.
+const gossipKey = "revision"
 
-// Holder keeps the document in force. Its zero value holds none.
+// Holder holds the document in force. The zero value holds none.
 type Holder struct {
-	// State hears of each new revision; nil tells nobody.
+	// State spreads each new revision by gossip. If it is nil, nothing is spread.
 	State *gossip.State
 
 	current atomic.Pointer[Document]
@@ -20,8 +20,8 @@
 	changed chan struct{}
 }
 
-// Current returns the document in force, or nil before the first one. It is
-// read on the path of a request and takes no lock.
+// Current returns the document in force, or nil before the first one. It is on the
+// path of every request and takes no lock.
 func (h *Holder) Current() *Document { return h.current.Load() }
 
 // Revision returns the revision in force, or zero.
@@ -32,9 +32,9 @@
 	return 0
 }
 
-// Take puts d in force unless the holder has the same or a newer revision.
-// The key-value service may answer with an older one after an outage; taking
-// it would undo a change that was told to an operator as accepted.
+// Take puts d in force and reports true, unless the same or a newer revision is
+// already in force. After an outage the key-value service may answer with an older
+// revision; applying it would undo a change that an operator was told is accepted.
 func (h *Holder) Take(d *Document) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -49,7 +49,7 @@
 	if h.State != nil {
 		h.State.Merge(gossip.Entry{
 			Kind: gossip.KindConfiguration,
-			Key:  entryKey,
+			Key:  gossipKey,
 			Version: gossip.Version{
 				Major: d.Revision,
 			},
@@ -58,7 +58,7 @@
 	return true
 }
 
-// Changed returns a channel that is closed at the next Take that succeeds.
+// Changed returns a channel that is closed when the next document comes into force.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -68,11 +68,11 @@
 	return h.changed
 }
 
-// Told returns the highest revision that gossip has told of.
+// Told returns the highest revision announced by gossip.
 func (h *Holder) Told() uint64 {
 	if h.State == nil {
 		return 0
 	}
-	e, _ := h.State.Find(gossip.KindConfiguration, entryKey)
+	e, _ := h.State.Find(gossip.KindConfiguration, gossipKey)
 	return e.Version.Major
 }
--- a/internal/fleet/configuration/proof_test.go
+++ b/internal/fleet/configuration/proof_test.go
@@ -16,49 +16,50 @@
 	"github.com/egretbend/egretbend/internal/standin/proof"
 )
 
-// mechanisms are what the proofs switch off, one at a time.
-type mechanisms struct {
-	trustLost bool // a lost answer is told as "not accepted"
-	goBack    bool // a holder takes whatever the service answers
+// mutations are faults that the tests inject into the code under test, one at a time.
+type mutations struct {
+	lostAsRefused bool // a lost answer is reported as "not accepted"
+	takeOlder     bool // a holder applies any revision that the service answers
 }
 
-// store is a key-value service that fails as the test says. An operation that
-// takes effect late is kept until the test lets it arrive.
+// store is a key-value service that fails as the test chooses. A delayed write is kept
+// until the test applies it.
 type store struct {
-	item  keyvalue.Item
-	older keyvalue.Item
-	rev   uint64
-	fate  string
-	late  []func()
+	item     keyvalue.Item
+	previous keyvalue.Item
+	revision uint64
+	fault    string
+	delayed  []func()
 }
 
 // Get implements keyvalue.Store.
 func (s *store) Get(context.Context, string) (keyvalue.Item, error) {
 	switch {
-	case s.fate == "down":
+	case s.fault == "down":
 		return keyvalue.Item{}, keyvalue.ErrDown
-	case s.fate == "stale" && s.older.Revision > 0:
-		return s.older, nil
+	case s.fault == "stale" && s.previous.Revision > 0:
+		return s.previous, nil
 	case s.item.Revision == 0:
 		return keyvalue.Item{}, keyvalue.ErrNotFound
 	}
 	return s.item, nil
 }
 
-// Put implements keyvalue.Store. Each fate holds for one write.
+// Put implements keyvalue.Store. A fault applies to one write, except "down" and
+// "stale", which stay.
 func (s *store) Put(_ context.Context, key string, value []byte, expect, _ uint64) (uint64, error) {
-	fate := s.fate
-	if fate != "stale" {
-		s.fate = ""
+	fault := s.fault
+	if fault != "stale" {
+		s.fault = ""
 	}
-	switch fate {
+	switch fault {
 	case "down":
-		s.fate = "down"
+		s.fault = "down"
 		return 0, keyvalue.ErrDown
 	case "lost_before":
 		return 0, keyvalue.ErrLost
 	case "late":
-		s.late = append(s.late, func() { _, _ = s.apply(key, value, expect) })
+		s.delayed = append(s.delayed, func() { _, _ = s.apply(key, value, expect) })
 		return 0, keyvalue.ErrLost
 	case "lost_after":
 		_, _ = s.apply(key, value, expect)
@@ -67,18 +68,19 @@
 	return s.apply(key, value, expect)
 }
 
+// apply carries out a write. Each one advances the revision by 3.
 func (s *store) apply(key string, value []byte, expect uint64) (uint64, error) {
 	if s.item.Revision != expect {
 		return 0, keyvalue.ErrConflict
 	}
-	s.rev += 3
-	s.older = s.item
+	s.revision += 3
+	s.previous = s.item
 	s.item = keyvalue.Item{
 		Key:      key,
 		Value:    value,
-		Revision: s.rev,
+		Revision: s.revision,
 	}
-	return s.rev, nil
+	return s.revision, nil
 }
 
 // Watch implements keyvalue.Store.
@@ -95,28 +97,28 @@
 // Revoke implements keyvalue.Store.
 func (s *store) Revoke(context.Context, uint64) error { return keyvalue.ErrDown }
 
-func text(team string) []byte {
+func configurationJSON(team string) []byte {
 	return fmt.Appendf(nil, `{"format": 1, "team": %q, "deployments": []}`, team)
 }
 
 const holders = 3
 
-// world is a few instances, operators that race, and an oracle: which changes
-// the service really took, in which order.
-type world struct {
-	t       *rapid.T
-	off     mechanisms
-	store   *store
-	holders []*configuration.Holder
-	highest []uint64
-	serial  int
-	open    []configuration.Change
-	told    map[string]string
-	history []porcupine.Operation
-	clock   int64
+// simulation runs a few instances and concurrent operators against one store, and
+// records what the operators were told in order to check it against the store.
+type simulation struct {
+	t           *rapid.T
+	mutated     mutations
+	store       *store
+	holders     []*configuration.Holder
+	highest     []uint64 // highest revision seen on each instance
+	changeCount int
+	unresolved  []configuration.Change // changes whose outcome was reported unknown
+	reported    map[string]string      // outcome reported for each change ID
+	history     []porcupine.Operation
+	clock       int64
 }
 
-func (w *world) editor(i int) *configuration.Editor {
+func (w *simulation) editor(i int) *configuration.Editor {
 	return &configuration.Editor{
 		Store:  w.store,
 		Holder: w.holders[i],
@@ -124,41 +126,42 @@
 	}
 }
 
-// put lets an operator change the configuration from a revision that it saw.
-func (w *world) put(i int, parent uint64) {
-	w.serial++
+// putChange changes the configuration through instance i, based on a revision that the
+// operator saw.
+func (w *simulation) putChange(i int, parent uint64) {
+	w.changeCount++
 	change := configuration.Change{
-		ID:       fmt.Sprintf("c%d", w.serial),
+		ID:       fmt.Sprintf("c%d", w.changeCount),
 		Operator: "an",
 		Parent:   parent,
 	}
-	// A lost answer is settled while the deadline lasts; here there is one
-	// try and no time.
+	// Put resolves a lost answer until the deadline. The cancelled context leaves it
+	// one attempt.
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	w.clock++
 	called := w.clock
-	doc, err := w.editor(i).Put(ctx, change, text(change.ID))
+	doc, err := w.editor(i).Put(ctx, change, configurationJSON(change.ID))
 	w.clock++
 	outcome := "accepted"
 	if err != nil {
 		outcome = string(problem.From(err).Kind.Outcome)
 	}
-	if w.off.trustLost && outcome == string(problem.Unknown) {
+	if w.mutated.lostAsRefused && outcome == string(problem.Unknown) {
 		outcome = string(problem.NotRun)
 	}
-	w.told[change.ID] = outcome
+	w.reported[change.ID] = outcome
 	if outcome == string(problem.Unknown) {
-		w.open = append(w.open, change)
+		w.unresolved = append(w.unresolved, change)
 	}
 	if outcome == "accepted" && doc.Revision <= parent {
-		w.t.Fatalf("change %s was accepted as revision %d, made from %d", change.ID, doc.Revision, parent)
+		w.t.Fatalf("change %s was accepted as revision %d, but is based on revision %d", change.ID, doc.Revision, parent)
 	}
-	w.note(called, change, outcome, doc)
+	w.recordAccepted(called, change, outcome, doc)
 }
 
-// note records a settled change for the check of the whole history.
-func (w *world) note(called int64, change configuration.Change, outcome string, doc *configuration.Document) {
+// recordAccepted records an accepted change for checkLinearizable.
+func (w *simulation) recordAccepted(called int64, change configuration.Change, outcome string, doc *configuration.Document) {
 	if outcome != "accepted" {
 		return
 	}
@@ -170,24 +173,24 @@
 	})
 }
 
-// find lets an operator ask what became of a change.
-func (w *world) find(pick, i int) {
-	if len(w.open) == 0 {
+// findChange asks instance i for the outcome of an unresolved change.
+func (w *simulation) findChange(pick, i int) {
+	if len(w.unresolved) == 0 {
 		return
 	}
-	change := w.open[pick%len(w.open)]
+	change := w.unresolved[pick%len(w.unresolved)]
 	_, err := w.editor(i).Find(context.Background(), change)
 	outcome := "accepted"
 	if err != nil {
 		outcome = string(problem.From(err).Kind.Outcome)
 	}
 	if outcome != string(problem.Unknown) {
-		w.told[change.ID] = outcome
+		w.reported[change.ID] = outcome
 	}
 }
 
-// follow lets an instance take what the service answers.
-func (w *world) follow(i int) {
+// readStore lets an instance apply the document that the service returns.
+func (w *simulation) readStore(i int) {
 	item, err := w.store.Get(context.Background(), configuration.Key)
 	if err != nil {
 		return
@@ -196,24 +199,25 @@
 	if err != nil {
 		w.t.Fatalf("decode: %v", err)
 	}
-	if w.off.goBack {
+	if w.mutated.takeOlder {
 		w.holders[i] = &configuration.Holder{}
 	}
 	w.holders[i].Take(doc)
 }
 
-// gossip lets an instance fetch from another.
-func (w *world) gossip(to, from int) {
+// fetchFromPeer lets an instance apply the document of another one.
+func (w *simulation) fetchFromPeer(to, from int) {
 	if d := w.holders[from].Current(); d != nil {
 		w.holders[to].Take(d)
 	}
 }
 
-// check holds what was told against what the service has.
-func (w *world) check() {
+// checkInvariants checks that no instance returned to an older revision, and that the
+// reported outcomes match the history in the store.
+func (w *simulation) checkInvariants() {
 	for i, h := range w.holders {
 		if rev := h.Revision(); rev < w.highest[i] {
-			w.t.Fatalf("instance %d went back from revision %d to %d", i, w.highest[i], rev)
+			w.t.Fatalf("instance %d returned from revision %d to %d", i, w.highest[i], rev)
 		}
 		w.highest[i] = h.Revision()
 	}
@@ -224,31 +228,34 @@
 	if err != nil {
 		w.t.Fatalf("decode: %v", err)
 	}
-	for id, told := range w.told {
+	for id, reported := range w.reported {
 		_, in := doc.Accepted(id)
-		if told == "accepted" && !in {
-			w.t.Fatalf("change %s was told accepted and is gone", id)
+		if reported == "accepted" && !in {
+			w.t.Fatalf("change %s was reported accepted, but is not in the history", id)
 		}
-		if told == string(problem.NotRun) && in {
-			w.t.Fatalf("change %s was told refused and is in force", id)
+		if reported == string(problem.NotRun) && in {
+			w.t.Fatalf("change %s was reported refused, but is in the history", id)
 		}
 	}
 }
 
-// register is the model of a compare-and-swap register.
-var register = porcupine.Model{
+// casRegister models a compare-and-swap register: a change succeeds only if its parent
+// is the current revision.
+var casRegister = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) { return state == input, output },
 }
 
-func history(off mechanisms) func(*rapid.T) {
+// simulate returns a property that runs random actions and checks the invariants after
+// each.
+func simulate(mutated mutations) func(*rapid.T) {
 	return func(t *rapid.T) {
-		w := &world{
-			t:       t,
-			off:     off,
-			store:   &store{},
-			told:    make(map[string]string),
-			highest: make([]uint64, holders),
+		w := &simulation{
+			t:        t,
+			mutated:  mutated,
+			store:    &store{},
+			reported: make(map[string]string),
+			highest:  make([]uint64, holders),
 		}
 		for range holders {
 			w.holders = append(w.holders, &configuration.Holder{})
@@ -258,60 +265,61 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
 				i := which.Draw(t, "instance")
-				w.put(i, w.holders[i].Revision())
+				w.putChange(i, w.holders[i].Revision())
 			},
 			"put_other_view": func(t *rapid.T) {
-				w.put(which.Draw(t, "instance"), w.holders[which.Draw(t, "seen_at")].Revision())
+				w.putChange(which.Draw(t, "instance"), w.holders[which.Draw(t, "seen_at")].Revision())
 			},
-			"find":   func(t *rapid.T) { w.find(pick.Draw(t, "change"), which.Draw(t, "instance")) },
-			"follow": func(t *rapid.T) { w.follow(which.Draw(t, "instance")) },
-			"gossip": func(t *rapid.T) { w.gossip(which.Draw(t, "to"), which.Draw(t, "from")) },
+			"find":   func(t *rapid.T) { w.findChange(pick.Draw(t, "change"), which.Draw(t, "instance")) },
+			"follow": func(t *rapid.T) { w.readStore(which.Draw(t, "instance")) },
+			"gossip": func(t *rapid.T) { w.fetchFromPeer(which.Draw(t, "to"), which.Draw(t, "from")) },
 			"fate": func(t *rapid.T) {
-				w.store.fate = rapid.SampledFrom([]string{"", "down", "stale", "lost_before", "lost_after", "late"}).Draw(t, "fate")
+				w.store.fault = rapid.SampledFrom([]string{"", "down", "stale", "lost_before", "lost_after", "late"}).Draw(t, "fate")
 			},
 			"arrive": func(*rapid.T) {
-				for _, f := range w.store.late {
+				for _, f := range w.store.delayed {
 					f()
 				}
-				w.store.late = nil
+				w.store.delayed = nil
 			},
-			"": func(*rapid.T) { w.check() },
+			"": func(*rapid.T) { w.checkInvariants() },
 		})
-		w.chain()
+		w.checkLinearizable()
 	}
 }
 
-// chain checks the accepted changes of the history as those of one register.
-// Changes of unknown outcome may stand between two accepted ones, so the
-// parents are looked up in the service's own history.
-func (w *world) chain() {
-	if w.off != (mechanisms{}) || len(w.open) > 0 || len(w.store.late) > 0 {
+// checkLinearizable checks that the accepted changes are a linearizable history of one
+// register. It skips runs with a change of unknown outcome, which may lie between two
+// accepted ones, and runs with a mutation or a delayed write.
+func (w *simulation) checkLinearizable() {
+	if w.mutated != (mutations{}) || len(w.unresolved) > 0 || len(w.store.delayed) > 0 {
 		return
 	}
-	if !porcupine.CheckOperations(register, w.history) {
-		w.t.Fatalf("the accepted changes are not those of one register: %v", w.history)
+	if !porcupine.CheckOperations(casRegister, w.history) {
+		w.t.Fatalf("the accepted changes are not linearizable: %v", w.history)
 	}
 }
 
-// Operators race, the key-value service is down, answers with an older
-// revision, applies a write late or loses its answer. An operator would notice
-// a change that was told accepted and is not in force, or told refused and is.
-func TestToldIsTrueAndNeverReverts(t *testing.T) {
-	proof.CheckN(t, 400, history(mechanisms{}))
+// Guards against a change that is reported accepted but is not in force, or reported
+// refused but is, and against instances that return to an older revision. Operators
+// make concurrent changes while the key-value service is down, answers with an older
+// revision, applies a write late or loses its answer.
+func TestReportedOutcomesAreTrueAndRevisionsOnlyRise(t *testing.T) {
+	proof.CheckN(t, 400, simulate(mutations{}))
 }
 
-// An editor that takes a lost answer for a refusal tells an operator that a
-// change was not made which is in force.
-func TestLostAnswerIsNoRefusal(t *testing.T) {
-	proof.Refute(t, history(mechanisms{
-		trustLost: true,
+// Checks that the invariants detect an editor that reports a lost answer as a refusal:
+// the change may be in force.
+func TestRefuteLostAnswerReportedAsRefusal(t *testing.T) {
+	proof.Refute(t, simulate(mutations{
+		lostAsRefused: true,
 	}))
 }
 
-// After an outage the service answers with an older revision. An instance that
-// takes it undoes a change that was accepted.
-func TestInstanceRevertsWithoutTheHolder(t *testing.T) {
-	proof.Refute(t, history(mechanisms{
-		goBack: true,
+// Checks that the invariants detect an instance that applies an older revision, which
+// the service may answer with after an outage, and so undoes an accepted change.
+func TestRefuteHolderThatTakesOlderRevision(t *testing.T) {
+	proof.Refute(t, simulate(mutations{
+		takeOlder: true,
 	}))
 }
