--- a/internal/fleet/confirmation/doc.go
+++ b/internal/fleet/confirmation/doc.go
@@ -1,14 +1,15 @@
-// Package confirmation knows when the configuration in force was last surely the
+// Package confirmation records when the configuration in force was last known to be the
 // newest one.
 //
-// A key that operators took away must stop working within a bound on every
-// instance, also on one that is cut off, was paused, or reads an old copy. So an
-// instance serves what needs a key only while its configuration was confirmed a
+// A key that operators revoked must stop working within a bounded time on every
+// instance, also on one that is partitioned, was suspended, or reads a stale copy. So
+// an instance serves requests that need a key only if its configuration was confirmed a
 // short time ago:
 //
 //	age, ok := record.Age(clock.Now())
 //
-// The moment of a confirmation is the start of the call that gave it, on a clock
-// that counts suspended time. It comes from a call of the key-value service, or
-// from another instance that tells how long before the question it was confirmed.
+// The instant of a confirmation is the start of the call that gave it, on a clock that
+// includes suspended time. A Keeper confirms by a call to the key-value service, or
+// accepts the confirmation of another instance, which states how long before the
+// question it was confirmed.
 package confirmation
--- a/internal/fleet/confirmation/keeper.go
+++ b/internal/fleet/confirmation/keeper.go
@@ -14,157 +14,165 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// The times of confirmations.
+// Timing of confirmations.
 const (
-	// checkEvery is how often a keeper checks the age of its confirmation.
-	checkEvery = 500 * time.Millisecond
-	// firstEvery is how often it checks before its first one. All requests with keys are
-	// refused until then.
-	firstEvery = 150 * time.Millisecond
-	// sourceAge is the age at which an instance that relays confirmations asks again.
-	sourceAge = 1200 * time.Millisecond
-	// followerAge is the age at which any other one asks by itself: what it is
-	// relayed is about two seconds old at most.
-	followerAge = 2500 * time.Millisecond
-	// firstAge is how long after its start an instance waits for that of another
-	// one before it asks by itself. All instances may start at the same moment.
-	firstAge = time.Second
-	// askTimeout bounds one confirmation.
-	askTimeout = time.Second
-	// pauseFirst and pauseMost bound the pause of a follower after a confirmation
-	// that failed. While the service is away each call counts all the same.
-	pauseFirst = time.Second
-	pauseMost  = 4 * time.Second
-	// refreshEvery is how often a request with an unknown key may cause a
-	// confirmation. Without it a flood of such keys would flood the service.
-	refreshEvery = 2 * time.Second
-	// refreshTimeout bounds the wait of such a request.
+	// checkInterval is the time between checks of the age of the confirmation.
+	checkInterval = 500 * time.Millisecond
+	// startupCheckInterval is the time between checks before the first confirmation.
+	// Until then all requests with keys are refused.
+	startupCheckInterval = 150 * time.Millisecond
+	// relayConfirmAge is the age of its confirmation at which an instance that relays
+	// confirmations confirms again.
+	relayConfirmAge = 1200 * time.Millisecond
+	// followerConfirmAge is the age at which any other instance confirms by itself. The
+	// confirmations that are relayed to it are about two seconds old at most.
+	followerConfirmAge = 2500 * time.Millisecond
+	// firstConfirmDelay is how long a starting instance waits for a relayed
+	// confirmation before it confirms by itself, as all instances may start at the same
+	// moment.
+	firstConfirmDelay = time.Second
+	// confirmTimeout bounds one confirmation.
+	confirmTimeout = time.Second
+	// minBackoff and maxBackoff bound the pause of a follower after a failed
+	// confirmation. Calls are counted even while the service is down.
+	minBackoff = time.Second
+	maxBackoff = 4 * time.Second
+	// minRefreshInterval is the minimum time between confirmations caused by requests
+	// with unknown keys. Without it a flood of such requests would flood the key-value
+	// service.
+	minRefreshInterval = 2 * time.Second
+	// refreshTimeout bounds the time that such a request waits.
 	refreshTimeout = 300 * time.Millisecond
 )
 
-// Source answers at once with what changed.
+// Source reads from the key-value service without waiting for changes.
 type Source interface {
-	// Changes returns the changes of a prefix after a revision, and the revision up
-	// to which they are all.
+	// Changes returns the changes below prefix after a revision, and the revision up to
+	// which they are complete.
 	Changes(ctx context.Context, prefix string, after uint64) ([]keyvalue.Change, uint64, error)
 	Get(ctx context.Context, key string) (keyvalue.Item, error)
 }
 
-// Keeper keeps the configuration confirmed.
+// Keeper keeps a Record up to date: it confirms regularly that the configuration in
+// force is the newest one.
 type Keeper struct {
 	Record *Record
 	Source Source
-	// Key is where the configuration lies.
+	// Key is the key of the configuration in the key-value service.
 	Key string
 	// Held returns the revision of the configuration in force.
 	Held func() uint64
-	// Take puts a newer configuration in force.
+	// Take puts newer configurations in force.
 	Take func([]keyvalue.Change)
 	// Needed reports whether anything depends on confirmations.
 	Needed func() bool
-	// Relays reports whether other instances get confirmations from this one.
+	// Relays reports whether other instances get their confirmations from this one.
 	Relays func() bool
-	// Confirmed is called for each confirmation with the revision that it is about; nil
-	// is not called.
+	// Confirmed is called after each confirmation with its instant and the confirmed
+	// revision. It may be nil.
 	Confirmed func(at timer.Instant, revision uint64)
 	Timer     timer.Service
 	Journal   *journal.Journal
 
-	// asking is held during a confirmation.
-	asking sync.Mutex
-	after  uint64
+	// confirming is held during a confirmation. It guards checkedRevision, the revision
+	// up to which changes have been read.
+	confirming      sync.Mutex
+	checkedRevision uint64
 
-	// begun is when a configuration was first held.
-	begun timer.Instant
+	// heldSince is when Run first found a configuration that has to be confirmed.
+	heldSince timer.Instant
 
-	mu        sync.Mutex
-	refreshed timer.Instant
-	stale     bool
+	mu sync.Mutex
+	// lastRefresh is when Refresh last started a confirmation.
+	lastRefresh timer.Instant
+	// failing is whether the last confirmation failed.
+	failing bool
 }
 
 // Run keeps the configuration confirmed until t dies.
 func (k *Keeper) Run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
-	var r rests
-	for timer.Wait(k.Timer, k.pause(), t.Dying()) {
+	var b backoff
+	for timer.Wait(k.Timer, k.checkDelay(), t.Dying()) {
 		now := k.Timer.Now()
-		if k.due(now) && now >= r.until {
+		if k.due(now) && now >= b.until {
 			err := k.Confirm(ctx)
-			r = r.after(err, k.Timer.Now(), k.Relays())
+			b = b.next(err, k.Timer.Now(), k.Relays())
 		}
 	}
 	return nil
 }
 
-// pause returns how soon to check again: soon until the first confirmation, if there is
-// to be one.
-func (k *Keeper) pause() time.Duration {
+// checkDelay returns the time until the next check. It is short before the first
+// confirmation if one is or may become needed.
+func (k *Keeper) checkDelay() time.Duration {
 	_, confirmed := k.Record.Age(k.Timer.Now())
 	if !confirmed && (k.Held() == 0 || k.Needed()) {
-		return firstEvery
+		return startupCheckInterval
 	}
-	return checkEvery
+	return checkInterval
 }
 
-// rests is the pause after confirmations that failed. Its zero value is none.
-type rests struct {
-	pause time.Duration
+// backoff is the pause after failed confirmations. The zero value is no pause.
+type backoff struct {
+	delay time.Duration
 	until timer.Instant
 }
 
-// after returns the pause after a confirmation. One that relays them goes on asking: all
-// others learn from it that the service is back.
-func (r rests) after(err error, now timer.Instant, relays bool) rests {
+// next returns the pause after a confirmation with the result err. An instance that
+// relays confirmations does not pause: the others learn from it that the service is
+// back.
+func (r backoff) next(err error, now timer.Instant, relays bool) backoff {
 	if err == nil || relays {
-		return rests{}
+		return backoff{}
 	}
-	pause := min(max(pauseFirst, 2*r.pause), pauseMost)
-	return rests{
-		pause: pause,
-		until: now.Add(pause),
+	delay := min(max(minBackoff, 2*r.delay), maxBackoff)
+	return backoff{
+		delay: delay,
+		until: now.Add(delay),
 	}
 }
 
-// due reports whether it is time for a confirmation of this instance's own.
+// due reports whether this instance should confirm by itself now.
 func (k *Keeper) due(now timer.Instant) bool {
 	if !k.Needed() || k.Held() == 0 {
 		return false
 	}
-	if k.begun == 0 {
-		k.begun = now
+	if k.heldSince == 0 {
+		k.heldSince = now
 	}
 	age, ok := k.Record.Age(now)
 	switch {
 	case !ok && !k.Relays():
-		return now.Sub(k.begun) >= firstAge
+		return now.Sub(k.heldSince) >= firstConfirmDelay
 	case !ok:
 		return true
 	case k.Relays():
-		return age >= sourceAge
+		return age >= relayConfirmAge
 	}
-	return age >= followerAge
+	return age >= followerConfirmAge
 }
 
-// Confirm asks the key-value service now.
+// Confirm confirms the configuration with the key-value service now.
 func (k *Keeper) Confirm(ctx context.Context) error {
-	k.asking.Lock()
-	defer k.asking.Unlock()
-	err := k.confirm(ctx)
-	k.note(err)
+	k.confirming.Lock()
+	defer k.confirming.Unlock()
+	err := k.confirmLocked(ctx)
+	k.logTransition(err)
 	return err
 }
 
-// confirm asks what changed since the configuration in force. The moment that
-// counts is the start of the call: what the answer says was true then or later.
-// The lock asking is held.
-func (k *Keeper) confirm(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// confirmLocked reads the changes since the configuration in force and applies them.
+// The confirmation counts from the start of the call, as the answer describes that
+// instant or a later one. The caller holds confirming.
+func (k *Keeper) confirmLocked(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	k.after = max(k.after, k.Held())
-	began := k.Timer.Now()
-	changes, after, err := k.Source.Changes(ctx, k.Key, k.after)
+	k.checkedRevision = max(k.checkedRevision, k.Held())
+	started := k.Timer.Now()
+	changes, checkedRevision, err := k.Source.Changes(ctx, k.Key, k.checkedRevision)
 	if errors.Is(err, keyvalue.ErrCompacted) {
-		changes, after, err = k.whole(ctx)
+		changes, checkedRevision, err = k.readCurrent(ctx)
 	}
 	if err != nil {
 		return err
@@ -174,22 +182,23 @@
 	}
 	for _, c := range changes {
 		if c.Key == k.Key && !c.Removed && c.Revision > k.Held() {
-			// What can't be put in force must not be taken for current.
-			return errNotTaken
+			// A configuration that could not be put in force must not count as current.
+			return errNotApplied
 		}
 	}
-	k.after = max(k.after, after)
-	k.Record.Confirm(began)
+	k.checkedRevision = max(k.checkedRevision, checkedRevision)
+	k.Record.Confirm(started)
 	if k.Confirmed != nil {
-		k.Confirmed(began, k.Held())
+		k.Confirmed(started, k.Held())
 	}
 	return nil
 }
 
-var errNotTaken = errors.New("the newest configuration is not in force here; look for why in the log")
+var errNotApplied = errors.New("the newest configuration could not be put in force; the log shows the cause")
 
-// whole reads the configuration when the service has forgotten what changed.
-func (k *Keeper) whole(ctx context.Context) ([]keyvalue.Change, uint64, error) {
+// readCurrent reads the configuration itself when the service no longer has the
+// changes.
+func (k *Keeper) readCurrent(ctx context.Context) ([]keyvalue.Change, uint64, error) {
 	item, err := k.Source.Get(ctx, k.Key)
 	if err != nil {
 		return nil, 0, err
@@ -197,40 +206,40 @@
 	return []keyvalue.Change{{Item: item}}, item.Revision, nil
 }
 
-// Refresh confirms the configuration for a request whose key is not known, unless
-// that was done a moment ago.
+// Refresh confirms the configuration for a request with an unknown key, unless a
+// Refresh did so within minRefreshInterval or a confirmation is in progress.
 func (k *Keeper) Refresh(ctx context.Context) {
 	now := k.Timer.Now()
 	k.mu.Lock()
-	early := k.refreshed != 0 && now.Sub(k.refreshed) < refreshEvery
-	if !early {
-		k.refreshed = now
+	recent := k.lastRefresh != 0 && now.Sub(k.lastRefresh) < minRefreshInterval
+	if !recent {
+		k.lastRefresh = now
 	}
 	k.mu.Unlock()
-	if early || !k.asking.TryLock() {
+	if recent || !k.confirming.TryLock() {
 		return
 	}
-	defer k.asking.Unlock()
+	defer k.confirming.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
-	k.note(k.confirm(ctx))
+	k.logTransition(k.confirmLocked(ctx))
 }
 
-// Accept takes the confirmation of another instance that the configuration of a revision
-// was current at an instant.
+// Accept records the confirmation of another instance that a revision was current at an
+// instant. It is ignored if the configuration in force is older than that revision.
 func (k *Keeper) Accept(at timer.Instant, revision uint64) {
 	if k.Held() >= revision {
 		k.Record.Confirm(at)
 	}
 }
 
-// note logs when confirmations begin to fail and when they come again.
-func (k *Keeper) note(err error) {
+// logTransition logs when confirmations start to fail and when they succeed again.
+func (k *Keeper) logTransition(err error) {
 	k.mu.Lock()
-	was := k.stale
-	k.stale = err != nil
+	wasFailing := k.failing
+	k.failing = err != nil
 	k.mu.Unlock()
-	if was == (err != nil) {
+	if wasFailing == (err != nil) {
 		return
 	}
 	age, _ := k.Record.Age(k.Timer.Now())
--- a/internal/fleet/confirmation/keeper_test.go
+++ b/internal/fleet/confirmation/keeper_test.go
@@ -13,23 +13,23 @@
 	"github.com/egretbend/egretbend/internal/standin/space"
 )
 
-// at answers as a space does, with the changes at once.
-type at struct {
+// spaceSource is a Source on a space.Space. It does not wait for changes.
+type spaceSource struct {
 	*space.Space
 }
 
 // Changes implements Source.
-func (a at) Changes(ctx context.Context, prefix string, after uint64) ([]keyvalue.Change, uint64, error) {
+func (a spaceSource) Changes(ctx context.Context, prefix string, after uint64) ([]keyvalue.Change, uint64, error) {
 	return a.Watch(ctx, prefix, after, 0)
 }
 
-// fixture is a keeper on a store of its own.
+// fixture is a Keeper with a key-value service of its own.
 type fixture struct {
 	Keeper
-	clock *timer.Manual
-	store *space.Space
-	held  uint64
-	fault space.Fault
+	clock        *timer.Manual
+	store        *space.Space
+	heldRevision uint64
+	fault        space.Fault
 }
 
 const key = "configuration"
@@ -46,10 +46,10 @@
 	}
 	d.Keeper = Keeper{
 		Record: &Record{},
-		Source: at{d.store},
+		Source: spaceSource{d.store},
 		Key:    key,
-		Held:   func() uint64 { return d.held },
-		Take:   func(changes []keyvalue.Change) { d.held = changes[len(changes)-1].Revision },
+		Held:   func() uint64 { return d.heldRevision },
+		Take:   func(changes []keyvalue.Change) { d.heldRevision = changes[len(changes)-1].Revision },
 		Needed: func() bool { return true },
 		Relays: func() bool { return true },
 		Timer:  d.clock,
@@ -57,8 +57,8 @@
 	return d
 }
 
-// put writes a configuration and returns its revision.
-func (d *fixture) put(is *is.I) uint64 {
+// putConfiguration writes a configuration and returns its revision.
+func (d *fixture) putConfiguration(is *is.I) uint64 {
 	rev, err := d.store.Commit(context.Background(), keyvalue.Transaction{
 		Writes: []keyvalue.Write{{Key: key, Value: []byte("c")}},
 	})
@@ -66,47 +66,51 @@
 	return rev
 }
 
-func TestConfirmTakesWhatIsNew(t *testing.T) {
+// A confirmation that finds a newer configuration applies it and counts for it.
+func TestConfirmAppliesNewerConfiguration(t *testing.T) {
 	is := is.New(t)
 	d := newFixture(t)
-	d.held = d.put(is)
+	d.heldRevision = d.putConfiguration(is)
 	is.NoErr(d.Confirm(context.Background()))
 	is.True(d.Record.Within(d.clock.Now(), time.Millisecond))
-	newer := d.put(is)
+	newer := d.putConfiguration(is)
 	d.clock.Advance(time.Second)
 	is.NoErr(d.Confirm(context.Background()))
-	is.Equal(d.held, newer)
+	is.Equal(d.heldRevision, newer)
 	is.True(d.Record.Within(d.clock.Now(), time.Millisecond))
 }
 
-// Guards against a configuration that can not be read and leaves the keys of the one before in force.
-func TestConfigurationThatIsNotTakenIsNotConfirmed(t *testing.T) {
+// Guards against a newer configuration that cannot be decoded: the keys of the previous
+// one, which stays in force, must not count as confirmed.
+func TestUnappliedConfigurationIsNotConfirmed(t *testing.T) {
 	is := is.New(t)
 	d := newFixture(t)
-	d.held = d.put(is)
+	d.heldRevision = d.putConfiguration(is)
 	d.Take = func([]keyvalue.Change) {}
-	d.put(is)
+	d.putConfiguration(is)
 	is.True(d.Confirm(context.Background()) != nil)
 	_, ok := d.Record.Age(d.clock.Now())
 	is.True(!ok)
 }
 
-// Guards against a confirmation of a newer configuration that makes an older one current.
-func TestWordOfAnotherInstanceCountsForItsRevisionOnly(t *testing.T) {
+// Guards against a relayed confirmation of a newer configuration that marks an older
+// one as current.
+func TestAcceptIgnoresConfirmationOfNewerRevision(t *testing.T) {
 	is := is.New(t)
 	d := newFixture(t)
-	d.held = 4
+	d.heldRevision = 4
 	d.Accept(d.clock.Now(), 5)
 	is.True(!d.Record.Within(d.clock.Now(), time.Second))
 	d.Accept(d.clock.Now(), 4)
 	is.True(d.Record.Within(d.clock.Now(), time.Second))
 }
 
-// Someone tries keys at random. Each would cost a call of the service.
-func TestUnknownKeysCauseFewCalls(t *testing.T) {
+// Guards against requests with random keys that each cost a call of the key-value
+// service.
+func TestRefreshLimitsCallsForUnknownKeys(t *testing.T) {
 	is := is.New(t)
 	d := newFixture(t)
-	d.held = d.put(is)
+	d.heldRevision = d.putConfiguration(is)
 	for range 1000 {
 		d.Refresh(context.Background())
 		d.clock.Advance(4 * time.Millisecond)
@@ -114,30 +118,31 @@
 	is.True(d.store.Calls(space.Watch) <= 3)
 }
 
-// A follower whose service is away would ask at each look, and each call is counted.
-func TestFollowersAskLessAndLessInAnOutage(t *testing.T) {
+// Guards against a follower that calls the key-value service at each check while it is
+// down: every call is counted.
+func TestFollowerBacksOffDuringOutage(t *testing.T) {
 	is := is.New(t)
 	d := newFixture(t)
 	d.Relays = func() bool { return false }
-	var r rests
+	var b backoff
 	asked := 0
 	for second := range 12 {
 		now := timer.Instant(0).Add(time.Duration(second) * time.Second)
-		if now >= r.until {
+		if now >= b.until {
 			asked++
-			r = r.after(errNotTaken, now, false)
+			b = b.next(errNotApplied, now, false)
 		}
 	}
 	is.Equal(asked, 5) // after 0, 1, 3, 7 and 11 seconds
-	is.Equal(r.after(nil, 0, false), rests{})
-	is.Equal(rests{}.after(errNotTaken, 9, true).until, timer.Instant(0)) // others wait for its word
+	is.Equal(b.next(nil, 0, false), backoff{})
+	is.Equal(backoff{}.next(errNotApplied, 9, true).until, timer.Instant(0)) // a relay does not pause: other instances depend on it
 }
 
-// Guards against requests with keys that are refused long after a start of all instances.
-func TestFirstConfirmationComesSoon(t *testing.T) {
+// Guards against requests with keys that are refused long after all instances started.
+func TestFirstConfirmationIsPrompt(t *testing.T) {
 	is := is.New(t)
 	d := newFixture(t)
-	d.held = d.put(is)
+	d.heldRevision = d.putConfiguration(is)
 	var tomb tomb.Tomb
 	tomb.Go(func() error { return d.Run(&tomb) })
 	defer func() {
@@ -152,16 +157,17 @@
 		return ok
 	}))
 	age, _ := d.Record.Age(d.clock.Now())
-	is.True(d.clock.Now().Sub(began)-age <= firstEvery+100*time.Millisecond)
+	is.True(d.clock.Now().Sub(began)-age <= startupCheckInterval+100*time.Millisecond)
 }
 
-// Guards against an instance that wakes up many times a second for confirmations that nobody needs.
-func TestKeeperRestsWhereNoneIsNeeded(t *testing.T) {
+// Guards against an instance that wakes up many times a second for confirmations that
+// nothing needs.
+func TestKeeperChecksLessOftenWhenNotNeeded(t *testing.T) {
 	is := is.New(t)
 	d := newFixture(t)
-	is.Equal(d.pause(), firstEvery) // no configuration says yet
-	d.held = d.put(is)
-	is.Equal(d.pause(), firstEvery)
+	is.Equal(d.checkDelay(), startupCheckInterval) // unknown until there is a configuration
+	d.heldRevision = d.putConfiguration(is)
+	is.Equal(d.checkDelay(), startupCheckInterval)
 	d.Needed = func() bool { return false }
-	is.Equal(d.pause(), checkEvery)
+	is.Equal(d.checkDelay(), checkInterval)
 }
--- a/internal/fleet/confirmation/record.go
+++ b/internal/fleet/confirmation/record.go
@@ -7,31 +7,32 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// Record is the last moment at which the configuration in force was surely the
-// newest one. Its zero value has none.
+// Record holds the last instant at which the configuration in force was known to be the
+// newest one. The zero value holds none.
 type Record struct {
-	at atomic.Int64
+	confirmedAt atomic.Int64
 }
 
-// Confirm notes that the configuration was current at an instant.
-func (r *Record) Confirm(at timer.Instant) {
+// Confirm records that the configuration was current at an instant. It never replaces a
+// later instant.
+func (r *Record) Confirm(confirmedAt timer.Instant) {
 	for {
-		old := r.at.Load()
-		if old >= int64(at) || r.at.CompareAndSwap(old, int64(at)) {
+		old := r.confirmedAt.Load()
+		if old >= int64(confirmedAt) || r.confirmedAt.CompareAndSwap(old, int64(confirmedAt)) {
 			return
 		}
 	}
 }
 
-// Age returns how long ago the configuration was last current; ok is false if it
-// never was. It is read before the configuration is: the other way round, a
-// configuration could be replaced between the two.
+// Age returns how long ago the configuration was last known to be current; ok is false
+// if it never was. Callers must read the age before the configuration: in the other
+// order, the configuration could be replaced between the two reads.
 func (r *Record) Age(now timer.Instant) (age time.Duration, ok bool) {
-	at := r.at.Load()
-	return now.Sub(timer.Instant(at)), at != 0
+	confirmedAt := r.confirmedAt.Load()
+	return now.Sub(timer.Instant(confirmedAt)), confirmedAt != 0
 }
 
-// Within reports whether the configuration was current within a time.
+// Within reports whether the configuration was known to be current less than bound ago.
 func (r *Record) Within(now timer.Instant, bound time.Duration) bool {
 	age, ok := r.Age(now)
 	return ok && age < bound
