--- a/internal/fleet/listing/book.go
+++ b/internal/fleet/listing/book.go
@@ -8,35 +8,35 @@
 	"github.com/egretbend/egretbend/internal/outside/roster"
 )
 
-// How long entries are remembered, in seconds.
+// Lifetimes of gossip entries in seconds.
 const (
-	// leavingTTL outlives any upstream that is told to leave.
-	leavingTTL = 24 * 3600
-	// goneTTL is for upstreams that left the list.
-	goneTTL = 3600
+	// leavingTTLSeconds is longer than any upstream takes to leave.
+	leavingTTLSeconds = 24 * 3600
+	// goneTTLSeconds applies to upstreams that were removed from the list.
+	goneTTLSeconds = 3600
 )
 
-// Book is the list as gossip tells it.
+// Book reads and writes the instance list in the gossip state.
 type Book struct {
 	State *gossip.State
 
-	decoded gossip.Decoded[presence]
+	decoded gossip.Decoded[upstreamEntry]
 }
 
-// presence is the value of an upstream entry. The minor version counts its
-// changes within one incarnation.
-type presence struct {
+// upstreamEntry is the value of a gossip entry of kind upstream. The entry's major
+// version is the incarnation, and its minor version counts the changes within it.
+type upstreamEntry struct {
 	Instance roster.Instance `json:"instance"`
 	Gone     bool            `json:"gone,omitempty"`
 }
 
-// List returns the upstreams that are present, with their leaving marks.
+// List returns the upstreams that are in the list, with their leaving marks.
 func (b *Book) List() []roster.Instance {
 	leaving := make(map[string]uint64)
 	for _, e := range b.State.List(gossip.KindLeaving) {
 		leaving[e.Key] = e.Version.Major
 	}
-	all := b.decoded.List(b.State, gossip.KindUpstream, decode)
+	all := b.decoded.List(b.State, gossip.KindUpstream, decodeEntry)
 	list := make([]roster.Instance, 0, len(all))
 	for _, p := range all {
 		if p.Gone {
@@ -49,13 +49,13 @@
 	return list
 }
 
-// Changes counts what could change List.
+// Changes returns a counter that rises when the result of List may have changed.
 func (b *Book) Changes() uint64 {
 	return b.State.Changes(gossip.KindUpstream) + b.State.Changes(gossip.KindLeaving)
 }
 
-// MarkLeaving says that an incarnation of an upstream is leaving. It reports
-// whether that was news.
+// MarkLeaving marks an incarnation of an upstream as leaving. It reports whether the
+// mark is new.
 func (b *Book) MarkLeaving(id string, incarnation uint64) bool {
 	return b.State.Merge(gossip.Entry{
 		Kind: gossip.KindLeaving,
@@ -63,12 +63,12 @@
 		Version: gossip.Version{
 			Major: incarnation,
 		},
-		Expires: time.Now().Unix() + leavingTTL,
+		Expires: time.Now().Unix() + leavingTTLSeconds,
 	})
 }
 
-// MarkLeavingByID marks the present incarnation of an upstream and reports
-// whether there is such an upstream.
+// MarkLeavingByID marks the current incarnation of an upstream as leaving. It reports
+// whether the upstream is known.
 func (b *Book) MarkLeavingByID(id string) bool {
 	e, ok := b.State.Find(gossip.KindUpstream, id)
 	if !ok {
@@ -78,44 +78,47 @@
 	return true
 }
 
-// Seen takes an upstream from the platform's list. It reports whether that was
-// news.
+// Seen records an upstream that is in the platform's list. It reports whether that
+// changed anything.
 func (b *Book) Seen(in roster.Instance) bool {
-	news := false
+	changed := false
 	if in.Leaving {
-		news = b.MarkLeaving(in.ID, in.Incarnation)
+		changed = b.MarkLeaving(in.ID, in.Incarnation)
 	}
 	in.Leaving = false
 	old, ok := b.State.Find(gossip.KindUpstream, in.ID)
 	if ok && old.Version.Major > in.Incarnation {
-		return news
+		return changed
 	}
 	minor := uint64(0)
 	if ok && old.Version.Major == in.Incarnation {
-		p, valid := decode(old)
-		if valid && !p.Gone && p.Instance == in {
-			return news
+		entry, valid := decodeEntry(old)
+		if valid && !entry.Gone && entry.Instance == in {
+			return changed
 		}
 		minor = old.Version.Minor + 1
 	}
-	return b.put(presence{
+	return b.mergeEntry(upstreamEntry{
 		Instance: in,
-	}, minor, 0) || news
+	}, minor, 0) || changed
 }
 
-// Missing takes that an upstream is no longer in the platform's list.
+// Missing records that an upstream is no longer in the platform's list. It reports
+// whether that changed anything.
 func (b *Book) Missing(in roster.Instance) bool {
 	old, ok := b.State.Find(gossip.KindUpstream, in.ID)
 	if !ok || old.Version.Major != in.Incarnation {
 		return false
 	}
-	return b.put(presence{
+	return b.mergeEntry(upstreamEntry{
 		Instance: in,
 		Gone:     true,
-	}, old.Version.Minor+1, time.Now().Unix()+goneTTL)
+	}, old.Version.Minor+1, time.Now().Unix()+goneTTLSeconds)
 }
 
-func (b *Book) put(p presence, minor uint64, expires int64) bool {
+// mergeEntry writes an entry with the given minor version and expiry, a Unix time in
+// seconds, to the gossip state.
+func (b *Book) mergeEntry(p upstreamEntry, minor uint64, expires int64) bool {
 	value, err := json.Marshal(p)
 	if err != nil {
 		return false
@@ -132,10 +135,10 @@
 	})
 }
 
-func decode(e gossip.Entry) (presence, bool) {
-	var p presence
+func decodeEntry(e gossip.Entry) (upstreamEntry, bool) {
+	var p upstreamEntry
 	if json.Unmarshal(e.Value, &p) != nil {
-		return presence{}, false
+		return upstreamEntry{}, false
 	}
 	return p, true
 }
--- a/internal/fleet/listing/doc.go
+++ b/internal/fleet/listing/doc.go
@@ -1,9 +1,10 @@
-// Package listing spreads the platform's instance list through the fleet.
+// Package listing distributes the platform's instance list to all instances of the
+// fleet.
 //
-// A few instances in each failure domain read the list and tell what changed;
-// the others hear it by gossip, also those that can't reach the list. Leaving
-// marks are entries of their own: any source may set one, and it sticks to
-// that incarnation of the upstream.
+// A few instances in each failure domain read the list and publish its changes; the
+// others receive them by gossip, even if they cannot reach the list. Leaving marks are
+// separate gossip entries: any source may set one, and it stays for that incarnation of
+// the upstream.
 //
 //	book := &listing.Book{State: state}
 //	book.MarkLeaving("sampler-3", incarnation)
--- a/internal/fleet/listing/reader.go
+++ b/internal/fleet/listing/reader.go
@@ -13,23 +13,25 @@
 	"github.com/egretbend/egretbend/internal/outside/roster"
 )
 
-// How the platform's list is read.
+// Limits of reading the platform's list.
 const (
-	// readersPerDomain is how many instances of a failure domain read it.
+	// readersPerDomain is the number of instances in each failure domain that read the
+	// list.
 	readersPerDomain = 2
-	readPeriod       = time.Second
+	readInterval     = time.Second
 	readTimeout      = 2 * time.Second
-	// missingReads is how many lists in a row must lack an upstream before it
-	// counts as gone.
-	missingReads = 5
-	// mostMissing is the share of upstreams that one list may lack. A list
-	// that lacks more is taken for a fault of the list.
-	mostMissing = 0.5
-	readerKey   = "listing"
+	// missesUntilGone is the number of consecutive lists that must lack an upstream
+	// before it counts as gone.
+	missesUntilGone = 5
+	// maxMissingShare is the largest share of the known upstreams that a list may lack.
+	// A list that lacks more is considered faulty, and its gaps are ignored.
+	maxMissingShare = 0.5
+	// readerHashKey is the rendezvous hash key that selects the readers.
+	readerHashKey = "listing"
 )
 
-// Reader reads the platform's list while this instance is one of its failure
-// domain's readers.
+// Reader reads the platform's list while this instance is one of the readers of its
+// failure domain.
 type Reader struct {
 	Book    *Book
 	Source  roster.Source
@@ -37,16 +39,17 @@
 	Timer   timer.Service
 	Journal *journal.Journal
 
-	missing map[string]int
+	// misses counts for each upstream the consecutive lists that lacked it.
+	misses map[string]int
 }
 
-// Run reads until t dies.
+// Run reads the list every readInterval while this instance is a reader, until t dies.
 func (r *Reader) Run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
-	tick := r.Timer.Every(readPeriod)
+	tick := r.Timer.Every(readInterval)
 	defer tick.Close()
 	for {
-		if r.Table.View().TopInDomain(readerKey, readersPerDomain) {
+		if r.Table.View().TopInDomain(readerHashKey, readersPerDomain) {
 			r.read(ctx)
 		}
 		select {
@@ -68,7 +71,7 @@
 	r.Take(list)
 }
 
-// Take compares a list with what is known and tells the differences.
+// Take compares a list with the known upstreams and records the differences.
 func (r *Reader) Take(list []roster.Instance) {
 	present := make(map[string]bool, len(list))
 	for _, in := range list {
@@ -80,28 +83,30 @@
 			})
 		}
 	}
-	r.noteMissing(present)
+	r.countMisses(present)
 }
 
-func (r *Reader) noteMissing(present map[string]bool) {
+// countMisses counts the known upstreams that are not present, and records those as
+// gone that enough lists in a row lacked.
+func (r *Reader) countMisses(present map[string]bool) {
 	known := r.Book.List()
-	var lacking []roster.Instance
+	var missing []roster.Instance
 	for _, in := range known {
 		if !present[in.ID] {
-			lacking = append(lacking, in)
+			missing = append(missing, in)
 		}
 	}
-	if float64(len(lacking)) > mostMissing*float64(len(known)) {
+	if float64(len(missing)) > maxMissingShare*float64(len(known)) {
 		return
 	}
 	next := make(map[string]int)
-	for _, in := range lacking {
-		next[in.ID] = r.missing[in.ID] + 1
-		if next[in.ID] >= missingReads && r.Book.Missing(in) {
+	for _, in := range missing {
+		next[in.ID] = r.misses[in.ID] + 1
+		if next[in.ID] >= missesUntilGone && r.Book.Missing(in) {
 			r.Journal.Event("upstream_gone", log.Fields{
 				"upstream": in.ID,
 			})
 		}
 	}
-	r.missing = next
+	r.misses = next
 }
