--- a/internal/fleet/questionnaire/answers.go
+++ b/internal/fleet/questionnaire/answers.go
@@ -9,7 +9,7 @@
 // Format is the version of the answers format.
 const Format = 1
 
-// Answers are what a team says about its workloads.
+// Answers holds a team's answers about its workloads.
 type Answers struct {
 	Format   int       `json:"format" need:"true" min:"1" max:"1" doc:"version of this format"`
 	Title    string    `json:"title" need:"true" doc:"title of this questionnaire"`
@@ -17,15 +17,16 @@
 	Services []Service `json:"services" doc:"plain services that callers use"`
 	Models   []Model   `json:"models" doc:"models that are trained or served"`
 	Callers  []Caller  `json:"callers" doc:"who sends requests"`
-	// Organisations are customers that must show a key.
+	// Organisations lists the customers whose requests must carry a key.
 	Organisations []Organisation `json:"organisations" doc:"customers whose requests must bear a key; without any, nobody needs one"`
-	// EntryInstances is how many instances the team runs.
+	// EntryInstances is the number of instances that the team runs.
 	EntryInstances int `json:"entry_instances" default:"18" min:"1" max:"2000" doc:"how many entry instances there are"`
-	// ReplaceSeconds is how quickly an instance must be free to be replaced.
+	// ReplaceSeconds is the time within which a leaving instance must be free to be
+	// replaced.
 	ReplaceSeconds int `json:"replace_seconds" default:"30" min:"2" max:"3600" doc:"within how many seconds a leaving instance must be done with callers who hold its address"`
 }
 
-// Service is a plain service.
+// Service describes a plain service.
 type Service struct {
 	Name            string `json:"name" need:"true" doc:"name that callers use"`
 	Group           string `json:"group" need:"true" doc:"group of its instances in the instance list"`
@@ -36,7 +37,7 @@
 	LargestAnswerKB int64  `json:"largest_answer_kb" default:"1024" min:"1" max:"1048576" doc:"its largest answer, in kilobytes"`
 }
 
-// Model is a model with its trainers.
+// Model describes a model and its trainers.
 type Model struct {
 	Name          string `json:"name" need:"true" doc:"name that callers and trainers use"`
 	Group         string `json:"group" need:"true" doc:"group of its engines in the instance list"`
@@ -45,7 +46,7 @@
 	ChecksOrders  bool   `json:"checks_orders" default:"false" doc:"whether its engines refuse an order with an old fencing number"`
 	SharedPrompts bool   `json:"shared_prompts" default:"true" doc:"whether many prompts begin alike"`
 	LongestSecs   int    `json:"longest_seconds" default:"60" min:"1" max:"3600" doc:"longest time that one generation may take, in seconds"`
-	// MattersMore is the measure that goes first.
+	// MattersMore is the measure that takes precedence.
 	MattersMore      string    `json:"matters_more" default:"trainer_idle_time" oneof:"trainer_idle_time,staleness" doc:"what matters more where the two pull apart"`
 	OldestVersions   uint64    `json:"oldest_versions" default:"4" min:"0" max:"1000000" doc:"how many versions old a sample may be when a trainer gets it"`
 	OldestSeconds    int64     `json:"oldest_seconds" default:"0" min:"0" max:"86400" doc:"how many seconds old a sample may be when a trainer gets it; 0 sets no bound"`
@@ -56,13 +57,13 @@
 	Trainers         []Trainer `json:"trainers" doc:"trainers that share its engines"`
 }
 
-// Trainer is a trainer of a model.
+// Trainer describes a trainer of a model.
 type Trainer struct {
 	Name  string  `json:"name" need:"true" doc:"name of the trainer"`
 	Share float64 `json:"share" default:"1" min:"0.01" max:"1000" doc:"its share of the engines relative to the other trainers"`
 }
 
-// Caller is who sends requests.
+// Caller describes a sender of requests.
 type Caller struct {
 	Name string `json:"name" need:"true" doc:"name that it sends with its requests"`
 	// WhoWaits says who waits for its answers.
@@ -70,7 +71,7 @@
 	Share    float64 `json:"share" default:"1" min:"0.01" max:"1000" doc:"its share relative to other callers when capacity is short"`
 }
 
-// Organisation is a customer with keys.
+// Organisation describes a customer with keys.
 type Organisation struct {
 	Name       string   `json:"name" need:"true" doc:"name of the organisation"`
 	KeyDigests []string `json:"key_digests" doc:"digests of its keys, as printed by egretbend digest"`
@@ -78,8 +79,7 @@
 	WhoWaits string `json:"who_waits" default:"a_person" oneof:"a_person,a_trainer,nobody" doc:"who waits for its answers"`
 }
 
-// Check implements setting.Checker. It refuses answers that contradict each
-// other.
+// Check implements setting.Checker. It rejects answers that contradict each other.
 func (a *Answers) Check(string) []setting.Fault {
 	var faults []setting.Fault
 	if len(a.Services)+len(a.Models) == 0 {
@@ -96,6 +96,7 @@
 	return faults
 }
 
+// check returns the contradictions in the answers about one model.
 func (m *Model) check(path string) []setting.Fault {
 	var faults []setting.Fault
 	add := func(field, expected, got, remedy string) {
@@ -115,8 +116,8 @@
 	if m.LateRounds == "drop" && m.OldestSeconds > 0 && m.OldestSeconds > m.LateAfterSeconds {
 		add("oldest_seconds", "at most late_after_seconds, as no sample lives longer than its step", fmt.Sprint(m.OldestSeconds), "lower it or raise late_after_seconds")
 	}
-	if m.MattersMore == "staleness" && m.OldestVersions > stalenessMost {
-		add("oldest_versions", fmt.Sprintf("at most %d, as staleness matters more", stalenessMost), fmt.Sprint(m.OldestVersions), "lower it, or set matters_more to trainer_idle_time")
+	if m.MattersMore == "staleness" && m.OldestVersions > maxStalenessVersions {
+		add("oldest_versions", fmt.Sprintf("at most %d, as staleness matters more", maxStalenessVersions), fmt.Sprint(m.OldestVersions), "lower it, or set matters_more to trainer_idle_time")
 	}
 	if m.FetchesAtOnce > m.Engines {
 		add("fetches_at_once", "at most the number of engines", fmt.Sprint(m.FetchesAtOnce), "lower it")
@@ -124,5 +125,5 @@
 	return faults
 }
 
-// stalenessMost is the oldest age that goes with "staleness matters more".
-const stalenessMost = 8
+// maxStalenessVersions is the largest OldestVersions allowed if staleness matters more.
+const maxStalenessVersions = 8
--- a/internal/fleet/questionnaire/doc.go
+++ b/internal/fleet/questionnaire/doc.go
@@ -1,10 +1,11 @@
-// Package questionnaire turns a team's answers about its workloads, priorities
-// and tolerances into a configuration.
+// Package questionnaire generates a configuration from a team's answers about its
+// workloads, priorities and tolerances.
 //
-// The same answers always give the same configuration, and each generated
-// value says which answer it follows from:
+// Answers come from a file or from an Interview in a terminal. The same answers always
+// give the same configuration, and each generated value has a Reason that names the
+// answer it follows from:
 //
 //	cfg, reasons, err := questionnaire.Generate(answers)
 //
-// Answers that contradict each other are refused with what to change.
+// Contradictory answers are rejected with a remedy.
 package questionnaire
--- a/internal/fleet/questionnaire/generate.go
+++ b/internal/fleet/questionnaire/generate.go
@@ -7,7 +7,7 @@
 	"github.com/egretbend/egretbend/internal/fleet/configuration"
 )
 
-// Reason says from which answer a generated value follows.
+// Reason states which answer a generated value follows from, and why.
 type Reason struct {
 	Path   string `json:"path"`
 	Value  string `json:"value"`
@@ -15,13 +15,13 @@
 	Why    string `json:"why"`
 }
 
-// generator collects values and their reasons.
+// generator collects the reasons of the generated values.
 type generator struct {
 	reasons []Reason
 }
 
-// because notes a reason and returns the value.
-func because[T any](g *generator, path string, v T, answer, why string) T {
+// withReason records the reason for v at path and returns v.
+func withReason[T any](g *generator, path string, v T, answer, why string) T {
 	g.reasons = append(g.reasons, Reason{
 		Path:   path,
 		Value:  fmt.Sprint(v),
@@ -31,8 +31,8 @@
 	return v
 }
 
-// Generate returns the configuration that follows from answers, as indented
-// JSON, and the reason of each value.
+// Generate returns the configuration that follows from the answers, as indented JSON,
+// and the reason for each value.
 func Generate(a *Answers) ([]byte, []Reason, error) {
 	g := &generator{}
 	cfg := configuration.Configuration{
@@ -44,10 +44,10 @@
 		Addresses:   g.addresses(a),
 	}
 	for i, s := range a.Services {
-		cfg.Deployments = append(cfg.Deployments, g.service(len(cfg.Deployments), i, s))
+		cfg.Deployments = append(cfg.Deployments, g.serviceDeployment(len(cfg.Deployments), i, s))
 	}
 	for i, m := range a.Models {
-		cfg.Deployments = append(cfg.Deployments, g.model(len(cfg.Deployments), i, m))
+		cfg.Deployments = append(cfg.Deployments, g.modelDeployment(len(cfg.Deployments), i, m))
 		for j, t := range m.Trainers {
 			cfg.Trainers = append(cfg.Trainers, g.trainer(len(cfg.Trainers), i, j, t))
 		}
@@ -62,34 +62,36 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	// What is generated is held against the same checks as what an operator
-	// writes by hand.
+	// The generated configuration must pass the same checks as one written by hand.
 	if _, err := configuration.Parse(data); err != nil {
-		return nil, nil, fmt.Errorf("the answers give no valid configuration: %w", err)
+		return nil, nil, fmt.Errorf("the answers do not give a valid configuration: %w", err)
 	}
 	return append(data, '\n'), g.reasons, nil
 }
 
-// keepShare is the part of the replacing time that callers may keep answers;
-// the rest is for the word to spread and for requests in flight.
-const keepShare = 0.4
+// keepTimeShare is the share of Answers.ReplaceSeconds for which callers may keep
+// addresses. The rest is for the news that an instance is leaving to spread, and for
+// requests in flight.
+const keepTimeShare = 0.4
 
-// keepMost is the longest that a caller keeps an answer.
-const keepMost = 30_000
+// maxKeepMS is the longest time that a caller may keep addresses, in milliseconds.
+const maxKeepMS = 30_000
 
+// addresses returns how many addresses callers get, and how long they may keep them.
 func (g *generator) addresses(a *Answers) configuration.Addresses {
-	keep := min(int64(float64(a.ReplaceSeconds)*keepShare*1000), keepMost)
+	keep := min(int64(float64(a.ReplaceSeconds)*keepTimeShare*1000), maxKeepMS)
 	count := min(3, a.EntryInstances)
 	return configuration.Addresses{
-		KeepMS: because(g, "addresses.keep_ms", keep, "replace_seconds",
+		KeepMS: withReason(g, "addresses.keep_ms", keep, "replace_seconds",
 			"a leaving instance waits until all answers that name it have run out"),
-		Count: because(g, "addresses.count", count, "entry_instances",
+		Count: withReason(g, "addresses.count", count, "entry_instances",
 			"a caller needs others to turn to when one is gone"),
 	}
 }
 
-// base returns a deployment with the values that no answer changes.
-func base(name, group string, kind configuration.Kind) configuration.Deployment {
+// defaultDeployment returns a deployment with the default values, some of which the
+// answers replace.
+func defaultDeployment(name, group string, kind configuration.Kind) configuration.Deployment {
 	return configuration.Deployment{
 		Name:           name,
 		Kind:           kind,
@@ -112,75 +114,81 @@
 	}
 }
 
-func (g *generator) service(at, i int, s Service) configuration.Deployment {
-	path := fmt.Sprintf("deployments[%d]", at)
-	from := fmt.Sprintf("services[%d].", i)
-	d := base(s.Name, s.Group, configuration.KindService)
-	d.Policy = because(g, path+".policy", "two_choices", from+"name", "a plain service keeps nothing that a caller would be sent back for")
-	d.Slots = because(g, path+".slots", s.AtOnce, from+"at_once", "more would only wait there")
-	d.TimeoutMS = because(g, path+".timeout_ms", int64(s.LongestSeconds)*1000, from+"longest_seconds", "nobody waits longer")
-	d.EchoesAttempt = because(g, path+".echoes_attempt", s.EchoesAttempt, from+"echoes_attempt",
+// serviceDeployment returns the deployment at index that follows from the answers about
+// a service.
+func (g *generator) serviceDeployment(index, answerIndex int, s Service) configuration.Deployment {
+	path := fmt.Sprintf("deployments[%d]", index)
+	answerPath := fmt.Sprintf("services[%d].", answerIndex)
+	d := defaultDeployment(s.Name, s.Group, configuration.KindService)
+	d.Policy = withReason(g, path+".policy", "two_choices", answerPath+"name", "a plain service keeps nothing that a caller would be sent back for")
+	d.Slots = withReason(g, path+".slots", s.AtOnce, answerPath+"at_once", "more would only wait there")
+	d.TimeoutMS = withReason(g, path+".timeout_ms", int64(s.LongestSeconds)*1000, answerPath+"longest_seconds", "nobody waits longer")
+	d.EchoesAttempt = withReason(g, path+".echoes_attempt", s.EchoesAttempt, answerPath+"echoes_attempt",
 		"without the echo each connection carries one request, so that answers can't be mixed up")
-	d.MaxAnswerBytes = because(g, path+".max_answer_bytes", s.LargestAnswerKB<<10, from+"largest_answer_kb", "a larger answer is not its own")
+	d.MaxAnswerBytes = withReason(g, path+".max_answer_bytes", s.LargestAnswerKB<<10, answerPath+"largest_answer_kb", "a larger answer is not its own")
 	attempts := 3
 	if s.RepeatHarms {
 		attempts = 2
 	}
-	d.Attempts = because(g, path+".attempts", attempts, from+"repeat_harms",
+	d.Attempts = withReason(g, path+".attempts", attempts, answerPath+"repeat_harms",
 		"a request that may not be repeated is tried again only while no byte of it can have left")
 	return d
 }
 
-// enginesPerShard is how many engines one holder orders.
+// enginesPerShard is the number of engines to which one lease holder sends orders.
 const enginesPerShard = 160
 
-// secondAttempts by what matters more.
+// Second attempts of late samples allowed, as a share of a step's samples, by the
+// measure that matters more.
 const (
-	secondAttemptsIdle  = 0.15
-	secondAttemptsStale = 0.08
+	secondAttemptsIdleTime  = 0.15
+	secondAttemptsStaleness = 0.08
 )
 
-func (g *generator) model(at, i int, m Model) configuration.Deployment {
-	path := fmt.Sprintf("deployments[%d]", at)
-	from := fmt.Sprintf("models[%d].", i)
-	d := base(m.Name, m.Group, configuration.KindModel)
+// modelDeployment returns the deployment at index that follows from the answers about a
+// model.
+func (g *generator) modelDeployment(index, answerIndex int, m Model) configuration.Deployment {
+	path := fmt.Sprintf("deployments[%d]", index)
+	answerPath := fmt.Sprintf("models[%d].", answerIndex)
+	d := defaultDeployment(m.Name, m.Group, configuration.KindModel)
 	policy := "two_choices"
 	if m.SharedPrompts {
 		policy = "prefix_affinity"
 	}
-	d.Policy = because(g, path+".policy", policy, from+"shared_prompts", "prompts that begin alike go where their beginning is cached")
-	d.Slots = because(g, path+".slots", m.AtOnce, from+"at_once", "more would only wait there")
-	d.TimeoutMS = because(g, path+".timeout_ms", int64(m.LongestSecs)*1000, from+"longest_seconds", "a longer stream is given up")
-	d.ChecksFencing = because(g, path+".checks_fencing", m.ChecksOrders, from+"checks_orders", "engines that don't check are read back and set right")
-	d.Shards = because(g, path+".shards", max(1, (m.Engines+enginesPerShard-1)/enginesPerShard), from+"engines",
+	d.Policy = withReason(g, path+".policy", policy, answerPath+"shared_prompts", "prompts that begin alike go where their beginning is cached")
+	d.Slots = withReason(g, path+".slots", m.AtOnce, answerPath+"at_once", "more would only wait there")
+	d.TimeoutMS = withReason(g, path+".timeout_ms", int64(m.LongestSecs)*1000, answerPath+"longest_seconds", "a longer stream is given up")
+	d.ChecksFencing = withReason(g, path+".checks_fencing", m.ChecksOrders, answerPath+"checks_orders", "engines that don't check are read back and set right")
+	d.Shards = withReason(g, path+".shards", max(1, (m.Engines+enginesPerShard-1)/enginesPerShard), answerPath+"engines",
 		fmt.Sprintf("one holder orders about %d engines", enginesPerShard))
-	d.FetchesAtOnce = because(g, path+".fetches_at_once", max(m.FetchesAtOnce, d.Shards), from+"fetches_at_once", "the weight store is rate-limited")
-	d.Staleness.MaxVersions = because(g, path+".staleness.max_versions", m.OldestVersions, from+"oldest_versions", "no sample is handed over beyond it")
-	d.Staleness.MaxAgeMS = because(g, path+".staleness.max_age_ms", m.OldestSeconds*1000, from+"oldest_seconds", "no sample is handed over beyond it")
-	g.rounds(&d, path+".rounds", from, m)
+	d.FetchesAtOnce = withReason(g, path+".fetches_at_once", max(m.FetchesAtOnce, d.Shards), answerPath+"fetches_at_once", "the weight store is rate-limited")
+	d.Staleness.MaxVersions = withReason(g, path+".staleness.max_versions", m.OldestVersions, answerPath+"oldest_versions", "no sample is handed over beyond it")
+	d.Staleness.MaxAgeMS = withReason(g, path+".staleness.max_age_ms", m.OldestSeconds*1000, answerPath+"oldest_seconds", "no sample is handed over beyond it")
+	g.setRounds(&d, path+".rounds", answerPath, m)
 	return d
 }
 
-func (g *generator) rounds(d *configuration.Deployment, path, from string, m Model) {
-	weighting, second := configuration.WeightIdleTime, secondAttemptsIdle
+// setRounds sets how the steps of a model's trainers are run.
+func (g *generator) setRounds(d *configuration.Deployment, path, answerPath string, m Model) {
+	weighting, secondAttempts := configuration.WeightIdleTime, secondAttemptsIdleTime
 	if m.MattersMore == "staleness" {
-		weighting, second = configuration.WeightStaleness, secondAttemptsStale
+		weighting, secondAttempts = configuration.WeightStaleness, secondAttemptsStaleness
 	}
-	d.Rounds.Weighting = because(g, path+".weighting", weighting, from+"matters_more", "engines with the newest weights are preferred only where staleness goes first")
-	d.Rounds.SecondAttempts = because(g, path+".second_attempts", second, from+"matters_more", "second attempts shorten the wait for the last samples at some cost")
-	d.Rounds.DropAfterMS = because(g, path+".drop_after_ms", m.LateAfterSeconds*1000, from+"late_after_seconds", "a step that falls behind is dropped, not forced")
-	d.Rounds.AtOnce = because(g, path+".at_once", max(16, 2*m.SamplesPerStep), from+"samples_per_step", "two steps may run side by side")
+	d.Rounds.Weighting = withReason(g, path+".weighting", weighting, answerPath+"matters_more", "engines with the newest weights are preferred only where staleness goes first")
+	d.Rounds.SecondAttempts = withReason(g, path+".second_attempts", secondAttempts, answerPath+"matters_more", "second attempts shorten the wait for the last samples at some cost")
+	d.Rounds.DropAfterMS = withReason(g, path+".drop_after_ms", m.LateAfterSeconds*1000, answerPath+"late_after_seconds", "a step that falls behind is dropped, not forced")
+	d.Rounds.AtOnce = withReason(g, path+".at_once", max(16, 2*m.SamplesPerStep), answerPath+"samples_per_step", "two steps may run side by side")
 }
 
-func (g *generator) trainer(at, i, j int, t Trainer) configuration.Trainer {
+func (g *generator) trainer(index, modelIndex, answerIndex int, t Trainer) configuration.Trainer {
 	return configuration.Trainer{
 		Name: t.Name,
-		Weight: because(g, fmt.Sprintf("trainers[%d].weight", at), t.Share, fmt.Sprintf("models[%d].trainers[%d].share", i, j),
+		Weight: withReason(g, fmt.Sprintf("trainers[%d].weight", index), t.Share, fmt.Sprintf("models[%d].trainers[%d].share", modelIndex, answerIndex),
 			"trainers share engines by weight when capacity is short"),
 	}
 }
 
-// priority returns the priority that follows from who waits.
+// priority returns the priority that follows from who waits for the answers.
 func (g *generator) priority(path, whoWaits string) string {
 	priority := "interactive"
 	switch whoWaits {
@@ -189,7 +197,7 @@
 	case "nobody":
 		priority = "background"
 	}
-	return because(g, path+".priority", priority, path+".who_waits",
+	return withReason(g, path+".priority", priority, path+".who_waits",
 		"what a person waits for goes first; what nobody waits for gives way")
 }
 
@@ -197,7 +205,7 @@
 	path := fmt.Sprintf("organisations[%d]", i)
 	return configuration.Organisation{
 		Name: o.Name,
-		KeyDigests: because(g, path+".key_digests", o.KeyDigests, path+".key_digests",
+		KeyDigests: withReason(g, path+".key_digests", o.KeyDigests, path+".key_digests",
 			"a configuration holds no keys, only what tells them"),
 		Priority: g.priority(path, o.WhoWaits),
 	}
@@ -207,7 +215,7 @@
 	return configuration.Caller{
 		Name:     c.Name,
 		Priority: g.priority(fmt.Sprintf("callers[%d]", i), c.WhoWaits),
-		Weight: because(g, fmt.Sprintf("callers[%d].weight", i), c.Share, fmt.Sprintf("callers[%d].share", i),
+		Weight: withReason(g, fmt.Sprintf("callers[%d].weight", i), c.Share, fmt.Sprintf("callers[%d].share", i),
 			"callers share by weight when capacity is short"),
 	}
 }
--- a/internal/fleet/questionnaire/interview.go
+++ b/internal/fleet/questionnaire/interview.go
@@ -14,104 +14,108 @@
 	"github.com/egretbend/egretbend/internal/kernel/setting"
 )
 
-// What a person may type in place of an answer.
+// Inputs that are commands instead of answers.
 const (
-	typedBack = "<"
-	typedHelp = "?"
+	inputBack = "<"
+	inputHelp = "?"
 )
 
-// listMost is the most entries of a list that an interview asks for.
-const listMost = 50
+// maxListLength is the maximum number of entries of a list in an interview.
+const maxListLength = 50
 
-// ErrEnded means that the input ended before all questions were answered.
+// ErrEnded is returned if the input ends before all questions are answered.
 var ErrEnded = errors.New("the input ended before all questions were answered; what was answered is saved")
 
-// question is one thing to ask.
+// question asks for one field of the answers.
 type question struct {
-	path    string
-	kind    reflect.Kind
-	doc     string
-	choices string
-	preset  string
-	need    bool
+	path         string
+	kind         reflect.Kind
+	doc          string
+	choices      string
+	defaultValue string
+	required     bool
 }
 
-// Interview asks a person for answers. The questions follow from the type of
-// the answers; which comes next follows from what was answered so far, so going
-// back is forgetting the last answer.
+// Interview asks a person for Answers. The questions are derived from the fields of
+// Answers; the next one is always the first field without an answer, so going back only
+// removes the last answer.
 type Interview struct {
 	In  io.Reader
 	Out io.Writer
 
-	given map[string]any
-	order []string
+	// values holds the answers so far by path. For a list it is the number of entries.
+	values map[string]any
+	// answeredPaths lists the paths in the order in which they were answered.
+	answeredPaths []string
 }
 
-// Run asks until the answers are complete and don't contradict each other.
+// Run asks until the answers are complete and valid. It returns ErrEnded if the input
+// ends before.
 func (v *Interview) Run() (*Answers, error) {
-	v.given = make(map[string]any)
-	v.put("format", json.Number(strconv.Itoa(Format)))
+	v.values = make(map[string]any)
+	v.set("format", json.Number(strconv.Itoa(Format)))
 	lines := bufio.NewScanner(v.In)
-	fmt.Fprintf(v.Out, "Enter takes the value in brackets; %s explains; %s goes back.\n", typedHelp, typedBack)
+	fmt.Fprintf(v.Out, "Enter takes the value in brackets; %s explains; %s goes back.\n", inputHelp, inputBack)
 	for {
-		q, ok := next(reflect.TypeFor[Answers](), "", v.given)
+		q, ok := nextQuestion(reflect.TypeFor[Answers](), "", v.values)
 		if !ok {
-			a, err := v.finish()
+			a, err := v.parseAnswers()
 			if err == nil {
 				return a, nil
 			}
-			v.reopen(err)
+			v.askAgain(err)
 			continue
 		}
 		fmt.Fprintf(v.Out, "%s ", q.prompt())
 		if !lines.Scan() {
 			return nil, ErrEnded
 		}
-		v.answer(q, strings.TrimSpace(lines.Text()))
+		v.handleInput(q, strings.TrimSpace(lines.Text()))
 	}
 }
 
-// Given returns what was answered so far as JSON.
+// Given returns the answers so far as JSON.
 func (v *Interview) Given() ([]byte, error) {
-	return json.MarshalIndent(build(reflect.TypeFor[Answers](), "", v.given), "", "  ")
+	return json.MarshalIndent(buildObject(reflect.TypeFor[Answers](), "", v.values), "", "  ")
 }
 
-func (v *Interview) answer(q question, text string) {
+// handleInput runs the command or stores the answer that was entered for a question.
+func (v *Interview) handleInput(q question, text string) {
 	switch text {
-	case typedBack:
-		v.back()
+	case inputBack:
+		v.undo()
 		return
-	case typedHelp:
+	case inputHelp:
 		fmt.Fprintf(v.Out, "  %s\n", q.doc)
 		return
 	case "":
-		text = q.preset
+		text = q.defaultValue
 	}
-	value, err := q.read(text)
+	value, err := q.parse(text)
 	if err != nil {
 		fmt.Fprintf(v.Out, "  %v\n", err)
 		return
 	}
-	v.put(q.path, value)
+	v.set(q.path, value)
 }
 
-func (v *Interview) put(path string, value any) {
-	v.given[path] = value
-	v.order = append(v.order, path)
+func (v *Interview) set(path string, value any) {
+	v.values[path] = value
+	v.answeredPaths = append(v.answeredPaths, path)
 }
 
-// back forgets the last answer, but not the format.
-func (v *Interview) back() {
-	if len(v.order) < 2 {
+// undo removes the last answer. It keeps the format, which is set first.
+func (v *Interview) undo() {
+	if len(v.answeredPaths) < 2 {
 		return
 	}
-	last := v.order[len(v.order)-1]
-	v.order = v.order[:len(v.order)-1]
-	delete(v.given, last)
+	last := v.answeredPaths[len(v.answeredPaths)-1]
+	v.answeredPaths = v.answeredPaths[:len(v.answeredPaths)-1]
+	delete(v.values, last)
 }
 
-// finish checks the complete answers.
-func (v *Interview) finish() (*Answers, error) {
+// parseAnswers decodes and checks the complete answers.
+func (v *Interview) parseAnswers() (*Answers, error) {
 	data, err := v.Given()
 	if err != nil {
 		return nil, err
@@ -119,37 +123,38 @@
 	return Parse(data)
 }
 
-// reopen says what is wrong and forgets the answers that it is about.
-func (v *Interview) reopen(err error) {
+// askAgain prints err and removes the answers that it concerns, so that they are asked
+// again. If a fault concerns no single answer, the last answer is removed.
+func (v *Interview) askAgain(err error) {
 	fmt.Fprintf(v.Out, "%v\n", err)
 	var faults setting.Faults
 	if !errors.As(err, &faults) {
-		v.back()
+		v.undo()
 		return
 	}
 	for _, f := range faults {
-		if _, ok := v.given[f.Path]; ok && f.Path != "format" {
-			delete(v.given, f.Path)
+		if _, ok := v.values[f.Path]; ok && f.Path != "format" {
+			delete(v.values, f.Path)
 			continue
 		}
-		v.back()
+		v.undo()
 	}
 }
 
-// next returns the first question that has no answer.
-func next(t reflect.Type, path string, given map[string]any) (question, bool) {
+// nextQuestion returns the question for the first field that has no answer.
+func nextQuestion(t reflect.Type, path string, values map[string]any) (question, bool) {
 	for i := range t.NumField() {
 		field := t.Field(i)
-		_, at := setting.FieldPath(field, path)
-		value, answered := given[at]
+		_, fieldPath := setting.FieldPath(field, path)
+		value, answered := values[fieldPath]
 		if !answered {
-			return newQuestion(field, at), true
+			return newQuestion(field, fieldPath), true
 		}
 		if field.Type.Kind() != reflect.Slice {
 			continue
 		}
 		for n := range value.(int) {
-			if q, ok := next(field.Type.Elem(), fmt.Sprintf("%s[%d]", at, n), given); ok {
+			if q, ok := nextQuestion(field.Type.Elem(), fmt.Sprintf("%s[%d]", fieldPath, n), values); ok {
 				return q, true
 			}
 		}
@@ -159,15 +164,15 @@
 
 func newQuestion(field reflect.StructField, path string) question {
 	q := question{
-		path:    path,
-		kind:    field.Type.Kind(),
-		doc:     field.Tag.Get("doc"),
-		choices: field.Tag.Get("oneof"),
-		preset:  field.Tag.Get("default"),
-		need:    field.Tag.Get("need") == "true",
+		path:         path,
+		kind:         field.Type.Kind(),
+		doc:          field.Tag.Get("doc"),
+		choices:      field.Tag.Get("oneof"),
+		defaultValue: field.Tag.Get("default"),
+		required:     field.Tag.Get("need") == "true",
 	}
 	if q.kind == reflect.Slice {
-		q.preset = "0"
+		q.defaultValue = "0"
 	}
 	return q
 }
@@ -180,15 +185,16 @@
 	if q.choices != "" {
 		text += " (" + strings.ReplaceAll(q.choices, ",", " or ") + ")"
 	}
-	if q.preset != "" {
-		text += " [" + q.preset + "]"
+	if q.defaultValue != "" {
+		text += " [" + q.defaultValue + "]"
 	}
 	return text + ":"
 }
 
-func (q question) read(text string) (any, error) {
-	if text == "" && q.need {
-		return nil, errors.New("this needs an answer")
+// parse converts the entered text to the value of the answer.
+func (q question) parse(text string) (any, error) {
+	if text == "" && q.required {
+		return nil, errors.New("an answer is required")
 	}
 	switch q.kind {
 	case reflect.String:
@@ -197,37 +203,37 @@
 		}
 		return text, nil
 	case reflect.Bool:
-		return readBool(text)
+		return parseBool(text)
 	case reflect.Slice:
 		n, err := strconv.Atoi(text)
-		if err != nil || n < 0 || n > listMost {
-			return nil, fmt.Errorf("write a number from 0 to %d", listMost)
+		if err != nil || n < 0 || n > maxListLength {
+			return nil, fmt.Errorf("enter a number from 0 to %d", maxListLength)
 		}
 		return n, nil
 	}
 	if _, err := strconv.ParseFloat(text, 64); err != nil {
-		return nil, errors.New("write a number")
+		return nil, errors.New("enter a number")
 	}
 	return json.Number(text), nil
 }
 
-func readBool(text string) (any, error) {
+func parseBool(text string) (any, error) {
 	switch text {
 	case "true", "yes", "y":
 		return true, nil
 	case "false", "no", "n":
 		return false, nil
 	}
-	return nil, errors.New("write yes or no")
+	return nil, errors.New("enter yes or no")
 }
 
-// build returns the answers as a JSON value.
-func build(t reflect.Type, path string, given map[string]any) map[string]any {
+// buildObject returns the answers below path as a JSON object.
+func buildObject(t reflect.Type, path string, values map[string]any) map[string]any {
 	out := make(map[string]any)
 	for i := range t.NumField() {
 		field := t.Field(i)
-		name, at := setting.FieldPath(field, path)
-		value, ok := given[at]
+		name, fieldPath := setting.FieldPath(field, path)
+		value, ok := values[fieldPath]
 		if !ok {
 			continue
 		}
@@ -237,14 +243,14 @@
 		}
 		list := make([]any, 0, value.(int))
 		for n := range value.(int) {
-			list = append(list, build(field.Type.Elem(), fmt.Sprintf("%s[%d]", at, n), given))
+			list = append(list, buildObject(field.Type.Elem(), fmt.Sprintf("%s[%d]", fieldPath, n), values))
 		}
 		out[name] = list
 	}
 	return out
 }
 
-// Parse checks saved answers.
+// Parse decodes and checks saved answers.
 func Parse(data []byte) (*Answers, error) {
 	a := &Answers{}
 	if err := setting.Decode(data, a); err != nil {
--- a/internal/fleet/questionnaire/questionnaire_test.go
+++ b/internal/fleet/questionnaire/questionnaire_test.go
@@ -15,9 +15,10 @@
 
 const examples = "../../../examples"
 
-// The configuration of an example was edited by hand, or the generator changed
-// without it. A new team would copy a configuration that its answers don't give.
-func TestExamplesFollowFromTheirAnswers(t *testing.T) {
+// Guards against an example whose configuration does not follow from its answers,
+// because the configuration was edited by hand or the generator changed. A new team
+// would copy it.
+func TestExamplesMatchGeneratedConfiguration(t *testing.T) {
 	for _, team := range []string{"verhaeghe", "labelpoint"} {
 		t.Run(team, func(t *testing.T) {
 			is := is.New(t)
@@ -38,10 +39,10 @@
 	}
 }
 
-// A team says that late steps are dropped, but not when, and that staleness
-// matters more while samples may be very old. It would get a configuration
-// that does neither.
-func TestContradictionsAreRefusedTogether(t *testing.T) {
+// Guards against answers that drop late steps without a time limit, or put staleness
+// first but allow very old samples. The configuration would do neither; both
+// contradictions must be reported at once.
+func TestParseReportsAllContradictions(t *testing.T) {
 	is := is.New(t)
 	_, err := questionnaire.Parse([]byte(`{"format": 1, "title": "t", "team": "t", "models": [
 		{"name": "m", "group": "g", "late_rounds": "drop", "matters_more": "staleness", "oldest_versions": 100}]}`))
@@ -50,8 +51,8 @@
 	is.True(strings.Contains(err.Error(), "models[0].oldest_versions"))
 }
 
-// A person answers in the terminal, asks for help, goes back, and contradicts
-// an earlier answer.
+// Runs an interview in which a person asks for help, goes back, and gives an answer
+// that contradicts an earlier one.
 func TestInterviewGoesBackAndAsksAgain(t *testing.T) {
 	is := is.New(t)
 	typed := []string{
