--- a/internal/fleet/secret/doc.go
+++ b/internal/fleet/secret/doc.go
@@ -1,11 +1,12 @@
-// Package secret keeps a random key that all instances of a fleet share.
+// Package secret shares one random secret among all instances of a fleet.
 //
 //	keeper := &secret.Keeper{
 //		Space: space,
 //		Key:   registry.BoardKey("secret"),
 //	}
-//	key, err := keeper.Get(ctx)
+//	value, err := keeper.Get(ctx)
 //
-// Whoever needs it first makes it; the key-value service decides who was first. It
-// lies in that service only and is never logged.
+// The first instance that needs the secret creates it. A Keeper stores it only in the
+// key-value service, which decides which instance was first. A Gossip shares it between
+// instances directly. The secret is never logged.
 package secret
--- a/internal/fleet/secret/gossip.go
+++ b/internal/fleet/secret/gossip.go
@@ -8,39 +8,39 @@
 	"github.com/egretbend/egretbend/internal/fleet/gossip"
 )
 
-// gossipKey is the one key of gossip entries of kind secret.
+// gossipKey is the only key of gossip entries of kind secret.
 const gossipKey = "fleet"
 
-// Gossip holds the secret of instances that tell each other directly. Of several that
-// are made at the same time the one with the highest version stays.
+// Gossip shares the secret by gossip. If several instances create one at the same time,
+// the one with the highest version wins.
 type Gossip struct {
 	State *gossip.State
 }
 
-// Known returns the secret, or nil as long as it is not known here.
+// Known returns the secret, or nil while this instance does not know it.
 func (g *Gossip) Known() []byte {
 	e, ok := g.State.Find(gossip.KindSecret, gossipKey)
-	if !ok || len(e.Value) != length {
+	if !ok || len(e.Value) != secretLength {
 		return nil
 	}
 	return e.Value
 }
 
-// Get returns the secret. It makes one if there is none.
+// Get returns the secret and creates it if this instance knows none.
 func (g *Gossip) Get(context.Context) ([]byte, error) {
 	if s := g.Known(); s != nil {
 		return s, nil
 	}
-	fresh := make([]byte, length+8)
+	fresh := make([]byte, secretLength+8)
 	_, _ = rand.Read(fresh) // never fails
 	g.State.Merge(gossip.Entry{
 		Kind: gossip.KindSecret,
 		Key:  gossipKey,
 		Version: gossip.Version{
 			Major: 1,
-			Minor: binary.LittleEndian.Uint64(fresh[length:]),
+			Minor: binary.LittleEndian.Uint64(fresh[secretLength:]),
 		},
-		Value: fresh[:length],
+		Value: fresh[:secretLength],
 	})
 	return g.Known(), nil
 }
--- a/internal/fleet/secret/gossip_test.go
+++ b/internal/fleet/secret/gossip_test.go
@@ -10,7 +10,7 @@
 	"github.com/egretbend/egretbend/internal/fleet/gossip"
 )
 
-// Guards against two secrets that are made at the same time and both stay.
+// Guards against two secrets that are created at the same time and both remain in use.
 func TestGossipAgreesOnOneSecret(t *testing.T) {
 	is := is.New(t)
 	var x, y gossip.State
@@ -21,6 +21,6 @@
 	is.NoErr(err)
 	x.MergeAll(y.List(gossip.KindSecret))
 	y.MergeAll(x.List(gossip.KindSecret))
-	is.Equal(len(a.Known()), length)
+	is.Equal(len(a.Known()), secretLength)
 	is.True(bytes.Equal(a.Known(), b.Known()))
 }
--- a/internal/fleet/secret/keeper.go
+++ b/internal/fleet/secret/keeper.go
@@ -11,19 +11,20 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// length of a secret in bytes.
-const length = 32
+// secretLength is the length of a secret in bytes.
+const secretLength = 32
 
-// Keeper holds the fleet's secret. Take may be called at any time.
+// Keeper shares the secret through the key-value service. Take may be called
+// concurrently with the other methods.
 type Keeper struct {
 	Space keyvalue.Space
-	// Key is where the secret lies.
+	// Key is the key of the secret in Space.
 	Key string
 
 	known atomic.Pointer[[]byte]
 }
 
-// Known returns the secret, or nil as long as it is not known here.
+// Known returns the secret, or nil while this instance does not know it.
 func (k *Keeper) Known() []byte {
 	if s := k.known.Load(); s != nil {
 		return *s
@@ -31,25 +32,25 @@
 	return nil
 }
 
-// Take takes the secret as the key-value service has it.
+// Take sets the secret to the value stored in the key-value service.
 func (k *Keeper) Take(value []byte) error {
 	var s []byte
 	if err := json.Unmarshal(value, &s); err != nil {
-		return fmt.Errorf("secret: %w", err)
+		return fmt.Errorf("decode secret: %w", err)
 	}
-	if len(s) != length {
-		return fmt.Errorf("secret: %d bytes, not %d", len(s), length)
+	if len(s) != secretLength {
+		return fmt.Errorf("secret has %d bytes, expected %d", len(s), secretLength)
 	}
 	k.known.Store(&s)
 	return nil
 }
 
-// Get returns the secret. It makes one if there is none.
+// Get returns the secret and creates it if the key-value service has none.
 func (k *Keeper) Get(ctx context.Context) ([]byte, error) {
 	if s := k.Known(); s != nil {
 		return s, nil
 	}
-	fresh := make([]byte, length)
+	fresh := make([]byte, secretLength)
 	_, _ = rand.Read(fresh) // never fails
 	value, err := json.Marshal(fresh)
 	if err != nil {
@@ -69,7 +70,8 @@
 	case errors.As(err, &conflict):
 		value = conflict.Item(k.Key).Value
 	case errors.Is(err, keyvalue.ErrLost):
-		// It may have been done, or be done later: only what lies there counts.
+		// The write may have been applied or may still be applied later, so only the
+		// stored value is valid.
 		item, err := k.Space.Get(ctx, k.Key)
 		if err != nil {
 			return nil, err
--- a/internal/fleet/secret/keeper_test.go
+++ b/internal/fleet/secret/keeper_test.go
@@ -11,8 +11,8 @@
 	"github.com/egretbend/egretbend/internal/standin/space"
 )
 
-// Guards against instances with secrets of their own, none of which recognises what
-// another one has seen.
+// Guards against instances with different secrets, none of which recognises what
+// another one has seen, also if the answer to the write is lost.
 func TestAllShareOneSecret(t *testing.T) {
 	is := is.New(t)
 	for _, fault := range []space.Fault{space.None, space.LostAfter} {
@@ -34,11 +34,12 @@
 		second, err := b.Get(context.Background())
 		is.NoErr(err)
 		is.True(bytes.Equal(first, second))
-		is.Equal(len(first), length)
+		is.Equal(len(first), secretLength)
 	}
 }
 
-// Guards against a secret that lasts only as long as the service is away.
+// Guards against an instance that uses a secret of its own during an outage of the
+// key-value service.
 func TestNoSecretWhileTheServiceIsAway(t *testing.T) {
 	is := is.New(t)
 	k := Keeper{
