--- a/internal/fleet/timeofday/clock.go
+++ b/internal/fleet/timeofday/clock.go
@@ -8,121 +8,132 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// The limits of an estimate.
+// Limits of an estimate.
 const (
-	// keep is how long the clock of another instance counts after it was heard.
-	keep = 10 * time.Second
-	// enough is how many clocks an estimate needs that others may take.
-	enough = 3
-	// mostHeard bounds the clocks that are remembered.
-	mostHeard = 64
+	// sampleTTL is how long a sample of another instance's clock is used.
+	sampleTTL = 10 * time.Second
+	// minClocks is the number of clocks that an estimate needs to be adopted by other
+	// instances, or to be preferred to an adopted one.
+	minClocks = 3
+	// maxSamples bounds the number of instances whose clocks are remembered.
+	maxSamples = 64
 )
 
 // Reading is an estimate of the time of day.
 type Reading struct {
-	// UnixMicro is the time in microseconds since the start of 1970.
+	// UnixMicro is the estimated time in microseconds since the Unix epoch, the start
+	// of 1970.
 	UnixMicro int64
-	// Clocks is how many clocks it is made from.
+	// Clocks is the number of clocks that the estimate is based on.
 	Clocks int
 }
 
-// Clock estimates the time of day. Its zero value with Timer and Wall works.
+// Clock estimates the time of day. It needs Timer and Wall; its other fields may be
+// zero.
 type Clock struct {
 	Timer timer.Service
-	// Wall returns this instance's own time of day.
+	// Wall returns the time of day of this instance's own clock.
 	Wall func() time.Time
 
-	mu    sync.Mutex
-	heard map[string]sample
-	// adopted is the estimate of another instance.
+	mu sync.Mutex
+	// samples holds the latest sample of each other instance's clock.
+	samples map[string]sample
+	// adopted is the latest estimate taken over from another instance.
 	adopted sample
 }
 
-// sample is how far a time of day was ahead of the timer service.
+// sample is the offset of a time of day from the timer service, and when it was taken.
 type sample struct {
-	ahead time.Duration
-	at    timer.Instant
+	offset time.Duration
+	at     timer.Instant
 }
 
-func sampleOf(wall time.Time, at timer.Instant) sample {
+// newSample returns the sample of a wall time that was read at an instant.
+func newSample(wall time.Time, at timer.Instant) sample {
 	return sample{
-		ahead: time.Duration(wall.UnixNano() - int64(at)),
-		at:    at,
+		offset: time.Duration(wall.UnixNano() - int64(at)),
+		at:     at,
 	}
 }
 
-// Heard notes the time of day that another instance had a moment ago.
+// Heard records the time of day that another instance sent a moment ago. If the clocks
+// of maxSamples instances are remembered already, that of a further one is ignored.
 func (c *Clock) Heard(instance string, wall time.Time) {
 	now := c.Timer.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.heard == nil {
-		c.heard = make(map[string]sample)
+	if c.samples == nil {
+		c.samples = make(map[string]sample)
 	}
-	if _, known := c.heard[instance]; !known && len(c.heard) >= mostHeard {
-		c.forget(now)
-		if len(c.heard) >= mostHeard {
+	if _, known := c.samples[instance]; !known && len(c.samples) >= maxSamples {
+		c.dropExpired(now)
+		if len(c.samples) >= maxSamples {
 			return
 		}
 	}
-	c.heard[instance] = sampleOf(wall, now)
+	c.samples[instance] = newSample(wall, now)
 }
 
-// forget drops the clocks that were not heard lately. The lock is held.
-func (c *Clock) forget(now timer.Instant) {
-	for instance, s := range c.heard {
-		if now.Sub(s.at) > keep {
-			delete(c.heard, instance)
+// dropExpired removes the samples that are older than sampleTTL. The caller holds the
+// lock.
+func (c *Clock) dropExpired(now timer.Instant) {
+	for instance, s := range c.samples {
+		if now.Sub(s.at) > sampleTTL {
+			delete(c.samples, instance)
 		}
 	}
 }
 
-// Adopt takes the estimate of another instance, which was made at an instant or shortly
-// after. One from few clocks is no better than this instance's own.
+// Adopt takes over the estimate of another instance, which was made at the given
+// instant or shortly after. An estimate from fewer than minClocks clocks is ignored, as
+// it is no better than this instance's own.
 func (c *Clock) Adopt(r Reading, at timer.Instant) {
-	if r.Clocks < enough {
+	if r.Clocks < minClocks {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.adopted = sampleOf(time.UnixMicro(r.UnixMicro), at)
+	c.adopted = newSample(time.UnixMicro(r.UnixMicro), at)
 }
 
-// Read returns the estimate of now from what this instance heard itself.
+// Read returns the estimate of the current time from this instance's own clock and
+// samples, without an adopted estimate.
 func (c *Clock) Read() Reading {
 	now := c.Timer.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ahead, clocks := c.middle(now)
+	offset, clocks := c.medianOffset(now)
 	return Reading{
-		UnixMicro: (int64(now) + int64(ahead)) / int64(time.Microsecond),
+		UnixMicro: (int64(now) + int64(offset)) / int64(time.Microsecond),
 		Clocks:    clocks,
 	}
 }
 
-// Now returns the time of day as far as it is known.
+// Now returns the best estimate of the current time: this instance's own if it is based
+// on at least minClocks clocks or nothing was adopted, else the adopted one.
 func (c *Clock) Now() time.Time {
 	now := c.Timer.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ahead, clocks := c.middle(now)
-	if clocks < enough && c.adopted.at != 0 {
-		// An older one is still better than a single clock, which may have jumped.
-		ahead = c.adopted.ahead
+	offset, clocks := c.medianOffset(now)
+	if clocks < minClocks && c.adopted.at != 0 {
+		// Even an old adopted estimate is better than that of few clocks, one of which
+		// may have jumped.
+		offset = c.adopted.offset
 	}
-	return time.Unix(0, int64(now)+int64(ahead))
+	return time.Unix(0, int64(now)+int64(offset))
 }
 
-// middle returns how far the middle one of all clocks is ahead of the timer service, and
-// how many there are. The lock is held.
-func (c *Clock) middle(now timer.Instant) (time.Duration, int) {
-	all := make([]time.Duration, 0, len(c.heard)+1)
-	all = append(all, sampleOf(c.Wall(), now).ahead)
-	for _, s := range c.heard {
-		if now.Sub(s.at) <= keep {
-			all = append(all, s.ahead)
+// medianOffset returns the median offset of all clocks from the timer service, and the
+// number of clocks. The caller holds the lock.
+func (c *Clock) medianOffset(now timer.Instant) (time.Duration, int) {
+	offsets := make([]time.Duration, 0, len(c.samples)+1)
+	offsets = append(offsets, newSample(c.Wall(), now).offset)
+	for _, s := range c.samples {
+		if now.Sub(s.at) <= sampleTTL {
+			offsets = append(offsets, s.offset)
 		}
 	}
-	slices.Sort(all)
-	return all[len(all)/2], len(all)
+	slices.Sort(offsets)
+	return offsets[len(offsets)/2], len(offsets)
 }
--- a/internal/fleet/timeofday/clock_test.go
+++ b/internal/fleet/timeofday/clock_test.go
@@ -11,57 +11,60 @@
 	"github.com/egretbend/egretbend/internal/standin/proof"
 )
 
-// truth is the time of day at the timer's start.
-var truth = time.UnixMilli(1_700_000_000_000)
+// trueStart is the true time of day at the start of the timer.
+var trueStart = time.UnixMilli(1_700_000_000_000)
 
-// newClock returns a clock whose own time of day is off.
+// newClock returns a clock whose own time of day deviates from the true one by off.
 func newClock(off time.Duration) (*Clock, *timer.Manual) {
 	t := &timer.Manual{}
 	t.Advance(time.Hour)
 	return &Clock{
 		Timer: t,
-		Wall:  func() time.Time { return truth.Add(time.Duration(t.Now()) + off) },
+		Wall:  func() time.Time { return trueStart.Add(time.Duration(t.Now()) + off) },
 	}, t
 }
 
-func now(t *timer.Manual) time.Time { return truth.Add(time.Duration(t.Now())) }
+// trueNow returns the true time of day.
+func trueNow(t *timer.Manual) time.Time { return trueStart.Add(time.Duration(t.Now())) }
 
-// Guards against requests that are counted in another window by a clock that jumped.
-func TestClocksThatJumpDontCount(t *testing.T) {
+// Guards against a request that is counted in the wrong window because a clock jumped.
+func TestMedianIgnoresClocksThatJump(t *testing.T) {
 	is := is.New(t)
 	c, svc := newClock(4 * time.Second)
-	is.Equal(c.Now(), now(svc).Add(4*time.Second)) // nothing else is known
-	c.Heard("a", now(svc).Add(4*time.Second))
-	c.Heard("b", now(svc))
-	c.Heard("c", now(svc))
-	c.Heard("d", now(svc))
-	is.Equal(c.Now(), now(svc))
+	is.Equal(c.Now(), trueNow(svc).Add(4*time.Second)) // no other clock is known
+	c.Heard("a", trueNow(svc).Add(4*time.Second))
+	c.Heard("b", trueNow(svc))
+	c.Heard("c", trueNow(svc))
+	c.Heard("d", trueNow(svc))
+	is.Equal(c.Now(), trueNow(svc))
 	is.Equal(c.Read().Clocks, 5)
-	svc.Advance(keep / 2)
-	is.Equal(c.Now(), now(svc)) // it goes on
-	svc.Advance(keep)
-	is.Equal(c.Read().Clocks, 1) // old ones don't count
+	svc.Advance(sampleTTL / 2)
+	is.Equal(c.Now(), trueNow(svc)) // the estimate advances with the timer
+	svc.Advance(sampleTTL)
+	is.Equal(c.Read().Clocks, 1) // the samples have expired
 }
 
-// Guards against the single clock of an instance that gets few heartbeats.
-func TestWordOfOneThatHearsManyCounts(t *testing.T) {
+// Guards against an instance that gets few heartbeats and relies on its own clock
+// alone, though another one has an estimate from enough clocks.
+func TestAdoptNeedsEnoughClocks(t *testing.T) {
 	is := is.New(t)
 	c, svc := newClock(-4 * time.Second)
 	reading := Reading{
-		UnixMicro: now(svc).UnixMicro(),
-		Clocks:    enough - 1,
+		UnixMicro: trueNow(svc).UnixMicro(),
+		Clocks:    minClocks - 1,
 	}
 	c.Adopt(reading, svc.Now())
-	is.Equal(c.Now(), now(svc).Add(-4*time.Second)) // it hears no more than this one
-	reading.Clocks = enough
+	is.Equal(c.Now(), trueNow(svc).Add(-4*time.Second)) // too few clocks to adopt
+	reading.Clocks = minClocks
 	c.Adopt(reading, svc.Now())
-	is.Equal(c.Now(), now(svc))
+	is.Equal(c.Now(), trueNow(svc))
 	svc.Advance(time.Minute)
-	is.Equal(c.Now(), now(svc))
+	is.Equal(c.Now(), trueNow(svc))
 }
 
-// As long as most clocks are right within some milliseconds, so is the estimate.
-func TestMostClocksDecide(t *testing.T) {
+// Checks that the estimate is within 5 ms of the true time as long as most clocks are,
+// whatever the others show.
+func TestEstimateFollowsMajorityOfClocks(t *testing.T) {
 	proof.Check(t, func(t *rapid.T) {
 		good := rapid.IntRange(1, 20).Draw(t, "good")
 		wrong := rapid.IntRange(0, good-1).Draw(t, "wrong")
@@ -73,9 +76,9 @@
 			if i >= good {
 				off = large.Draw(t, "jump")
 			}
-			c.Heard(string(rune('a'+i)), now(svc).Add(time.Duration(off)*time.Millisecond))
+			c.Heard(string(rune('a'+i)), trueNow(svc).Add(time.Duration(off)*time.Millisecond))
 		}
-		if d := c.Now().Sub(now(svc)).Abs(); d > 5*time.Millisecond {
+		if d := c.Now().Sub(trueNow(svc)).Abs(); d > 5*time.Millisecond {
 			t.Fatalf("off by %s with %d good and %d wrong clocks", d, good, wrong)
 		}
 	})
--- a/internal/fleet/timeofday/doc.go
+++ b/internal/fleet/timeofday/doc.go
@@ -1,7 +1,7 @@
 // Package timeofday estimates the true time of day from the clocks of many instances.
 //
-// The clocks of a few are off by seconds, and jump. An instance hears those of others
-// with their heartbeats, and takes the middle one of all:
+// The clocks of a few instances are off by seconds, and may jump. An instance receives
+// the clocks of others with their heartbeats and uses the median of all:
 //
 //	clock := &timeofday.Clock{
 //		Timer: timer.Real{},
@@ -10,6 +10,6 @@
 //	clock.Heard("gent-a-1", sent)
 //	now := clock.Now()
 //
-// One that gets few heartbeats adopts the estimate of one that gets many. Between two
-// estimates the time goes on with the timer service, which does not jump.
+// An instance that gets few heartbeats adopts the estimate of one that gets many.
+// Between two estimates the time advances with the timer service, which does not jump.
 package timeofday
