--- a/internal/fleet/version/board.go
+++ b/internal/fleet/version/board.go
@@ -8,35 +8,36 @@
 	"github.com/egretbend/egretbend/internal/kernel/problem"
 )
 
-// Published is a version with where its weights lie.
+// Published is a published version of a model's weights and where they are stored.
 type Published struct {
 	Version Version `json:"version"`
 	// Source is the name of the weights in the weight store.
 	Source string `json:"source"`
 }
 
-// Board keeps the newest published version of each deployment. It is told to
-// one instance and spreads by gossip.
+// Board holds the newest published version of each deployment. A version is published
+// at one instance and spreads by gossip.
 type Board struct {
 	State *gossip.State
 
-	current atomic.Pointer[board]
+	current atomic.Pointer[snapshot]
 }
 
-// board is an immutable copy of what gossip tells, by deployment.
-type board struct {
+// snapshot is an immutable copy of the versions in the gossip state, by deployment.
+type snapshot struct {
+	// changes is the value of Board.Changes for which the copy was made.
 	changes uint64
 	newest  map[string]Published
 }
 
-// Publish makes v the newest version of a deployment. Publishing the newest
-// one again changes nothing; an older one is refused.
+// Publish makes p the newest version of a deployment. Publishing the newest version
+// again changes nothing; an older one fails with VersionBehind.
 func (b *Board) Publish(deployment string, p Published) error {
 	value, err := json.Marshal(p)
 	if err != nil {
 		return problem.Internal.With(err)
 	}
-	taken := b.State.Merge(gossip.Entry{
+	merged := b.State.Merge(gossip.Entry{
 		Kind: gossip.KindWeights,
 		Key:  deployment,
 		Version: gossip.Version{
@@ -46,30 +47,32 @@
 		Value: value,
 	})
 	newest, _ := b.Newest(deployment)
-	if taken || newest.Version == p.Version {
+	if merged || newest.Version == p.Version {
 		return nil
 	}
 	return problem.VersionBehind.Withf("version %v is behind the published %v", p.Version, newest.Version)
 }
 
-// Changes counts what was published, in the whole fleet.
+// Changes returns a counter that rises with each change of the published versions of
+// all deployments.
 func (b *Board) Changes() uint64 { return b.State.Changes(gossip.KindWeights) }
 
-// Newest returns the newest published version of a deployment. It is asked on
-// the path of each sample and takes no lock unless something was published.
+// Newest returns the newest published version of a deployment. It is on the path of
+// every sample and takes no lock unless a version was published since the last call.
 func (b *Board) Newest(deployment string) (Published, bool) {
 	changes := b.Changes()
 	c := b.current.Load()
 	if c == nil || c.changes != changes {
-		c = b.read(changes)
+		c = b.buildSnapshot(changes)
 		b.current.Store(c)
 	}
 	p, ok := c.newest[deployment]
 	return p, ok
 }
 
-func (b *Board) read(changes uint64) *board {
-	c := &board{
+// buildSnapshot copies the published versions from the gossip state.
+func (b *Board) buildSnapshot(changes uint64) *snapshot {
+	c := &snapshot{
 		changes: changes,
 		newest:  make(map[string]Published),
 	}
--- a/internal/fleet/version/doc.go
+++ b/internal/fleet/version/doc.go
@@ -1,10 +1,13 @@
-// Package version names weight versions and keeps the newest published one of
-// each deployment.
+// Package version identifies the versions of model weights and holds the newest
+// published one of each deployment.
 //
 //	board := &version.Board{State: state}
-//	err := board.Publish("cutting-plan", version.Version{Epoch: 1, Number: 7}, source)
+//	err := board.Publish("cutting-plan", version.Published{
+//		Version: version.Version{Epoch: 1, Number: 7},
+//		Source:  source,
+//	})
 //	newest, ok := board.Newest("cutting-plan")
 //
-// A version only goes up. A trainer that goes back to older weights begins a
-// new epoch.
+// The newest version of a deployment only rises. A trainer that returns to older
+// weights starts a new epoch.
 package version
--- a/internal/fleet/version/version.go
+++ b/internal/fleet/version/version.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Version names one set of weights of a model.
+// Version identifies one set of weights of a model. Epochs order first, then numbers.
 type Version struct {
 	Epoch  uint64 `json:"epoch"`
 	Number uint64 `json:"number"`
@@ -19,14 +19,15 @@
 	return v.Number < w.Number
 }
 
-// Zero reports whether v names no weights.
+// Zero reports whether v is the zero value, which identifies no weights.
 func (v Version) Zero() bool { return v == Version{} }
 
 // String returns the version as epoch.number.
 func (v Version) String() string { return fmt.Sprintf("%d.%d", v.Epoch, v.Number) }
 
-// Behind returns by how many versions v is older than newest. A version of an
-// earlier epoch is older by any number: the numbers don't compare.
+// Behind returns by how many versions v is older than newest, or 0 if it is not older.
+// If v is of an earlier epoch, it returns math.MaxUint64, as numbers of different
+// epochs are not comparable.
 func (v Version) Behind(newest Version) uint64 {
 	if !v.Less(newest) {
 		return 0
