--- a/internal/fleet/configuration/configuration.go
+++ b/internal/fleet/configuration/configuration.go
@@ -149,11 +149,12 @@
 			switch {
 			case err != nil:
 				fault.Expected = "a SHA-256 digest in hexadecimal"
+				// The value is not printed, as it may be a key.
 				fault.Got = "a value in another form"
 				fault.Remedy = err.Error()
 			case found:
-				fault.Expected = "a key that is listed once"
-				fault.Got = fmt.Sprintf("a key that is already listed for %q", owner)
+				fault.Expected = "a key of one organisation"
+				fault.Got = fmt.Sprintf("one that %q holds too", owner)
 				fault.Remedy = "create another key"
 			default:
 				owners[digest] = o.Name
