--- a/internal/fleet/relay/copy.go
+++ b/internal/fleet/relay/copy.go
@@ -8,37 +8,42 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// keptChanges is how many changes a copy remembers: some seconds of the busiest
-// times. Who is further behind takes the whole prefix.
-const keptChanges = 256
+// maxKeptChanges is the number of changes that a copy keeps: those of some seconds
+// at the busiest times. A follower that is further behind lists the whole prefix.
+const maxKeptChanges = 256
 
-// Copy holds a prefix and its last changes, for those who ask this instance.
+// Copy holds the items below a prefix and their last changes, from which this
+// instance answers the queries of others.
 type Copy struct {
-	mu       sync.Mutex
-	items    map[string]keyvalue.Item
-	changes  []keyvalue.Change
-	begun    bool
-	reaches  uint64
-	revision uint64
-	changed  chan struct{}
-	// confirmed is the revision of the item that was current at an instant.
-	confirmed   uint64
-	confirmedAt timer.Instant
+	mu      sync.Mutex
+	items   map[string]keyvalue.Item
+	changes []keyvalue.Change
+	// loaded is set once the whole prefix was read.
+	loaded bool
+	// completeAfter is the revision after which changes holds every change.
+	completeAfter uint64
+	revision      uint64
+	// nextChange is closed at the next change; nil if no query came since the last.
+	nextChange chan struct{}
+	// confirmedRevision is the revision of the newest item at confirmedAt.
+	confirmedRevision uint64
+	confirmedAt       timer.Instant
 }
 
-// Take applies changes that were seen up to a revision.
+// Take applies changes. revision is the one up to which all changes are known. The
+// first call must hold the whole prefix.
 func (c *Copy) Take(changes []keyvalue.Change, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.keep(changes)
-	if !c.begun {
-		c.begun = true
-		c.reaches = revision
+	c.applyToItems(changes)
+	if !c.loaded {
+		c.loaded = true
+		c.completeAfter = revision
 		changes = nil
 	}
 	c.changes = append(c.changes, changes...)
-	if over := len(c.changes) - keptChanges; over > 0 {
-		c.reaches = c.changes[over-1].Revision
+	if over := len(c.changes) - maxKeptChanges; over > 0 {
+		c.completeAfter = c.changes[over-1].Revision
 		c.changes = slices.Delete(c.changes, 0, over)
 	}
 	c.revision = max(c.revision, revision)
@@ -47,8 +52,8 @@
 	}
 }
 
-// keep applies changes to the items. The lock is held.
-func (c *Copy) keep(changes []keyvalue.Change) {
+// applyToItems applies changes to the items. c.mu must be held.
+func (c *Copy) applyToItems(changes []keyvalue.Change) {
 	if c.items == nil {
 		c.items = make(map[string]keyvalue.Item)
 	}
@@ -61,8 +66,7 @@
 	}
 }
 
-// listing returns the whole prefix as far as it is known here; ok is false
-// before it was read.
+// listing returns the items of the copy; ok is false before the first Take.
 func (c *Copy) listing() (l keyvalue.Listing, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,56 +74,58 @@
 	for _, item := range c.items {
 		l.Items = append(l.Items, item)
 	}
-	return l, c.begun
+	return l, c.loaded
 }
 
-// Confirm notes that the newest item, of a revision, was current at an instant.
+// Confirm records that the newest item had the given revision at the given instant.
 func (c *Copy) Confirm(at timer.Instant, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if at > c.confirmedAt {
-		c.confirmed = revision
+		c.confirmedRevision = revision
 		c.confirmedAt = at
 	}
 }
 
-// current returns the revision that was current last and when, or zeros.
-func (c *Copy) current() (revision uint64, at timer.Instant) {
+// lastConfirmed returns the revision and the instant of the last confirmation, or
+// zeros if there is none.
+func (c *Copy) lastConfirmed() (revision uint64, at timer.Instant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.confirmed, c.confirmedAt
+	return c.confirmedRevision, c.confirmedAt
 }
 
-// wake wakes all who wait. The lock is held.
+// wake ends the waits of all queries for this copy. c.mu must be held.
 func (c *Copy) wake() {
-	if c.changed != nil {
-		close(c.changed)
-		c.changed = nil
+	if c.nextChange != nil {
+		close(c.nextChange)
+		c.nextChange = nil
 	}
 }
 
-// Turn wakes all who wait: this instance no longer hears the service.
+// Turn ends the waits of all queries for this copy. It is called when the connection
+// to the service is lost.
 func (c *Copy) Turn() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.wake()
 }
 
-// since returns the changes after a revision, and a channel that is closed at
-// the next one. ok is false when the copy does not reach back that far.
-func (c *Copy) since(after uint64) (changes []keyvalue.Change, revision uint64, next <-chan struct{}, ok bool) {
+// changesAfter returns the changes after a revision, and a channel that is closed at
+// the next change. ok is false if the copy does not reach back that far.
+func (c *Copy) changesAfter(after uint64) (changes []keyvalue.Change, revision uint64, next <-chan struct{}, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.changed == nil {
-		c.changed = make(chan struct{})
+	if c.nextChange == nil {
+		c.nextChange = make(chan struct{})
 	}
-	if !c.begun || after < c.reaches {
-		return nil, c.revision, c.changed, false
+	if !c.loaded || after < c.completeAfter {
+		return nil, c.revision, c.nextChange, false
 	}
 	for _, change := range c.changes {
 		if change.Revision > after {
 			changes = append(changes, change)
 		}
 	}
-	return changes, max(c.revision, after), c.changed, true
+	return changes, max(c.revision, after), c.nextChange, true
 }
--- a/internal/fleet/relay/doc.go
+++ b/internal/fleet/relay/doc.go
@@ -1,10 +1,10 @@
-// Package relay lets few instances follow the key-value service and the others
-// hear from them.
+// Package relay lets a few instances watch the key-value service and pass what
+// they read on to all others.
 //
-// Each watch that returns is a priced call, and so is each waiting one. When
-// weights move, the list of upstreams changes many times a second; if all
+// Every watch that returns is a billed call, and so is every watch that waits.
+// While weights move, the list of upstreams changes many times a second; if all
 // instances watched it, those calls would cost more than all others together,
-// and grow with instances times upstreams.
+// and their number would grow with instances times upstreams.
 //
 //	space := &relay.Space{
 //		Space:    direct,
@@ -13,9 +13,10 @@
 //	}
 //	copied := space.Copy("upstreams/")
 //
-// A mirror follows the space as it follows the service itself. On a watcher its
-// watches and listings go to the service; elsewhere they go to a watcher, which
-// answers from its own copy as long as it surely hears the service. When a
-// watcher is silent, stale, behind what was heard already or gone, the next one
-// is asked, and then the service.
+// A Space is used like the key-value service itself, for example by a
+// mirror.Mirror. On some instances, the watchers, its watches and listings go to
+// the service. On all others, the followers, they go to a watcher, which answers
+// from its own Copy while its connection to the service works. When a watcher
+// does not answer, has lost the service, has left, or returns less than the
+// follower has read already, the next watcher is asked, and at last the service.
 package relay
--- a/internal/fleet/relay/server.go
+++ b/internal/fleet/relay/server.go
@@ -8,7 +8,7 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// receiver is the name of the calls between instances.
+// receiver is the name under which Server is registered for calls between instances.
 const receiver = "Relay"
 
 // Server answers the queries of other instances.
@@ -16,45 +16,45 @@
 	space *Space
 }
 
-// Register lets other instances ask this one.
+// Register makes the copies available to other instances.
 func (s *Space) Register(server *peer.Server) error {
 	return server.Register(receiver, &Server{
 		space: s,
 	})
 }
 
-// answers reports whether this instance is a watcher that surely hears the
-// service.
-func (s *Space) answers() bool { return s.Hears() && len(s.ask()) == 0 }
+// canAnswer reports whether this instance is a watcher whose connection to the
+// service works.
+func (s *Space) canAnswer() bool { return s.Hears() && len(s.watchersToAsk()) == 0 }
 
-// Poll answers one query.
+// Poll answers a query, at the latest after its wait.
 func (s *Server) Poll(q *Query, r *Reply) error {
 	arrived := s.space.Timer.Now()
 	if s.space.Clock != nil {
 		r.Time = s.space.Clock.Read()
 	}
-	if !s.space.answers() {
+	if !s.space.canAnswer() {
 		r.Stale = true
 		return nil
 	}
-	news, waits := s.space.news(q)
+	news, signals := s.space.changesFor(q)
 	if len(news) == 0 && q.WaitMS > 0 {
-		s.space.wait(time.Duration(q.WaitMS)*time.Millisecond, waits)
+		s.space.waitForChange(time.Duration(q.WaitMS)*time.Millisecond, signals)
 		if !s.space.Hears() {
 			r.Stale = true
 			return nil
 		}
-		news, _ = s.space.news(q)
+		news, _ = s.space.changesFor(q)
 	}
 	r.News = news
-	r.Current = s.space.current(q, arrived)
+	r.Current = s.space.freshness(q, arrived)
 	return nil
 }
 
-// List answers with a whole prefix.
+// List answers with the listing of a prefix.
 func (s *Server) List(prefix *string, w *Whole) error {
 	c := s.space.copies[*prefix]
-	if c == nil || !s.space.answers() {
+	if c == nil || !s.space.canAnswer() {
 		w.Stale = true
 		return nil
 	}
@@ -64,15 +64,16 @@
 	return nil
 }
 
-// current says how current the copies of the prefixes in a query are.
-func (s *Space) current(q *Query, arrived timer.Instant) map[string]Current {
+// freshness returns the last confirmations of the copies that a query asks for.
+// arrived is the instant at which the query arrived.
+func (s *Space) freshness(q *Query, arrived timer.Instant) map[string]Current {
 	var current map[string]Current
 	for prefix := range q.After {
 		c := s.copies[prefix]
 		if c == nil {
 			continue
 		}
-		revision, at := c.current()
+		revision, at := c.lastConfirmed()
 		if at == 0 {
 			continue
 		}
@@ -87,10 +88,11 @@
 	return current
 }
 
-// news returns what changed, and the channels that tell of the next changes.
-func (s *Space) news(q *Query) (map[string]News, []<-chan struct{}) {
+// changesFor returns the changes that a query asks for, by prefix, and channels that
+// are closed at the next changes.
+func (s *Space) changesFor(q *Query) (map[string]News, []<-chan struct{}) {
 	news := make(map[string]News)
-	var waits []<-chan struct{}
+	var signals []<-chan struct{}
 	for prefix, after := range q.After {
 		c := s.copies[prefix]
 		if c == nil {
@@ -99,8 +101,8 @@
 			}
 			continue
 		}
-		changes, revision, next, ok := c.since(after)
-		waits = append(waits, next)
+		changes, revision, next, ok := c.changesAfter(after)
+		signals = append(signals, next)
 		if !ok || len(changes) > 0 {
 			news[prefix] = News{
 				Behind:   !ok,
@@ -109,15 +111,16 @@
 			}
 		}
 	}
-	return news, waits
+	return news, signals
 }
 
-// wait waits for any of the copies that are followed, mostShared at most.
-func (s *Space) wait(d time.Duration, waits []<-chan struct{}) {
+// waitForChange waits until one of the signals is closed or a duration has passed. It
+// uses the first maxCopies signals.
+func (s *Space) waitForChange(d time.Duration, signals []<-chan struct{}) {
 	sub := s.Timer.Once(d)
 	defer sub.Close()
-	var c [mostShared]<-chan struct{}
-	copy(c[:], waits)
+	var c [maxCopies]<-chan struct{}
+	copy(c[:], signals)
 	select {
 	case <-c[0]:
 	case <-c[1]:
--- a/internal/fleet/relay/space.go
+++ b/internal/fleet/relay/space.go
@@ -14,43 +14,46 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// How watchers are chosen and asked.
+// Number of watchers, and limits of the calls to them.
 const (
-	// followers is how many instances hear from one watcher: some fifty answers
-	// a second at most, a hundredth of a large instance's processor. Each watcher
-	// costs a call of the service for each change of the list of upstreams.
-	followers = 24
-	// spareWatchers stand by, so that the death of one leaves no gap.
+	// followersPerWatcher is the number of instances that one watcher serves: at
+	// most some fifty answers a second, which take a hundredth of the processor of
+	// a large instance. Each further watcher costs one call of the service for
+	// each change of the list of upstreams.
+	followersPerWatcher = 24
+	// spareWatchers is the number of watchers beyond that, so that the others can
+	// take over when one dies.
 	spareWatchers = 1
-	// askedWatchers is how many are asked before the service itself. The service
-	// may turn a third of all instances away: with two asked, one follower in
-	// nine went to the service by itself, with a call for each prefix a second.
-	askedWatchers = 4
-	// relayWait is how long a watch waits at a watcher. It bounds how late a
-	// follower notices that its watcher fell silent; a change must be known
+	// maxWatchersAsked is the number of watchers that a follower asks before it
+	// calls the service itself. The service may reject the calls of a third of all
+	// instances: with two watchers asked, one follower in nine fell back to the
+	// service, with a call for each prefix a second.
+	maxWatchersAsked = 4
+	// pollWait is how long a watch waits at a watcher. It bounds the time until a
+	// follower notices that its watcher no longer answers; a change must be known
 	// everywhere within two seconds.
-	relayWait = 900 * time.Millisecond
-	// eagerWait is how long a watch waits at a watcher when a confirmation is needed.
-	eagerWait = 100 * time.Millisecond
-	// relayTimeout is what an answer may take beyond its wait.
-	relayTimeout = 300 * time.Millisecond
-	// listTimeout is what a whole prefix may take: a configuration of two
-	// thousand routes is half a megabyte, a tenth of a second on the smallest
+	pollWait = 900 * time.Millisecond
+	// eagerPollWait replaces pollWait while Space.Eager reports true.
+	eagerPollWait = 100 * time.Millisecond
+	// pollSlack is how much longer than its wait a poll may take.
+	pollSlack = 300 * time.Millisecond
+	// listTimeout bounds a listing at a watcher: a configuration of two thousand
+	// routes is half a megabyte, which takes a tenth of a second on the smallest
 	// link.
 	listTimeout = 800 * time.Millisecond
 )
 
-// mostShared is how many prefixes are copied: the configuration, the list of
-// upstreams and the instances.
-const mostShared = 3
+// maxCopies is the largest number of copied prefixes: the configuration, the list
+// of upstreams and the instances.
+const maxCopies = 3
 
-// View tells which instances there are.
+// View lists the instances of the fleet.
 type View interface {
 	Members() []registry.Member
 	Self() registry.Member
 }
 
-// Peers asks other instances for changes.
+// Peers sends queries to other instances.
 type Peers interface {
 	Poll(ctx context.Context, address string, q Query) (Reply, error)
 	List(ctx context.Context, address, prefix string) (Whole, error)
@@ -59,76 +62,83 @@
 // Clock estimates the time of day.
 type Clock interface {
 	Read() timeofday.Reading
-	// Adopt takes the estimate of another instance, made at an instant or just after.
+	// Adopt takes over the estimate of another instance, which was made at or just
+	// after the given instant.
 	Adopt(r timeofday.Reading, at timer.Instant)
 }
 
-// Query asks for the changes of prefixes after revisions.
+// Query asks for the changes of several prefixes, each after a revision.
 type Query struct {
 	After  map[string]uint64
 	WaitMS int64
 }
 
-// Reply is the answer of a watcher. Stale says that it does not surely hear the
-// service.
+// Reply is the answer to a Query.
 type Reply struct {
+	// Stale means that the instance is not a watcher, or that its connection to the
+	// service may be broken. News is then empty.
 	Stale bool
-	News  map[string]News
+	// News holds the changes by prefix.
+	News map[string]News
 	// Time is the watcher's estimate of the time of day when the query arrived.
 	Time timeofday.Reading
-	// Current says how current the watcher's copies are, of those for which that
-	// is known.
+	// Current holds the last confirmation of the watcher's copies by prefix. A
+	// prefix without a confirmation is absent.
 	Current map[string]Current
 }
 
-// Current says that the newest item of a copy was current at a moment.
+// Current confirms that the newest item of a copy was current at some instant.
 type Current struct {
-	// Revision is that of the newest item.
+	// Revision is the revision of that item.
 	Revision uint64
-	// Lead is how long after the query arrived that moment was; it is mostly
-	// negative. The query was sent before it arrived, so its sender may count from
-	// the moment at which it sent it.
+	// Lead is the time from the arrival of the query to that instant; it is mostly
+	// negative. The sender may add Lead to the instant at which it sent the query:
+	// that instant is before the arrival, so the result is never too late.
 	Lead time.Duration
 }
 
-// News is what changed below one prefix. Behind says that the watcher's copy
-// does not reach back far enough.
+// News holds the changes below one prefix. Behind means that the watcher's copy
+// does not reach back to the queried revision.
 type News struct {
 	Behind   bool
 	Changes  []keyvalue.Change
 	Revision uint64
 }
 
-// Whole is a prefix as a watcher knows it. Stale says that the watcher does not
-// surely hear the service.
+// Whole is the listing of a prefix from the copy of a watcher.
 type Whole struct {
+	// Stale means that the instance is not a watcher, that its connection to the
+	// service may be broken, or that it has not read the prefix yet.
 	Stale   bool
 	Listing keyvalue.Listing
 }
 
 // Space is a keyvalue.Space whose watches and listings of copied prefixes go to
-// watchers. Nobody takes a listing that is behind what it has heard already.
+// watchers. A listing of a watcher with an older revision than one that was
+// received before is rejected.
 type Space struct {
 	keyvalue.Space
 	Registry View
 	Peers    Peers
 	Timer    timer.Service
-	// Hears reports whether this instance surely hears the service.
+	// Hears reports whether this instance is sure that its connection to the service
+	// works, so that its copies may be served to others.
 	Hears func() bool
-	// Confirmed is called when a watcher says that the newest item below a prefix, of
-	// a revision, was current at an instant; nil is not called.
+	// Confirmed is called when a watcher confirms that the newest item below a prefix
+	// had the given revision at the given instant. It may be nil.
 	Confirmed func(prefix string, revision uint64, at timer.Instant)
-	// Clock takes the watcher's estimate of the time of day; nil takes none.
+	// Clock takes over the watcher's estimate of the time of day. It may be nil.
 	Clock Clock
-	// Eager reports whether this instance waits for Confirmed, so that its queries
-	// should be answered soon also without news; nil means never.
+	// Eager reports whether this instance waits for a call of Confirmed. Watchers then
+	// answer its queries after eagerPollWait even if nothing changed. Nil means never.
 	Eager func() bool
 
 	copies map[string]*Copy
-	follow follower
+	poller watcherPoller
 }
 
-// Copy begins a copy of a prefix. It is called before anything runs.
+// Copy adds a copy of a prefix, to be filled by the caller. All copies must be
+// added before the Space is used.
 func (s *Space) Copy(prefix string) *Copy {
 	if s.copies == nil {
 		s.copies = make(map[string]*Copy)
@@ -138,17 +148,18 @@
 	return c
 }
 
-// Turn tells all who wait here that this instance no longer hears the service.
+// Turn ends the waits of all queries at this instance. It is called when the
+// connection to the service is lost.
 func (s *Space) Turn() {
 	for _, c := range s.copies {
 		c.Turn()
 	}
 }
 
-// Watchers returns the instances that follow the service, of those given: some
-// of the able ones by a rendezvous hash, so that views that differ a little agree
-// on nearly all of them. Able instances show that they live more often, and have
-// the processor and the link for many followers.
+// Watchers returns those of the given instances that watch the service. They are
+// chosen by a rendezvous hash, so that instances with slightly different views
+// agree on nearly all of them, and from the able instances only: these renew their
+// registration more often and have the processor and the link for many followers.
 func Watchers(members []registry.Member) []registry.Member {
 	staying := 0
 	for _, m := range members {
@@ -157,11 +168,11 @@
 		}
 	}
 	able := registry.Able(members)
-	n := (staying+followers-1)/followers + spareWatchers
+	n := (staying+followersPerWatcher-1)/followersPerWatcher + spareWatchers
 	return rank(able, "watch")[:min(n, len(able))]
 }
 
-// rank orders members by their rendezvous hash with a key.
+// rank orders members by their rendezvous hash for a key.
 func rank(members []registry.Member, key string) []registry.Member {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b registry.Member) int {
@@ -179,15 +190,16 @@
 	return slices.ContainsFunc(members, func(m registry.Member) bool { return m.Name == name })
 }
 
-// ask returns whom to ask, or nothing if this instance is a watcher itself.
-func (s *Space) ask() []registry.Member {
+// watchersToAsk returns the watchers to query, in order, or nothing if this instance
+// is a watcher itself.
+func (s *Space) watchersToAsk() []registry.Member {
 	self := s.Registry.Self().Name
 	watchers := Watchers(s.Registry.Members())
 	if contains(watchers, self) {
 		return nil
 	}
 	list := rank(watchers, self)
-	return list[:min(askedWatchers, len(list))]
+	return list[:min(maxWatchersAsked, len(list))]
 }
 
 // Watch implements keyvalue.Space.
@@ -195,16 +207,16 @@
 	if s.copies[prefix] == nil {
 		return s.Space.Watch(ctx, prefix, after, wait)
 	}
-	if len(s.ask()) == 0 {
+	if len(s.watchersToAsk()) == 0 {
 		changes, revision, err := s.Space.Watch(ctx, prefix, after, wait)
 		if err == nil {
-			s.follow.hear(prefix, revision)
+			s.poller.recordRevision(prefix, revision)
 		}
 		return changes, revision, err
 	}
-	news, err := s.follow.next(ctx, s, prefix, after)
+	news, err := s.poller.next(ctx, s, prefix, after)
 	if errors.Is(err, errNoWatcher) {
-		return s.Space.Watch(ctx, prefix, after, min(wait, relayWait))
+		return s.Space.Watch(ctx, prefix, after, min(wait, pollWait))
 	}
 	if err == nil && news.Behind {
 		err = keyvalue.ErrCompacted
@@ -215,27 +227,29 @@
 // Range implements keyvalue.Space.
 func (s *Space) Range(ctx context.Context, prefix string, f keyvalue.Freshness) (keyvalue.Listing, error) {
 	if s.copies[prefix] != nil {
-		for _, m := range s.ask() {
-			call, cancel := context.WithTimeout(ctx, listTimeout)
-			whole, err := s.Peers.List(call, m.PeerAddress, prefix)
+		for _, m := range s.watchersToAsk() {
+			callCtx, cancel := context.WithTimeout(ctx, listTimeout)
+			reply, err := s.Peers.List(callCtx, m.PeerAddress, prefix)
 			cancel()
-			if err == nil && !whole.Stale && whole.Listing.Revision >= s.follow.heard(prefix) {
-				s.follow.hear(prefix, whole.Listing.Revision)
-				return whole.Listing, nil
+			if err == nil && !reply.Stale && reply.Listing.Revision >= s.poller.lastRevision(prefix) {
+				s.poller.recordRevision(prefix, reply.Listing.Revision)
+				return reply.Listing, nil
 			}
 		}
 	}
 	listing, err := s.Space.Range(ctx, prefix, f)
 	if err == nil && s.copies[prefix] != nil {
-		s.follow.hear(prefix, listing.Revision)
+		s.poller.recordRevision(prefix, listing.Revision)
 	}
 	return listing, err
 }
 
-var errStale = errors.New("the watcher does not surely hear the key-value service")
+var errStale = errors.New("the watcher has no confirmed connection to the key-value service")
 
+// poll sends a query to one watcher and passes on the time of day and the
+// confirmations in its reply.
 func (s *Space) poll(ctx context.Context, m registry.Member, q Query) (Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(q.WaitMS)*time.Millisecond+relayTimeout)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(q.WaitMS)*time.Millisecond+pollSlack)
 	defer cancel()
 	sent := s.Timer.Now()
 	r, err := s.Peers.Poll(ctx, m.PeerAddress, q)
