--- a/internal/fleet/detour/call.go
+++ b/internal/fleet/detour/call.go
@@ -13,7 +13,7 @@
 // Kind is one operation of the key-value service.
 type Kind int
 
-// The kinds of calls.
+// The operations of the key-value service.
 const (
 	KindGet Kind = iota
 	KindRange
@@ -34,13 +34,15 @@
 	return kindNames[k]
 }
 
-// Call is a call of the key-value service on its way through another instance.
-// Each kind uses some of the fields.
+// Call is a call of the key-value service that another instance can make. Each kind
+// uses some of the fields.
 type Call struct {
-	Kind        Kind
-	Key         string
-	Stale       bool
-	After       uint64
+	Kind Kind
+	// Key is the prefix for KindRange and KindWatch.
+	Key   string
+	Stale bool
+	After uint64
+	// WaitMS is the wait of KindWatch and the length of the lease of KindGrant.
 	WaitMS      int64
 	Lease       uint64
 	Transaction keyvalue.Transaction
@@ -55,14 +57,14 @@
 	Lease    uint64
 	Failure  Failure
 	Text     string
-	// Compared are the items of a conflict.
+	// Compared holds the items of a *keyvalue.ConflictError.
 	Compared []keyvalue.Item
 }
 
-// Failure is an error that travels between instances.
+// Failure is the code of an error in messages between instances.
 type Failure int
 
-// The failures.
+// The failures of calls.
 const (
 	FailureNone Failure = iota
 	FailureNotFound
@@ -84,8 +86,8 @@
 	FailureInvalid:   keyvalue.ErrInvalid,
 }
 
-// failureOf returns the failure of an error. What is not known may have been
-// done.
+// failureOf returns the code of an error. An unknown error is FailureLost: the call
+// may have taken effect.
 func failureOf(err error) Failure {
 	if err == nil {
 		return FailureNone
@@ -115,47 +117,48 @@
 	if !ok {
 		err = keyvalue.ErrLost
 	}
-	return &travelled{
+	return &remoteError{
 		kind: err,
 		text: a.Text,
 	}
 }
 
-// travelled is an error that was told by another instance.
-type travelled struct {
+// remoteError is an error that another instance reported.
+type remoteError struct {
 	kind error
 	text string
 }
 
 // Error implements error.
-func (t *travelled) Error() string {
+func (t *remoteError) Error() string {
 	if t.text == "" {
 		return t.kind.Error()
 	}
 	return t.text
 }
 
-// Unwrap returns the kind of error.
-func (t *travelled) Unwrap() error { return t.kind }
+// Unwrap returns the error of package keyvalue.
+func (t *remoteError) Unwrap() error { return t.kind }
 
-// limit returns how long the call may take on one way, given what others may.
-func (c Call) limit(others time.Duration) time.Duration {
+// timeout returns how long the call may take on one path. usual is the timeout of all
+// kinds but KindRange.
+func (c Call) timeout(usual time.Duration) time.Duration {
 	if c.Kind == KindRange {
 		return listTimeout
 	}
-	return others
+	return usual
 }
 
-// passes returns how long what the call carries takes on its way.
-func (c Call) passes() time.Duration {
+// transferTime returns how long the values of a transaction take to another instance.
+func (c Call) transferTime() time.Duration {
 	size := 0
 	for _, w := range c.Transaction.Writes {
 		size += len(w.Value)
 	}
-	return time.Duration(size) * time.Second / peerBytes
+	return time.Duration(size) * time.Second / peerBytesPerSecond
 }
 
-// At makes the call at a space.
+// At makes the call to a key-value service and returns its result and error.
 func (c Call) At(ctx context.Context, s keyvalue.Space) Answer {
 	var a Answer
 	var err error
@@ -187,37 +190,37 @@
 	return a
 }
 
-// receiver is the name of the calls between instances.
+// receiver is the name under which Server is registered for calls between instances.
 const receiver = "Detour"
 
-// Server makes the calls of other instances at the service.
+// Server makes calls to the service for other instances.
 type Server struct {
 	space *Space
 }
 
-// Register lets other instances call the service through this one, on its
-// direct way only.
+// Register lets other instances call the service through this one, which uses its
+// direct path only.
 func (s *Space) Register(server *peer.Server) error {
 	return server.Register(receiver, &Server{
 		space: s,
 	})
 }
 
-// Call makes one call.
+// Call makes one call. It fails at once while the direct path is known to be broken.
 func (s *Server) Call(c *Call, a *Answer) error {
 	if !s.space.Fresh() {
 		a.Failure = FailureDown
 		return nil
 	}
-	limit := c.limit(peerTimeout) + c.passes()
+	timeout := c.timeout(peerTimeout) + c.transferTime()
 	if c.Kind == KindWatch {
-		limit += watchThrough
+		timeout += peerWatchWait
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	*a = c.At(ctx, s.space.Direct)
 	if c.Kind != KindWatch {
-		s.space.note(a.Err())
+		s.space.recordDirect(a.Err())
 	}
 	return nil
 }
--- a/internal/fleet/detour/doc.go
+++ b/internal/fleet/detour/doc.go
@@ -1,5 +1,5 @@
-// Package detour reaches the key-value service through other instances when this
-// one is turned away or cut off from it.
+// Package detour sends calls of the key-value service through other instances
+// while the service rejects the calls of this instance or cannot be reached by it.
 //
 //	space := &detour.Space{
 //		Direct: store,
@@ -7,12 +7,12 @@
 //		Others: func() []string { return addresses },
 //	}
 //
-// Calls go the direct way as long as it works. After a failure they go through
-// another instance, and the direct way is tried again about once a second.
-// Waiting watches on a way that has turned bad are cut, so that their owners
-// list again: a cut connection gives no sign by itself.
+// Calls use the direct path while it works. After a failure they go through
+// another instance, and the direct path is tried first again about once a second.
+// When the direct path fails, the watches that wait on it are ended, so that their
+// callers list again: a broken connection may give no sign by itself.
 //
-// A call that fails on one way may have been done, and is sent on the other one
-// all the same. Callers guard their transactions by revisions and read back what
-// a conflict shows, so a second one does no harm.
+// A call that fails on one path may have taken effect, and is still repeated on the
+// other one. Callers make their transactions conditional on revisions and read the
+// items of a conflict, so a repetition does no harm.
 package detour
--- a/internal/fleet/detour/space.go
+++ b/internal/fleet/detour/space.go
@@ -14,173 +14,180 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// The times of the detour.
+// Timeouts, pauses and limits of both paths.
 const (
-	// directTimeout is how long the direct way may take before another one is
-	// tried. A slow service takes 60 times its usual 4 ms.
+	// directTimeout is how long a call on the direct path may take before other
+	// instances are tried. A slow service takes 60 times its usual 4 ms.
 	directTimeout = 500 * time.Millisecond
-	// listTimeout is what a listing may take on either way: a large batch is
+	// listTimeout is how long a listing may take on either path: a large batch is
 	// some megabytes, and the links of small instances carry five in a second.
 	listTimeout = 2 * time.Second
-	// peerTimeout is how long one other instance may take.
+	// peerTimeout is how long a call through one other instance may take.
 	peerTimeout = 400 * time.Millisecond
-	// badFor is how long the direct way is not tried first after a failure.
-	badFor = time.Second
-	// peerBytes is what another instance passes on in a second: a tenth of the
-	// link of an able one, over which other work goes as well.
-	peerBytes = 2 << 20
-	// triesThrough is how many other instances are tried for one call. The
-	// service may turn a third of them away; those say so at once.
-	triesThrough = 4
+	// directRetryInterval is how long after a failure the direct path is not tried
+	// first.
+	directRetryInterval = time.Second
+	// peerBytesPerSecond is the assumed bandwidth to another instance: a tenth of the
+	// link of an able instance, which carries other traffic as well.
+	peerBytesPerSecond = 2 << 20
+	// maxPeersTried is how many other instances are tried for one call. The service
+	// may reject the calls of a third of them; those say so at once.
+	maxPeersTried = 4
 	// watchSlack is how much longer than asked a direct watch may take.
 	watchSlack = 3 * time.Second
-	// watchThrough is how long a watch waits at another instance. Short waits
-	// bring it back to the direct way soon, and a dead instance is left soon.
-	watchThrough = 600 * time.Millisecond
-	// restFor is how long nothing is sent after all ways failed: every call is
-	// priced, also one that the service does not answer.
-	restFor = 700 * time.Millisecond
-	// shunFor is how long an instance that failed a call is not asked again.
-	shunFor = 3 * time.Second
+	// peerWatchWait is how long a watch waits at another instance. With short waits
+	// it soon returns to the direct path, and soon leaves an instance that died.
+	peerWatchWait = 600 * time.Millisecond
+	// outagePause is how long no call is made after all paths failed: every call is
+	// billed, even one that the service does not answer.
+	outagePause = 700 * time.Millisecond
+	// peerAvoidTime is how long an instance that failed a call is not tried again.
+	peerAvoidTime = 3 * time.Second
 )
 
-// Peers makes calls at other instances, which make them at the service.
+// Peers asks other instances to make calls to the service.
 type Peers interface {
 	Call(ctx context.Context, address string, c Call) (Answer, error)
 }
 
-// Space is a keyvalue.Space with two ways.
+// Space is a keyvalue.Space that uses the direct path or, while that fails, other
+// instances.
 type Space struct {
-	Direct  keyvalue.Space
-	Peers   Peers
+	Direct keyvalue.Space
+	Peers  Peers
+	// Others returns the addresses of the other instances.
 	Others  func() []string
 	Timer   timer.Service
 	Journal *journal.Journal
-	// Turned is called when the direct way turns bad; nil is not called.
+	// Turned is called when the direct path fails after it worked. It may be nil.
 	Turned func()
 
-	mu    sync.Mutex
-	bad   timer.Instant
-	isBad bool
-	rests timer.Instant
-	shun  map[string]timer.Instant
-	turn  chan struct{}
+	mu             sync.Mutex
+	directFailedAt timer.Instant
+	directFailed   bool
+	pausedUntil    timer.Instant
+	// avoidUntil holds the end of the exclusion of instances, by address.
+	avoidUntil map[string]timer.Instant
+	// directLost is closed when the direct path fails after it worked.
+	directLost chan struct{}
 }
 
-// Fresh reports whether the direct way works as far as is known, and so is to be
-// tried first. Other instances are told at once when it doesn't, without a call
-// of the service.
+// Fresh reports whether to try the direct path first: the last call on it was
+// answered, or failed at least directRetryInterval ago. While it is false, calls of
+// other instances are rejected at once, without a call of the service.
 func (s *Space) Fresh() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.isBad || s.Timer.Now().Sub(s.bad) >= badFor
+	return !s.directFailed || s.Timer.Now().Sub(s.directFailedAt) >= directRetryInterval
 }
 
-// Good reports whether the last call on the direct way was answered.
+// Good reports whether the last call on the direct path was answered.
 func (s *Space) Good() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.isBad
+	return !s.directFailed
 }
 
-// resting reports whether all ways failed a moment ago.
-func (s *Space) resting() bool {
+// paused reports whether all paths failed within the last outagePause.
+func (s *Space) paused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Timer.Now() < s.rests
+	return s.Timer.Now() < s.pausedUntil
 }
 
-// rest stops all calls for a while.
-func (s *Space) rest() {
+// pause stops all calls for outagePause.
+func (s *Space) pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rests = s.Timer.Now().Add(restFor)
+	s.pausedUntil = s.Timer.Now().Add(outagePause)
 }
 
-// avoid leaves an instance out for a while.
-func (s *Space) avoid(address string) {
+// avoidPeer excludes an instance for peerAvoidTime.
+func (s *Space) avoidPeer(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.shun == nil {
-		s.shun = make(map[string]timer.Instant)
+	if s.avoidUntil == nil {
+		s.avoidUntil = make(map[string]timer.Instant)
 	}
-	s.shun[address] = s.Timer.Now().Add(shunFor)
+	s.avoidUntil[address] = s.Timer.Now().Add(peerAvoidTime)
 }
 
-// turning returns whether the last call on the direct way failed, and a channel
-// that is closed when that way turns bad.
-func (s *Space) turning() (bad bool, turned <-chan struct{}) {
+// directState returns whether the last call on the direct path failed, and a channel
+// that is closed when that path fails after it worked.
+func (s *Space) directState() (failed bool, lost <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.turn == nil {
-		s.turn = make(chan struct{})
+	if s.directLost == nil {
+		s.directLost = make(chan struct{})
 	}
-	return s.isBad, s.turn
+	return s.directFailed, s.directLost
 }
 
-// note takes the outcome of a call on the direct way.
-func (s *Space) note(err error) {
-	failed := away(err)
+// recordDirect records the result of a call on the direct path. If the path failed
+// after it worked, it ends the watches on it and calls Turned.
+func (s *Space) recordDirect(err error) {
+	failed := unavailable(err)
 	s.mu.Lock()
-	was := s.isBad
-	s.isBad = failed
+	failedBefore := s.directFailed
+	s.directFailed = failed
 	if failed {
-		s.bad = s.Timer.Now()
-		if !was && s.turn != nil {
-			close(s.turn)
-			s.turn = nil
+		s.directFailedAt = s.Timer.Now()
+		if !failedBefore && s.directLost != nil {
+			close(s.directLost)
+			s.directLost = nil
 		}
 	}
 	s.mu.Unlock()
 	switch {
-	case failed && !was:
+	case failed && !failedBefore:
 		if s.Turned != nil {
 			s.Turned()
 		}
 		s.Journal.Trouble("dependency lost", err, log.Fields{
 			"dependency": "key-value service, direct way",
 		})
-	case !failed && was:
+	case !failed && failedBefore:
 		s.Journal.Event("dependency regained", log.Fields{
 			"dependency": "key-value service, direct way",
 		})
 	}
 }
 
-// away reports whether an error says that the service was not reached or did
-// not answer.
-func away(err error) bool {
+// unavailable reports whether an error means that the service was not reached, refused
+// the call or did not answer.
+func unavailable(err error) bool {
 	return errors.Is(err, keyvalue.ErrDown) || errors.Is(err, keyvalue.ErrBusy) || errors.Is(err, keyvalue.ErrLost) ||
 		errors.Is(err, context.DeadlineExceeded)
 }
 
-// do makes a call on the ways that there are.
+// do makes a call on the direct path and through other instances, in the order that
+// Fresh gives, until one path answers.
 func (s *Space) do(ctx context.Context, c Call) (Answer, error) {
-	if s.resting() {
+	if s.paused() {
 		return Answer{}, keyvalue.ErrDown
 	}
-	ways := []func(context.Context, Call) (Answer, error){s.through, s.straight}
+	paths := []func(context.Context, Call) (Answer, error){s.callPeers, s.callDirect}
 	if s.Fresh() {
-		ways[0], ways[1] = ways[1], ways[0]
+		paths[0], paths[1] = paths[1], paths[0]
 	}
 	var errs []error
-	for _, way := range ways {
-		a, err := way(ctx, c)
-		if !away(err) {
+	for _, path := range paths {
+		a, err := path(ctx, c)
+		if !unavailable(err) {
 			return a, err
 		}
 		errs = append(errs, err)
 		if ctx.Err() != nil {
-			return Answer{}, worst(errs)
+			return Answer{}, combineErrors(errs)
 		}
 	}
-	s.rest()
-	return Answer{}, worst(errs)
+	s.pause()
+	return Answer{}, combineErrors(errs)
 }
 
-// worst returns the error that leaves most open: a call that was lost on any
-// way may have been done.
-func worst(errs []error) error {
+// combineErrors joins the errors of all attempts at a call. If any of them is neither
+// ErrDown nor ErrBusy, the call may have taken effect, and the result is ErrLost.
+func combineErrors(errs []error) error {
 	for _, err := range errs {
 		if !errors.Is(err, keyvalue.ErrDown) && !errors.Is(err, keyvalue.ErrBusy) {
 			return errors.Join(keyvalue.ErrLost, err)
@@ -189,16 +196,16 @@
 	return errors.Join(errs...)
 }
 
-// through makes a call by way of other instances.
-func (s *Space) through(ctx context.Context, c Call) (Answer, error) {
+// callPeers makes a call through other instances, one after the other.
+func (s *Space) callPeers(ctx context.Context, c Call) (Answer, error) {
 	var errs []error
-	for _, address := range s.some() {
-		call, cancel := context.WithTimeout(ctx, c.limit(peerTimeout)+c.passes())
-		a, err := s.Peers.Call(call, address, c)
+	for _, address := range s.pickPeers() {
+		callCtx, cancel := context.WithTimeout(ctx, c.timeout(peerTimeout)+c.transferTime())
+		a, err := s.Peers.Call(callCtx, address, c)
 		cancel()
 		if err != nil {
-			s.avoid(address)
-		} else if err = a.Err(); !away(err) {
+			s.avoidPeer(address)
+		} else if err = a.Err(); !unavailable(err) {
 			s.Journal.Detail("detour", log.Fields{
 				"call":    c.Kind.String(),
 				"through": address,
@@ -213,40 +220,41 @@
 	if len(errs) == 0 {
 		return Answer{}, keyvalue.ErrDown
 	}
-	return Answer{}, worst(errs)
+	return Answer{}, combineErrors(errs)
 }
 
-// straight makes a call on the direct way.
-func (s *Space) straight(ctx context.Context, c Call) (Answer, error) {
-	call, cancel := context.WithTimeout(ctx, c.limit(directTimeout)+c.passes())
+// callDirect makes a call on the direct path.
+func (s *Space) callDirect(ctx context.Context, c Call) (Answer, error) {
+	callCtx, cancel := context.WithTimeout(ctx, c.timeout(directTimeout)+c.transferTime())
 	defer cancel()
-	a := c.At(call, s.Direct)
+	a := c.At(callCtx, s.Direct)
 	err := a.Err()
 	if ctx.Err() == nil || err == nil {
-		s.note(err)
+		s.recordDirect(err)
 	}
 	return a, err
 }
 
-// some returns a few other instances that have not failed lately.
-func (s *Space) some() []string {
+// pickPeers returns up to maxPeersTried other instances in random order, without those
+// that failed within peerAvoidTime.
+func (s *Space) pickPeers() []string {
 	now := s.Timer.Now()
 	s.mu.Lock()
-	var others []string
+	var peers []string
 	for _, address := range s.Others() {
-		if now >= s.shun[address] {
-			others = append(others, address)
+		if now >= s.avoidUntil[address] {
+			peers = append(peers, address)
 		}
 	}
 	s.mu.Unlock()
-	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	return others[:min(len(others), triesThrough)]
+	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
+	return peers[:min(len(peers), maxPeersTried)]
 }
 
-// Watch implements keyvalue.Space. It waits on one way only; when that one
-// fails the caller lists again, on the other one.
+// Watch implements keyvalue.Space. It uses one path only; when that path fails, the
+// caller lists again on the other one.
 func (s *Space) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]keyvalue.Change, uint64, error) {
-	if s.resting() {
+	if s.paused() {
 		return nil, 0, keyvalue.ErrDown
 	}
 	c := Call{
@@ -255,15 +263,15 @@
 		After:  after,
 		WaitMS: wait.Milliseconds(),
 	}
-	bad, turned := s.turning()
-	if bad {
-		return s.watchElsewhere(ctx, c)
+	failed, lost := s.directState()
+	if failed {
+		return s.watchAtPeer(ctx, c)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+watchSlack)
 	defer cancel()
 	go func() {
 		select {
-		case <-turned:
+		case <-lost:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -272,17 +280,18 @@
 	return a.Changes, a.Revision, a.Err()
 }
 
-func (s *Space) watchElsewhere(ctx context.Context, c Call) ([]keyvalue.Change, uint64, error) {
-	others := s.some()
-	if len(others) == 0 {
+// watchAtPeer watches through one other instance, for peerWatchWait at most.
+func (s *Space) watchAtPeer(ctx context.Context, c Call) ([]keyvalue.Change, uint64, error) {
+	peers := s.pickPeers()
+	if len(peers) == 0 {
 		return nil, 0, keyvalue.ErrDown
 	}
-	c.WaitMS = min(c.WaitMS, watchThrough.Milliseconds())
-	ctx, cancel := context.WithTimeout(ctx, watchThrough+peerTimeout)
+	c.WaitMS = min(c.WaitMS, peerWatchWait.Milliseconds())
+	ctx, cancel := context.WithTimeout(ctx, peerWatchWait+peerTimeout)
 	defer cancel()
-	a, err := s.Peers.Call(ctx, others[0], c)
+	a, err := s.Peers.Call(ctx, peers[0], c)
 	if err != nil {
-		s.avoid(others[0])
+		s.avoidPeer(peers[0])
 		return nil, 0, err
 	}
 	return a.Changes, a.Revision, a.Err()
@@ -307,8 +316,8 @@
 	return a.Listing, err
 }
 
-// Changes returns at once what changed below a prefix after a revision, and the
-// revision up to which that is all.
+// Changes returns the changes below a prefix after a revision without waiting, and the
+// revision up to which they are complete.
 func (s *Space) Changes(ctx context.Context, prefix string, after uint64) ([]keyvalue.Change, uint64, error) {
 	a, err := s.do(ctx, Call{
 		Kind:  KindWatch,
--- a/internal/fleet/detour/space_test.go
+++ b/internal/fleet/detour/space_test.go
@@ -14,15 +14,15 @@
 	"github.com/egretbend/egretbend/internal/standin/space"
 )
 
-// loop hands calls to other instances that reach the same service.
-type loop struct {
+// peersStub implements Peers: it makes all calls to one service, or fails them.
+type peersStub struct {
 	space keyvalue.Space
 	calls int
 	fail  error
 }
 
 // Call implements Peers.
-func (l *loop) Call(ctx context.Context, _ string, c Call) (Answer, error) {
+func (l *peersStub) Call(ctx context.Context, _ string, c Call) (Answer, error) {
 	l.calls++
 	if l.fail != nil {
 		return Answer{}, l.fail
@@ -30,16 +30,18 @@
 	return c.At(ctx, l.space), nil
 }
 
-// newShut returns a service that refuses all calls.
-func newShut(clock timer.Service) *space.Space {
+// newDownStore returns a service that is down for all calls.
+func newDownStore(clock timer.Service) *space.Space {
 	return &space.Space{
 		Timer: clock,
 		Fault: func(space.Call) space.Fault { return space.Down },
 	}
 }
 
-func newSpace(clock timer.Service, direct, elsewhere *space.Space) (*Space, *loop) {
-	peers := &loop{
+// newSpace returns a Space with one service on the direct path and another one behind
+// its peers.
+func newSpace(clock timer.Service, direct, elsewhere *space.Space) (*Space, *peersStub) {
+	peers := &peersStub{
 		space: elsewhere,
 	}
 	return &Space{
@@ -50,17 +52,18 @@
 	}, peers
 }
 
-// The service turns one instance away and serves the others. Batches that are
-// handed in there would be refused, though any other instance could store them.
-func TestCallsGoThroughOthers(t *testing.T) {
+// The service rejects the calls of one instance and serves the others. Guards against
+// an instance that then refuses the batches submitted to it, although any other
+// instance could store them.
+func TestCallsFallBackToPeers(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	clock := &timer.Manual{}
 	store := &space.Space{
 		Timer: clock,
 	}
-	shut := newShut(clock)
-	s, peers := newSpace(clock, shut, store)
+	down := newDownStore(clock)
+	s, peers := newSpace(clock, down, store)
 	rev, err := s.Commit(ctx, keyvalue.Transaction{
 		Writes: []keyvalue.Write{
 			{Key: "k", Value: []byte("v")},
@@ -71,34 +74,35 @@
 	is.NoErr(err)
 	is.Equal(item.Revision, rev)
 	is.Equal(peers.calls, 2)
-	is.Equal(shut.Calls(space.Commit)+shut.Calls(space.Get), 1) // the bad way is left alone for a while
-	clock.Advance(badFor)
-	shut.Fault = nil
+	is.Equal(down.Calls(space.Commit)+down.Calls(space.Get), 1) // the failed path is not tried again at once
+	clock.Advance(directRetryInterval)
+	down.Fault = nil
 	_, err = s.Get(ctx, "other")
 	is.True(errors.Is(err, keyvalue.ErrNotFound))
-	is.True(s.Good()) // and tried again
+	is.True(s.Good()) // the direct path was tried again
 }
 
-// The service is down for all. Every call is priced, also one that is not
-// answered; instances that kept asking would cost more than a day's work.
-func TestAllWaysRestInAnOutage(t *testing.T) {
+// The service is down for all instances. Every call is billed, even one that is not
+// answered. Guards against instances that keep calling: that would cost more than a
+// day's work.
+func TestCallsPauseWhenAllPathsFail(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	clock := &timer.Manual{}
-	shut := newShut(clock)
-	s, peers := newSpace(clock, shut, shut)
+	down := newDownStore(clock)
+	s, peers := newSpace(clock, down, down)
 	for range 50 {
 		_, err := s.Get(ctx, "k")
 		is.True(errors.Is(err, keyvalue.ErrDown))
 	}
-	is.Equal(peers.calls, triesThrough)
-	is.Equal(shut.Calls(space.Get), 1+triesThrough)
+	is.Equal(peers.calls, maxPeersTried)
+	is.Equal(down.Calls(space.Get), 1+maxPeersTried)
 }
 
-// A write goes out and its answer is lost, and the other ways are down. It may
-// be done: whoever then told a trainer "not run" would run the batch all the
-// same.
-func TestLostIsNotDown(t *testing.T) {
+// The answer to a write is lost, and the other paths are down. The write may have taken
+// effect. Guards against reporting it as not done: a trainer would be told "not run"
+// for a batch that runs all the same.
+func TestLostAnswerIsNotReportedAsDown(t *testing.T) {
 	is := is.New(t)
 	clock := &timer.Manual{}
 	lossy := &space.Space{
@@ -115,17 +119,17 @@
 	is.True(errors.Is(err, keyvalue.ErrLost))
 }
 
-// A conflict found through another instance says which item stands in the way,
-// just as the service itself does.
-func TestConflictsTravel(t *testing.T) {
+// Guards against a conflict that loses its items on the way through another instance:
+// callers read them to see which item caused it.
+func TestPeersPassOnConflicts(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	clock := &timer.Manual{}
 	store := &space.Space{
 		Timer: clock,
 	}
-	shut := newShut(clock)
-	s, _ := newSpace(clock, shut, store)
+	down := newDownStore(clock)
+	s, _ := newSpace(clock, down, store)
 	tx := keyvalue.Transaction{
 		Expects: []keyvalue.Expect{
 			{Key: "k"},
@@ -142,9 +146,10 @@
 	is.Equal(string(conflict.Item("k").Value), "v")
 }
 
-// An instance is partitioned without a sign: its watches wait on a dead
-// connection. A call that fails on the way cuts them, so that they begin anew.
-func TestWatchesEndWhenTheWayTurnsBad(t *testing.T) {
+// An instance is partitioned, and its watches wait on a dead connection without an
+// error. Guards against watches that stay there: a failed call on the direct path must
+// end them, so that their callers start again.
+func TestWatchesEndWhenDirectPathFails(t *testing.T) {
 	is := is.New(t)
 	clock := &timer.Manual{}
 	var fails atomic.Bool
--- a/internal/fleet/mirror/mirror_test.go
+++ b/internal/fleet/mirror/mirror_test.go
@@ -129,7 +129,7 @@
 }
 
 // The service is unavailable for so long that the entries of upstreams lapse. They are
-// written again about two seconds after it. Guards against a mirror that removes every
+// written again about two seconds later. Guards against a mirror that removes every
 // upstream at the end of the outage, so that callers are refused.
 func TestKeepsEntriesLapsedInOutage(t *testing.T) {
 	is := is.New(t)
