--- a/internal/fleet/bulletin/board.go
+++ b/internal/fleet/bulletin/board.go
@@ -17,53 +17,56 @@
 	"github.com/egretbend/egretbend/internal/route/suspect"
 )
 
-// Secret is what prints are made with.
+// Secret provides the secret of the fleet, with which fingerprints are made.
 type Secret interface {
-	// Known returns the secret, or nil as long as it is not known.
+	// Known returns the secret, or nil while it is not known.
 	Known() []byte
 }
 
-// Poster makes known to all instances what this one tells.
+// Poster publishes the notices of this instance to all others.
 type Poster interface {
+	// Post replaces the published notices.
 	Post(ctx context.Context, value []byte) error
-	// Renew keeps alive what was told last.
+	// Renew keeps the notices of the last Post from expiring.
 	Renew(ctx context.Context) error
 }
 
-// Board is what this instance knows of crashes, and tells of them.
+// Board holds the crashes that all instances have seen, and publishes those that this
+// instance has seen.
 type Board struct {
 	Secret Secret
 	Poster Poster
-	// Key is where this incarnation of the instance tells what it has seen.
+	// Key is the key of the notices of this incarnation of the instance.
 	Key string
-	// Instances returns how many there are.
+	// Instances returns the number of instances.
 	Instances func() int
-	// Chosen reports whether this is the instance that tries a request again; nil means
-	// that it never is.
+	// Chosen reports whether this instance runs the trials of a convicted request. Nil
+	// means never.
 	Chosen  func(p fingerprint.Print) bool
 	Timer   timer.Service
 	Journal *journal.Journal
 	Metrics *Metrics
 
-	// some is set while anything is known, so that a request costs nothing else.
-	some atomic.Bool
-	wake wake.Signal
+	// hasEvidence is set while there is evidence. Otherwise a request costs no more than
+	// this check.
+	hasEvidence atomic.Bool
+	wake        wake.Signal
 
 	mu       sync.Mutex
 	evidence suspect.Evidence
-	// own is what this instance has seen, in order. over says that the key holds something
-	// that is not among it any more.
-	own  []notice
-	over bool
-	// tried is when this instance tried a convicted request last.
-	tried map[fingerprint.Print]timer.Instant
-	// pace bounds the writes of the key.
-	pace pace
+	// own holds the notices of this instance, in the order in which they were added.
+	own []notice
+	// keyOutdated is set when the published value holds notices that own no longer has.
+	keyOutdated bool
+	// trials holds the start of the last trial of each convicted request at this instance.
+	trials map[fingerprint.Print]timer.Instant
+	// limiter bounds the rate of writes.
+	limiter writeLimiter
 }
 
-// Judge decides about a request. sum is called only if anything is known.
+// Judge returns the verdict on a request. sum is called only if there is evidence.
 func (b *Board) Judge(sum func() fingerprint.Sum) suspect.Verdict {
-	if !b.some.Load() {
+	if !b.hasEvidence.Load() {
 		return suspect.Verdict{}
 	}
 	secret := b.Secret.Known()
@@ -75,56 +78,56 @@
 	defer b.mu.Unlock()
 	now := b.Timer.Now()
 	v := b.evidence.Judge(print, now)
-	if v.Trial && !b.mayTry(print, now) {
-		v.RetryAfter = untilTried
+	if v.Trial && !b.allowTrial(print, now) {
+		v.RetryAfter = trialRetryAfter
 	}
 	return v
 }
 
 const (
-	// tryEvery is how long a trial of a convicted request may take before the next one.
-	tryEvery = 5 * time.Second
-	// untilTried is when callers come back that met another instance than the chosen one,
-	// or one that has a trial under way.
-	untilTried = 10 * time.Second
+	// trialInterval is the time between the starts of two trials of a convicted request.
+	trialInterval = 5 * time.Second
+	// trialRetryAfter is when callers may retry a request that is due for a trial, if
+	// another instance runs the trials or this one ran one within trialInterval.
+	trialRetryAfter = 10 * time.Second
 )
 
-// mayTry reports whether this instance lets a convicted request run once, to see whether
-// upstreams still end under it. The lock is held.
-func (b *Board) mayTry(p fingerprint.Print, now timer.Instant) bool {
-	if at, ok := b.tried[p]; ok && now.Sub(at) < tryEvery || b.Chosen == nil || !b.Chosen(p) {
+// allowTrial reports whether this instance may run a convicted request once, to see whether
+// upstreams still crash, and records the trial. b.mu must be held.
+func (b *Board) allowTrial(p fingerprint.Print, now timer.Instant) bool {
+	if at, ok := b.trials[p]; ok && now.Sub(at) < trialInterval || b.Chosen == nil || !b.Chosen(p) {
 		return false
 	}
-	if b.tried == nil {
-		b.tried = make(map[fingerprint.Print]timer.Instant)
+	if b.trials == nil {
+		b.trials = make(map[fingerprint.Print]timer.Instant)
 	}
-	b.tried[p] = now
+	b.trials[p] = now
 	return true
 }
 
-// Ended takes it that an upstream ended under a request, and returns what that makes
-// of the request.
+// Ended records that an upstream ended while it ran a request, and returns the new
+// verdict on the request.
 func (b *Board) Ended(c suspect.Crash) suspect.Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Timer.Now()
 	if b.evidence.Add(c) {
-		b.keep(notice{
+		b.addOwn(notice{
 			Print:    c.Print,
 			Upstream: c.Incarnation,
 			Row:      c.Row,
 			at:       c.At,
 		})
-		b.changed()
+		b.updateHasEvidence()
 	}
-	b.Metrics.known(b.evidence.Len(), b.evidence.Guilty())
+	b.Metrics.setKnown(b.evidence.Len(), b.evidence.Guilty())
 	return b.evidence.Judge(c.Print, now)
 }
 
-// Answered takes it that a request ran to its end. sum is called only if anything is
-// known.
+// Answered records that a request was answered, which clears it. sum is called only if
+// there is evidence.
 func (b *Board) Answered(sum func() fingerprint.Sum) {
-	if !b.some.Load() {
+	if !b.hasEvidence.Load() {
 		return
 	}
 	secret := b.Secret.Known()
@@ -135,58 +138,59 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Timer.Now()
-	known := b.evidence.Ends(print)
-	if known == 0 {
+	crashes := b.evidence.Ends(print)
+	if crashes == 0 {
 		return
 	}
 	b.evidence.Clear(print, now)
-	delete(b.tried, print)
-	untold := 0
+	delete(b.trials, print)
+	unpublished := 0
 	b.own = slices.DeleteFunc(b.own, func(n notice) bool {
-		if n.Print == print && !n.told {
-			untold++
+		if n.Print == print && !n.published {
+			unpublished++
 		}
 		return n.Print == print
 	})
-	if known > untold {
-		b.keep(notice{
+	if crashes > unpublished {
+		b.addOwn(notice{
 			Print: print,
 			at:    now,
 		})
 	}
-	b.changed()
+	b.updateHasEvidence()
 }
 
-// keep keeps what this instance has seen, the newest of it. The lock is held.
-func (b *Board) keep(n notice) {
+// addOwn adds a notice of this instance, and drops the oldest one above maxNotices. b.mu
+// must be held.
+func (b *Board) addOwn(n notice) {
 	b.own = append(b.own, n)
 	if over := len(b.own) - maxNotices; over > 0 {
 		b.own = slices.Delete(b.own, 0, over)
-		b.Metrics.forgotten(over)
+		b.Metrics.countDropped(over)
 	}
 	b.wake.Set()
 }
 
-// changed notes whether anything is known now. The lock is held.
-func (b *Board) changed() { b.some.Store(!b.evidence.Empty()) }
+// updateHasEvidence sets hasEvidence from the evidence. b.mu must be held.
+func (b *Board) updateHasEvidence() { b.hasEvidence.Store(!b.evidence.Empty()) }
 
-// Take takes what instances tell.
+// Take applies changes of the keys of all instances.
 func (b *Board) Take(changes []keyvalue.Change) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Timer.Now()
 	for _, c := range changes {
 		if c.Key == b.Key {
-			b.takeOwn(c)
+			b.handleOwnKey(c)
 			continue
 		}
 		if c.Removed {
-			// What was told holds until it is too old.
+			// The notices stay valid until they expire.
 			continue
 		}
 		notices, err := decode(c.Value, now)
 		if err != nil {
-			b.Journal.Trouble("notices of crashes not understood", err, log.Fields{
+			b.Journal.Trouble("cannot decode notices of crashes", err, log.Fields{
 				"key": c.Key,
 			})
 			continue
@@ -199,17 +203,18 @@
 			b.evidence.Add(n.crash())
 		}
 	}
-	b.changed()
+	b.updateHasEvidence()
 }
 
-// takeOwn looks at a change of this instance's key. The lock is held.
-func (b *Board) takeOwn(c keyvalue.Change) {
+// handleOwnKey publishes the notices again if this instance's key was removed. b.mu must
+// be held.
+func (b *Board) handleOwnKey(c keyvalue.Change) {
 	if !c.Removed || len(b.own) == 0 {
 		return
 	}
-	// Its lease has run out, as it may while the service is away.
+	// The lease has expired, as it may while the service is unavailable.
 	for i := range b.own {
-		b.own[i].told = false
+		b.own[i].published = false
 	}
 	b.wake.Set()
 }
--- a/internal/fleet/bulletin/board_test.go
+++ b/internal/fleet/bulletin/board_test.go
@@ -19,14 +19,14 @@
 	"github.com/egretbend/egretbend/internal/standin/space"
 )
 
-// desk is a store with boards on a clock of its own.
-type desk struct {
+// boardFixture holds a store for several boards, with a clock of its own.
+type boardFixture struct {
 	clock *timer.Manual
 	store *space.Space
 }
 
-func newDesk() *desk {
-	d := &desk{
+func newBoardFixture() *boardFixture {
+	d := &boardFixture{
 		clock: &timer.Manual{},
 	}
 	d.clock.Advance(time.Hour)
@@ -36,9 +36,9 @@
 	return d
 }
 
-func (d *desk) board(key string) *Board {
+func (d *boardFixture) board(key string) *Board {
 	return &Board{
-		Secret: known{},
+		Secret: fixedSecret{},
 		Key:    key,
 		Poster: &Key{
 			Space: d.store,
@@ -52,141 +52,144 @@
 
 func sumOf(body string) fingerprint.Sum { return fingerprint.Of(fingerprint.Parts{Body: []byte(body)}) }
 
-// ended lets upstreams end under a request, one after the other.
-func (d *desk) ended(b *Board, body string, from, n int) {
+// crashUpstreams records that n upstreams ended while they ran a request, one after the
+// other. Their incarnations are numbered starting with from.
+func (d *boardFixture) crashUpstreams(b *Board, body string, from, n int) {
 	for i := range n {
 		d.clock.Advance(time.Millisecond)
 		b.Ended(suspect.Crash{
 			Incarnation: crash.IncarnationOf("u", uint64(from+i)),
-			Print:       sumOf(body).Under(known{}.Known()),
+			Print:       sumOf(body).Under(fixedSecret{}.Known()),
 			At:          d.clock.Now(),
 			Row:         judge(b, body).Crashes + 1,
 		})
 	}
 }
 
-// answered lets a request be answered.
-func answered(b *Board, body string) { b.Answered(func() fingerprint.Sum { return sumOf(body) }) }
+// answer records that a request was answered.
+func answer(b *Board, body string) { b.Answered(func() fingerprint.Sum { return sumOf(body) }) }
 
+// judge returns the verdict of a board on a request.
 func judge(b *Board, body string) suspect.Verdict {
 	return b.Judge(func() fingerprint.Sum { return sumOf(body) })
 }
 
-// pass lets a board hear what another one's key holds.
-func (d *desk) pass(is *is.I, from, to *Board) {
+// deliver passes the published notices of one board to another one.
+func (d *boardFixture) deliver(is *is.I, from, to *Board) {
 	item, err := d.store.Get(context.Background(), from.Key)
 	is.NoErr(err)
 	to.Take([]keyvalue.Change{{Item: item}})
 }
 
-// Guards against instances that each count the crashes they saw themselves.
+// Guards against instances that count only the crashes that they have seen themselves.
 func TestCrashesAddUpOverInstances(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
+	d := newBoardFixture()
 	a, b, c := d.board("a"), d.board("b"), d.board("c")
-	d.ended(a, "deadly", 0, 2)
-	is.NoErr(a.write(context.Background()))
-	d.pass(is, a, b)
-	d.ended(b, "deadly", 2, 2)
-	is.NoErr(b.write(context.Background()))
+	d.crashUpstreams(a, "deadly", 0, 2)
+	is.NoErr(a.post(context.Background()))
+	d.deliver(is, a, b)
+	d.crashUpstreams(b, "deadly", 2, 2)
+	is.NoErr(b.post(context.Background()))
 	is.True(!judge(c, "deadly").Refused())
-	d.pass(is, a, c)
-	d.pass(is, b, c)
+	d.deliver(is, a, c)
+	d.deliver(is, b, c)
 	is.True(judge(c, "deadly").Refused())
 	is.True(!judge(c, "another").Suspects())
-	d.pass(is, b, c) // told again, it is the same
+	d.deliver(is, b, c) // the same notices again add nothing
 	is.Equal(judge(c, "deadly").Crashes, 4)
 }
 
-// Guards against a call of the service for each request whose upstream ended, though
-// another one answered it at once; and against one that stays suspected elsewhere.
-func TestAnsweredRequestsAreToldOnlyIfTheyWereToldBefore(t *testing.T) {
+// Guards against a write to the service for each request whose upstream ended, even if
+// another upstream answered it at once, and against an answered request that stays
+// suspected at other instances.
+func TestAnswersArePublishedOnlyAfterCrashes(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
+	d := newBoardFixture()
 	a, b := d.board("a"), d.board("b")
-	d.ended(a, "plain", 0, 1)
-	answered(a, "plain")
-	is.True(!a.untold())
-	is.True(!a.some.Load())
+	d.crashUpstreams(a, "plain", 0, 1)
+	answer(a, "plain")
+	is.True(!a.hasUnpublished())
+	is.True(!a.hasEvidence.Load())
 
 	d.clock.Advance(time.Second)
-	d.ended(a, "plain", 1, 3)
-	is.NoErr(a.write(context.Background()))
-	d.pass(is, a, b)
+	d.crashUpstreams(a, "plain", 1, 3)
+	is.NoErr(a.post(context.Background()))
+	d.deliver(is, a, b)
 	is.Equal(judge(b, "plain").Crashes, 3)
 	d.clock.Advance(time.Second)
-	answered(b, "plain")
-	is.True(b.untold())
-	is.NoErr(b.write(context.Background()))
-	d.pass(is, b, a)
+	answer(b, "plain")
+	is.True(b.hasUnpublished())
+	is.NoErr(b.post(context.Background()))
+	d.deliver(is, b, a)
 	is.True(!judge(a, "plain").Suspects())
-	d.pass(is, a, b) // its old notice is not news
+	d.deliver(is, a, b) // the old notice is ignored
 	is.True(!judge(b, "plain").Suspects())
 }
 
-// Guards against notices that end with the instance that wrote them, or with
-// a lease that ran out while the service was away.
+// Guards against notices that are lost with the instance that published them, or with a
+// lease that expired while the service was unavailable.
 func TestNoticesOutliveTheirInstanceAndTheirLease(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
+	d := newBoardFixture()
 	a, b := d.board("a"), d.board("b")
-	d.ended(a, "deadly", 0, 4)
-	is.NoErr(a.write(context.Background()))
-	d.pass(is, a, b)
+	d.crashUpstreams(a, "deadly", 0, 4)
+	is.NoErr(a.post(context.Background()))
+	d.deliver(is, a, b)
 	gone := keyvalue.Change{Item: keyvalue.Item{Key: "a"}, Removed: true}
 	b.Take([]keyvalue.Change{gone})
 	is.True(judge(b, "deadly").Refused())
-	is.True(!a.untold())
+	is.True(!a.hasUnpublished())
 	d.store.Lapse(a.Poster.(*Key).lease)
 	a.Take([]keyvalue.Change{gone})
-	is.True(a.untold())
-	is.True(a.write(context.Background()) != nil) // finds that the lease has ended
-	is.NoErr(a.write(context.Background()))
+	is.True(a.hasUnpublished())
+	is.True(a.post(context.Background()) != nil) // fails because the lease has expired
+	is.NoErr(a.post(context.Background()))
 	_, err := d.store.Get(context.Background(), "a")
 	is.NoErr(err)
 }
 
-// Guards against an instance that starts, and takes for news what was answered elsewhere
-// since: it would refuse for minutes what all others serve.
-func TestWhatIsOverIsNotToldToThoseThatStart(t *testing.T) {
+// Guards against an instance that starts and takes a published crash as new although the
+// request was answered elsewhere since: it would refuse for minutes what all others serve.
+func TestStartingInstancesGetNoClearedCrashes(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
+	d := newBoardFixture()
 	a, b := d.board("a"), d.board("b")
-	d.ended(a, "popular", 0, 4)
-	is.NoErr(a.write(context.Background()))
-	d.pass(is, a, b)
+	d.crashUpstreams(a, "popular", 0, 4)
+	is.NoErr(a.post(context.Background()))
+	d.deliver(is, a, b)
 	d.clock.Advance(time.Second)
-	answered(b, "popular")
-	is.NoErr(b.write(context.Background()))
-	d.pass(is, b, a)
+	answer(b, "popular")
+	is.NoErr(b.post(context.Background()))
+	d.deliver(is, b, a)
 	a.expire(context.Background())
-	is.True(a.untold())
-	is.NoErr(a.write(context.Background()))
-	is.True(!a.untold())
+	is.True(a.hasUnpublished())
+	is.NoErr(a.post(context.Background()))
+	is.True(!a.hasUnpublished())
 	started := d.board("c")
-	d.pass(is, a, started)
+	d.deliver(is, a, started)
 	is.True(!judge(started, "popular").Suspects())
 }
 
-// Guards against a flood of requests that crash upstreams, each another one, that fills
-// memory, the key or the service's allowance of calls.
+// Guards against a flood of different requests that crash upstreams and fill the memory,
+// the key or the allowed rate of calls to the service.
 func TestFloodOfDifferentRequestsIsBounded(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
+	d := newBoardFixture()
 	a := d.board("a")
 	calls, begun := 0, d.clock.Now()
 	for i := range 3000 {
-		d.ended(a, "deadly "+time.Duration(i).String(), 10*i, 1)
+		d.crashUpstreams(a, "deadly "+time.Duration(i).String(), 10*i, 1)
 		d.clock.Advance(20 * time.Millisecond)
-		wait := a.pace
-		if wait.wait(d.clock.Now(), 20) == 0 {
-			a.pace = wait
-			is.NoErr(a.write(context.Background()))
+		limiter := a.limiter
+		if limiter.reserve(d.clock.Now(), 20) == 0 {
+			a.limiter = limiter
+			is.NoErr(a.post(context.Background()))
 			calls++
 		}
 	}
-	each := 20 * pauseEach // twenty instances
-	is.True(calls <= int(d.clock.Now().Sub(begun)/each)+burst+1)
+	each := 20 * writePausePerInstance // at twenty instances
+	is.True(calls <= int(d.clock.Now().Sub(begun)/each)+writeBurst+1)
 	is.True(len(a.own) <= maxNotices)
 	is.True(a.evidence.Len() <= suspect.MaxCrashes)
 	item, err := d.store.Get(context.Background(), "a")
@@ -197,46 +200,47 @@
 	is.True(!strings.Contains(string(item.Value), "deadly"))
 	d.clock.Advance(time.Hour)
 	a.expire(context.Background())
-	is.True(!a.some.Load())
+	is.True(!a.hasEvidence.Load())
 	is.Equal(len(a.own), 0)
 }
 
-// Guards against a convicted request that all instances try again at the same time, or that
-// the chosen one tries without a pause.
-func TestOneInstanceTriesAgain(t *testing.T) {
+// Guards against trials of a convicted request at all instances at the same time, or at
+// the chosen instance without a pause.
+func TestOnlyChosenInstanceRunsTrial(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
+	d := newBoardFixture()
 	a, b := d.board("a"), d.board("b")
 	a.Chosen = func(fingerprint.Print) bool { return true }
-	d.ended(a, "deadly", 0, 4)
-	d.ended(b, "deadly", 0, 4)
+	d.crashUpstreams(a, "deadly", 0, 4)
+	d.crashUpstreams(b, "deadly", 0, 4)
 	is.True(judge(a, "deadly").Refused())
 	d.clock.Advance(time.Minute)
 	is.True(!judge(a, "deadly").Refused())
 	is.True(judge(a, "deadly").Refused())
 	is.True(judge(b, "deadly").Refused())
-	d.clock.Advance(tryEvery)
+	d.clock.Advance(trialInterval)
 	is.True(!judge(a, "deadly").Refused())
-	answered(a, "deadly")
+	answer(a, "deadly")
 	is.True(!judge(a, "deadly").Suspects())
 }
 
-// Guards against a digest of each request while nothing has crashed.
-func TestCalmRequestsCostNoDigest(t *testing.T) {
-	d := newDesk()
+// Guards against computing the digest of each request while no crash is known.
+func TestNoDigestWithoutEvidence(t *testing.T) {
+	d := newBoardFixture()
 	a := d.board("a")
 	sum := func() fingerprint.Sum {
-		t.Fatal("a digest is made")
+		t.Fatal("a digest was computed without evidence")
 		return fingerprint.Sum{}
 	}
 	a.Judge(sum)
 	a.Answered(sum)
 }
 
-// Guards against races of requests, the view and the writer.
-func TestBoardRuns(t *testing.T) {
+// Guards against data races between requests, changes from other instances and the
+// writer.
+func TestBoardConcurrentUse(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
+	d := newBoardFixture()
 	a := d.board("a")
 	stop := d.clock.Run(50*time.Millisecond, time.Millisecond)
 	defer stop()
@@ -245,15 +249,15 @@
 	var wg sync.WaitGroup
 	for i := range 8 {
 		wg.Go(func() {
-			d.ended(a, "deadly", 10*i, 1)
+			d.crashUpstreams(a, "deadly", 10*i, 1)
 			judge(a, "deadly")
 			a.Take([]keyvalue.Change{{Item: keyvalue.Item{Key: "b", Value: []byte("[]")}}})
 		})
 	}
 	wg.Wait()
-	told := func() bool { return !a.untold() }
-	is.True(timer.Until(timer.Real{}, time.Millisecond, 10*time.Second, nil, told))
-	is.True(d.store.Calls(space.Commit) <= burst)
+	published := func() bool { return !a.hasUnpublished() }
+	is.True(timer.Until(timer.Real{}, time.Millisecond, 10*time.Second, nil, published))
+	is.True(d.store.Calls(space.Commit) <= writeBurst)
 	tb.Kill(nil)
 	is.NoErr(tb.Wait())
 }
--- a/internal/fleet/bulletin/doc.go
+++ b/internal/fleet/bulletin/doc.go
@@ -1,4 +1,5 @@
-// Package bulletin lets all instances know which requests crash upstreams.
+// Package bulletin shares between all instances which requests crash upstreams, so
+// that every instance can refuse them.
 //
 //	board := &bulletin.Board{
 //		Secret: secret,
@@ -13,8 +14,11 @@
 //	t.Go(func() error { return board.Run(t) })
 //	verdict := board.Judge(sum)
 //
-// Each incarnation of an instance has one key, which holds what it has seen itself; all hear of
-// it with the view of instances. The key ends with a lease, some minutes after its last
-// change, so that what is known outlives the instance. What needs no telling is not told: a
-// request that upstreams ended under and that another one answered soon after.
+// A Board judges requests by the crashes that all instances have seen. It publishes
+// what this instance has seen as a list of notices under one key for each incarnation
+// of the instance, through a Poster: Key writes them to the key-value service, Gossip
+// sends them to other instances directly. The others receive the notices by Board.Take.
+// A key expires some minutes after its last change, so that its notices outlive the
+// instance. A crash is not published if another upstream answers the request soon
+// after.
 package bulletin
--- a/internal/fleet/bulletin/fleet_test.go
+++ b/internal/fleet/bulletin/fleet_test.go
@@ -5,41 +5,43 @@
 	"time"
 )
 
-// Guards against a request that is stopped at the instance that saw it crash upstreams,
-// and sent on by all others; with links cut and instances restarted meanwhile.
-func TestWholeFleetStopsWhatCrashesUpstreams(t *testing.T) {
+// Guards against a request that crashes upstreams and is refused only by the instance
+// that saw it, while all others still send it on. Links are cut and instances restart
+// meanwhile.
+func TestFleetRefusesCrashingRequests(t *testing.T) {
 	for _, n := range []int{20, 100, 300} {
 		for seed := range uint64(3) {
 			p := fleetPlan{
 				seed:      seed,
 				instances: n,
 				upstreams: 11,
-				deadly:    4,
-				every:     400 * time.Millisecond,
+				crashing:  4,
+				interval:  400 * time.Millisecond,
 				plain:     60,
-				length:    40 * time.Second,
+				duration:  40 * time.Second,
 				restarts:  0.5,
 				cuts:      0.5,
-				ends:      0.3,
+				crashes:   0.3,
 			}
 			f := newSimFleet(p)
 			f.run()
-			t.Logf("%d instances, seed %d: crashes %v, late %v, plain %d served %d turned away %d, writes %d, ends known %d",
-				n, seed, f.crashes, f.late, f.plainN, f.served, f.turned, f.writes, f.most)
-			for deadly, late := range f.late {
-				if late > 3 {
-					t.Errorf("%d instances, seed %d: request %d was sent on %d times", n, seed, deadly, late)
+			t.Logf("%d instances, seed %d: crashes %v, late sends %v, plain %d served %d refused %d, writes %d, crashes known %d",
+				n, seed, f.crashCount, f.lateSends, f.plainCount, f.served, f.refused, f.writes, f.maxKnown)
+			for crashing, lateSends := range f.lateSends {
+				if lateSends > 3 {
+					t.Errorf("%d instances, seed %d: crashing request %d was sent late %d times", n, seed, crashing, lateSends)
 				}
 			}
-			if f.turned > 0 {
-				t.Errorf("%d instances, seed %d: %d plain requests were turned away", n, seed, f.turned)
+			if f.refused > 0 {
+				t.Errorf("%d instances, seed %d: %d plain requests were refused", n, seed, f.refused)
 			}
 		}
 	}
 }
 
-// Guards against a refusal of what all ask for, once many upstreams were lost together.
-func TestWhatAllAskForIsNotStopped(t *testing.T) {
+// Guards against refusing a request that many callers send: when many upstreams are lost
+// together, most of them run it, although it is not the cause.
+func TestFleetServesPopularRequests(t *testing.T) {
 	for seed := range uint64(6) {
 		f := newSimFleet(fleetPlan{
 			seed:      seed,
@@ -47,33 +49,33 @@
 			upstreams: 11,
 			plain:     20,
 			popular:   60,
-			losses:    0.2,
-			ends:      0.5,
-			length:    40 * time.Second,
+			outages:   0.2,
+			crashes:   0.5,
+			duration:  40 * time.Second,
 		})
 		f.run()
-		t.Logf("seed %d: plain %d popular %d served %d turned away %d", seed, f.plainN, f.popularN, f.served, f.turned)
-		if f.turned > 0 {
-			t.Errorf("seed %d: %d requests were turned away", seed, f.turned)
+		t.Logf("seed %d: plain %d popular %d served %d refused %d", seed, f.plainCount, f.popularCount, f.served, f.refused)
+		if f.refused > 0 {
+			t.Errorf("seed %d: %d requests were refused", seed, f.refused)
 		}
 	}
 }
 
-// Guards against a simulation that shows nothing: instances that don't hear of each other
-// let it through.
-func TestInstancesAloneDoNotStopIt(t *testing.T) {
+// Guards against a simulation that proves nothing: without notices from each other,
+// instances must send a crashing request on.
+func TestIsolatedInstancesDoNotRefuse(t *testing.T) {
 	f := newSimFleet(fleetPlan{
 		instances: 20,
 		upstreams: 11,
-		deadly:    1,
-		every:     400 * time.Millisecond,
+		crashing:  1,
+		interval:  400 * time.Millisecond,
 		plain:     20,
-		length:    30 * time.Second,
-		alone:     true,
+		duration:  30 * time.Second,
+		isolated:  true,
 	})
 	f.run()
-	t.Logf("crashes %v, late %v", f.crashes, f.late)
-	if f.late[1] <= 3 {
-		t.Errorf("request 1 was sent on %d times only", f.late[1])
+	t.Logf("crashes %v, late sends %v", f.crashCount, f.lateSends)
+	if f.lateSends[1] <= 3 {
+		t.Errorf("crashing request 1 was sent late %d times only", f.lateSends[1])
 	}
 }
--- a/internal/fleet/bulletin/gossip.go
+++ b/internal/fleet/bulletin/gossip.go
@@ -11,10 +11,10 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// Gossip is a Poster that tells other instances directly.
+// Gossip is a Poster that spreads the notices by gossip between instances.
 type Gossip struct {
 	State *gossip.State
-	// Key is that of the board.
+	// Key is the key of the board.
 	Key string
 
 	mu      sync.Mutex
@@ -27,22 +27,23 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.value = value
-	g.merge()
+	g.mergeEntry()
 	return nil
 }
 
-// Renew implements Poster. An entry ends at a time of day, so it is told again.
+// Renew implements Poster. An entry expires at a fixed time of day, so it is published
+// again as a newer version.
 func (g *Gossip) Renew(context.Context) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if e, ok := g.State.Find(gossip.KindCrashes, g.Key); ok && time.Until(time.Unix(e.Expires, 0)) < lasts/2 {
-		g.merge()
+	if e, ok := g.State.Find(gossip.KindCrashes, g.Key); ok && time.Until(time.Unix(e.Expires, 0)) < noticeTTL/2 {
+		g.mergeEntry()
 	}
 	return nil
 }
 
-// merge tells the value. The lock is held.
-func (g *Gossip) merge() {
+// mergeEntry publishes the value as a new version of the entry. g.mu must be held.
+func (g *Gossip) mergeEntry() {
 	g.version++
 	g.State.Merge(gossip.Entry{
 		Kind: gossip.KindCrashes,
@@ -51,24 +52,24 @@
 			Major: g.version,
 		},
 		Value:   g.value,
-		Expires: time.Now().Add(lasts).Unix(),
+		Expires: time.Now().Add(noticeTTL).Unix(),
 	})
 }
 
-// Listener takes for a board what others gossip.
+// Listener passes the notices that arrive by gossip to a board.
 type Listener struct {
 	State *gossip.State
 	Board *Board
 
-	seen map[string]gossip.Version
+	seenVersions map[string]gossip.Version
 }
 
-// Run listens until t dies.
+// Run passes on notices until t dies.
 func (l *Listener) Run(t *tomb.Tomb) error {
 	for {
 		changed := l.State.Changed(gossip.KindCrashes)
-		if news := l.news(); len(news) > 0 {
-			l.Board.Take(news)
+		if changes := l.newEntries(); len(changes) > 0 {
+			l.Board.Take(changes)
 		}
 		select {
 		case <-changed:
@@ -78,22 +79,22 @@
 	}
 }
 
-// news returns the entries that were not seen before.
-func (l *Listener) news() []keyvalue.Change {
-	var news []keyvalue.Change
-	seen := make(map[string]gossip.Version)
+// newEntries returns the entries of other instances that are new since the last call.
+func (l *Listener) newEntries() []keyvalue.Change {
+	var changes []keyvalue.Change
+	versions := make(map[string]gossip.Version)
 	for _, e := range l.State.List(gossip.KindCrashes) {
-		seen[e.Key] = e.Version
-		if old, ok := l.seen[e.Key]; ok && !old.Less(e.Version) || e.Key == l.Board.Key {
+		versions[e.Key] = e.Version
+		if old, ok := l.seenVersions[e.Key]; ok && !old.Less(e.Version) || e.Key == l.Board.Key {
 			continue
 		}
-		news = append(news, keyvalue.Change{
+		changes = append(changes, keyvalue.Change{
 			Item: keyvalue.Item{
 				Key:   e.Key,
 				Value: e.Value,
 			},
 		})
 	}
-	l.seen = seen
-	return news
+	l.seenVersions = versions
+	return changes
 }
--- a/internal/fleet/bulletin/gossip_test.go
+++ b/internal/fleet/bulletin/gossip_test.go
@@ -10,28 +10,28 @@
 	"github.com/egretbend/egretbend/internal/fleet/gossip"
 )
 
-// Guards against notices that are taken again with each change of another's, and against an
-// entry that outlives its time.
-func TestGossipTellsEachNoticeOnce(t *testing.T) {
+// Guards against notices that are delivered again with each change of another entry, and
+// against an entry that does not expire.
+func TestGossipDeliversEachNoticeOnce(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
+	d := newBoardFixture()
 	var state gossip.State
 	a, b := d.board("a"), d.board("b")
 	a.Poster = &Gossip{State: &state, Key: "a"}
 	b.Poster = &Gossip{State: &state, Key: "b"}
-	hears := Listener{State: &state, Board: b}
-	d.ended(a, "deadly", 0, 4)
-	is.NoErr(a.write(context.Background()))
-	news := hears.news()
-	is.Equal(len(news), 1)
-	b.Take(news)
+	listener := Listener{State: &state, Board: b}
+	d.crashUpstreams(a, "deadly", 0, 4)
+	is.NoErr(a.post(context.Background()))
+	changes := listener.newEntries()
+	is.Equal(len(changes), 1)
+	b.Take(changes)
 	is.True(judge(b, "deadly").Refused())
-	d.ended(b, "other", 10, 1)
-	is.NoErr(b.write(context.Background()))
-	is.Equal(len(hears.news()), 0) // its own, and nothing new
+	d.crashUpstreams(b, "other", 10, 1)
+	is.NoErr(b.post(context.Background()))
+	is.Equal(len(listener.newEntries()), 0) // only its own entry changed
 	is.NoErr(a.Poster.Renew(context.Background()))
-	is.Equal(len(hears.news()), 0) // it lasts for a while
-	is.Equal(state.Expire(time.Now().Add(2*lasts).Unix()), 2)
+	is.Equal(len(listener.newEntries()), 0) // too early for a new version
+	is.Equal(state.Expire(time.Now().Add(2*noticeTTL).Unix()), 2)
 	is.NoErr(a.Poster.Renew(context.Background())) // nothing to renew
-	is.Equal(len(hears.news()), 0)
+	is.Equal(len(listener.newEntries()), 0)
 }
--- a/internal/fleet/bulletin/key.go
+++ b/internal/fleet/bulletin/key.go
@@ -10,28 +10,28 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// lasts is how long what was told outlives the instance that told it. It is renewed in
-// half of that time as long as anything is to be told.
-const lasts = 10 * time.Minute
+// noticeTTL is how long published notices outlive the last renewal, and so the instance
+// that published them. They are renewed after half of it while there are any.
+const noticeTTL = 10 * time.Minute
 
-// Key is a Poster over the key-value service.
+// Key is a Poster that writes one key of the key-value service under a lease.
 type Key struct {
 	Space keyvalue.Space
-	// Name is the key. Each incarnation of an instance has another: what an earlier one told
-	// must stay where it is.
+	// Name is the key. Each incarnation of an instance has a key of its own, so that it
+	// does not overwrite the notices of an earlier one.
 	Name  string
 	Timer timer.Service
 
-	mu      sync.Mutex
-	lease   uint64
-	renewed timer.Instant
+	mu        sync.Mutex
+	lease     uint64
+	renewedAt timer.Instant
 }
 
 // Post implements Poster.
 func (k *Key) Post(ctx context.Context, value []byte) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err := k.renew(ctx); err != nil {
+	if err := k.ensureLease(ctx); err != nil {
 		return err
 	}
 	_, err := k.Space.Commit(ctx, keyvalue.Transaction{
@@ -52,28 +52,29 @@
 	if k.lease == 0 {
 		return nil
 	}
-	return k.renew(ctx)
+	return k.ensureLease(ctx)
 }
 
-// renew makes the lease, or renews it in time. The lock is held.
-func (k *Key) renew(ctx context.Context) error {
+// ensureLease grants the lease if there is none, and renews it once half of it has
+// passed. k.mu must be held.
+func (k *Key) ensureLease(ctx context.Context) error {
 	now := k.Timer.Now()
-	if k.lease != 0 && now.Sub(k.renewed) < lasts/2 {
+	if k.lease != 0 && now.Sub(k.renewedAt) < noticeTTL/2 {
 		return nil
 	}
 	if k.lease != 0 {
 		err := k.Space.KeepAlive(ctx, k.lease)
 		if err == nil {
-			k.renewed = now
+			k.renewedAt = now
 		}
 		if !errors.Is(err, keyvalue.ErrLeaseGone) {
 			return err
 		}
 	}
-	lease, err := k.Space.Grant(ctx, lasts)
+	lease, err := k.Space.Grant(ctx, noticeTTL)
 	if err != nil {
 		return err
 	}
-	k.lease, k.renewed = lease, now
+	k.lease, k.renewedAt = lease, now
 	return nil
 }
--- a/internal/fleet/bulletin/posting.go
+++ b/internal/fleet/bulletin/notice.go
@@ -10,26 +10,26 @@
 	"github.com/egretbend/egretbend/internal/route/suspect"
 )
 
-// maxNotices bounds what one instance tells.
+// maxNotices bounds the notices that one instance publishes.
 const maxNotices = 48
 
-// notice is one thing that an instance has seen: that an upstream ended under a request,
-// or that a request ran to its end.
+// notice is what an instance publishes: that an upstream ended while it ran a request,
+// or that a request was answered.
 type notice struct {
 	Print fingerprint.Print `json:"print"`
-	// Upstream is the incarnation that ended; empty if the request ran to its end.
+	// Upstream is the incarnation that ended; empty if the request was answered.
 	Upstream crash.Incarnation `json:"upstream,omitempty"`
-	// Row is that of the crash.
+	// Row is the Row of the suspect.Crash.
 	Row int `json:"row,omitempty"`
-	// AgeMS is how long ago it was when the key was written.
+	// AgeMS is the age of the notice in milliseconds when it was published.
 	AgeMS int64 `json:"age_ms"`
 
 	at timer.Instant
-	// told says that the key holds it.
-	told bool
+	// published is set while the published value holds the notice.
+	published bool
 }
 
-// crash returns the notice as evidence.
+// crash converts the notice of a crash for suspect.Evidence.
 func (n notice) crash() suspect.Crash {
 	return suspect.Crash{
 		Incarnation: n.Upstream,
@@ -39,7 +39,7 @@
 	}
 }
 
-// encode returns the value of the key.
+// encode returns the value of the key that holds the notices.
 func encode(notices []notice, now timer.Instant) ([]byte, error) {
 	list := make([]notice, 0, len(notices))
 	for _, n := range notices {
@@ -49,7 +49,7 @@
 	return json.Marshal(list)
 }
 
-// decode returns what an instance tells.
+// decode returns the notices that another instance published.
 func decode(value []byte, now timer.Instant) ([]notice, error) {
 	var list []notice
 	if err := json.Unmarshal(value, &list); err != nil {
--- a/internal/fleet/bulletin/part.go
+++ b/internal/fleet/bulletin/part.go
@@ -23,6 +23,7 @@
 	})
 }
 
+// bulletinPart runs a Board and its Listener as a part of the process.
 type bulletinPart struct {
 	board    *Board
 	listener Listener
@@ -79,7 +80,7 @@
 // Stop implements part.Part.
 func (p *bulletinPart) Stop() {}
 
-// Report takes what a crash.Reporter found out, and returns what the log says of it.
+// Report records a crash that a crash.Reporter found, and returns the log fields for it.
 func (b *Board) Report(c crash.Cut, print fingerprint.Print) log.Fields {
 	return b.Ended(suspect.Crash{
 		Incarnation: c.Incarnation,
--- a/internal/fleet/bulletin/publish.go
+++ b/internal/fleet/bulletin/publish.go
@@ -11,56 +11,58 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// The times of a board.
+// Timing of writes and of expiry.
 const (
-	// gather is how long to wait before a write. Most requests that an upstream ended
-	// under are answered by another one meanwhile, and are not told of.
-	gather = 150 * time.Millisecond
-	// expireEvery is how often what is over is forgotten.
-	expireEvery = 10 * time.Second
-	// keepsAnswered is for how long others are told that a request was answered.
-	keepsAnswered = time.Minute
-	// callTimeout bounds a call of the service, retryPause is the pause after one that
-	// failed.
+	// coalesceDelay is how long to wait before a write. Most requests whose upstream ended
+	// are answered by another upstream in this time, and their crashes need not be
+	// published.
+	coalesceDelay = 150 * time.Millisecond
+	// expireInterval is the time between two removals of expired notices.
+	expireInterval = 10 * time.Second
+	// answeredTTL is how long the notice of an answered request is published.
+	answeredTTL = time.Minute
+	// callTimeout bounds a call of the Poster, retryPause is the pause after a failed one.
 	callTimeout = 2 * time.Second
 	retryPause  = 500 * time.Millisecond
 )
 
-// The rate of writes.
+// Rate of writes.
 const (
-	// burst is how many writes an instance makes at once.
-	burst = 3
-	// leastPause and pauseEach make its pause between further ones: the writes of all
-	// instances together must leave the service room for others.
-	leastPause = 250 * time.Millisecond
-	pauseEach  = 20 * time.Millisecond
+	// writeBurst is the number of writes that an instance may make without a pause.
+	writeBurst = 3
+	// The mean pause between further writes is writePausePerInstance for each instance of
+	// the fleet, and at least minWritePause: the writes of all instances together must
+	// leave the service capacity for other calls.
+	minWritePause         = 250 * time.Millisecond
+	writePausePerInstance = 20 * time.Millisecond
 )
 
-// pace is a token bucket for writes.
-type pace struct {
+// writeLimiter is a token bucket for writes.
+type writeLimiter struct {
+	// spent is the number of tokens in use at the instant at.
 	spent float64
 	at    timer.Instant
 }
 
-// wait returns how long the next write has to wait among so many instances, and takes
-// it. The caller then waits.
-func (p *pace) wait(now timer.Instant, instances int) time.Duration {
-	each := max(leastPause, time.Duration(instances)*pauseEach)
+// reserve takes a token for the next write and returns how long the caller must wait
+// before it. instances is the number of instances that share the service.
+func (p *writeLimiter) reserve(now timer.Instant, instances int) time.Duration {
+	each := max(minWritePause, time.Duration(instances)*writePausePerInstance)
 	p.spent = max(0, p.spent-float64(now.Sub(p.at))/float64(each))
 	p.at = now
 	p.spent++
-	return time.Duration(max(0, p.spent-burst) * float64(each))
+	return time.Duration(max(0, p.spent-writeBurst) * float64(each))
 }
 
-// Run tells the others until t dies.
+// Run publishes the notices of this instance and removes expired ones until t dies.
 func (b *Board) Run(t *tomb.Tomb) error {
-	ticks := b.Timer.Every(expireEvery)
+	ticks := b.Timer.Every(expireInterval)
 	defer ticks.Close()
 	ctx := t.Context(context.Background())
 	for {
 		select {
 		case <-b.wake.C():
-			b.tell(ctx, t)
+			b.publish(ctx, t)
 		case <-ticks.C:
 			b.expire(ctx)
 		case <-t.Dying():
@@ -69,34 +71,36 @@
 	}
 }
 
-// tell writes what is not told yet.
-func (b *Board) tell(ctx context.Context, t *tomb.Tomb) {
-	timer.Wait(b.Timer, gather, t.Dying())
-	if !b.untold() {
+// publish posts the notices after a delay, unless all are published by then.
+func (b *Board) publish(ctx context.Context, t *tomb.Tomb) {
+	timer.Wait(b.Timer, coalesceDelay, t.Dying())
+	if !b.hasUnpublished() {
 		return
 	}
-	timer.Wait(b.Timer, b.pace.wait(b.Timer.Now(), b.Instances()), t.Dying())
+	timer.Wait(b.Timer, b.limiter.reserve(b.Timer.Now(), b.Instances()), t.Dying())
 	if !t.Alive() {
 		return
 	}
-	if err := b.write(ctx); err != nil && t.Alive() {
-		b.Metrics.told("failed")
+	if err := b.post(ctx); err != nil && t.Alive() {
+		b.Metrics.countWrite("failed")
 		b.Journal.Trouble("notices of crashes not told", err, log.Fields{})
 		timer.Wait(b.Timer, retryPause, t.Dying())
 		b.wake.Set()
 		return
 	}
-	b.Metrics.told("done")
+	b.Metrics.countWrite("done")
 }
 
-func (b *Board) untold() bool {
+// hasUnpublished reports whether own holds notices that are not published, or the
+// published value holds notices that own no longer has.
+func (b *Board) hasUnpublished() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.over || slices.ContainsFunc(b.own, func(n notice) bool { return !n.told })
+	return b.keyOutdated || slices.ContainsFunc(b.own, func(n notice) bool { return !n.published })
 }
 
-// write writes the key.
-func (b *Board) write(ctx context.Context) error {
+// post publishes all notices of this instance.
+func (b *Board) post(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	b.mu.Lock()
@@ -111,19 +115,20 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.over = false
+	b.keyOutdated = false
 	for i := range b.own {
-		b.own[i].told = b.own[i].told || slices.ContainsFunc(sent, b.own[i].same)
+		b.own[i].published = b.own[i].published || slices.ContainsFunc(sent, b.own[i].same)
 	}
 	return nil
 }
 
-// same reports whether two notices are one.
+// same reports whether two notices tell of the same event.
 func (n notice) same(o notice) bool {
 	return n.Print == o.Print && n.Upstream == o.Upstream && n.at == o.at
 }
 
-// expire forgets what is over, and keeps the key alive while there is anything to tell.
+// expire removes expired evidence, notices and trials, and renews the published notices
+// while there are any.
 func (b *Board) expire(ctx context.Context) {
 	b.mu.Lock()
 	now := b.Timer.Now()
@@ -134,23 +139,23 @@
 	}
 	b.own = slices.DeleteFunc(b.own, func(n notice) bool {
 		if n.Upstream == "" {
-			return now.Sub(n.at) >= keepsAnswered
+			return now.Sub(n.at) >= answeredTTL
 		}
-		over := !b.evidence.Judge(n.Print, now).Suspects()
-		if over && n.told {
-			// An instance that starts would take it for news.
-			b.over = true
+		expired := !b.evidence.Judge(n.Print, now).Suspects()
+		if expired && n.published {
+			// An instance that starts would take the published notice as a new crash.
+			b.keyOutdated = true
 			b.wake.Set()
 		}
-		return over
+		return expired
 	})
-	for print, at := range b.tried {
-		if now.Sub(at) >= tryEvery {
-			delete(b.tried, print)
+	for print, at := range b.trials {
+		if now.Sub(at) >= trialInterval {
+			delete(b.trials, print)
 		}
 	}
-	b.changed()
-	b.Metrics.known(b.evidence.Len(), b.evidence.Guilty())
+	b.updateHasEvidence()
+	b.Metrics.setKnown(b.evidence.Len(), b.evidence.Guilty())
 	idle := len(b.own) == 0
 	b.mu.Unlock()
 	if idle {
@@ -159,6 +164,6 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := b.Poster.Renew(ctx); err != nil {
-		b.Journal.Trouble("notices of crashes not renewed", err, log.Fields{})
+		b.Journal.Trouble("cannot renew notices of crashes", err, log.Fields{})
 	}
 }
--- a/internal/fleet/bulletin/simulation_test.go
+++ b/internal/fleet/bulletin/simulation_test.go
@@ -16,104 +16,122 @@
 	"github.com/egretbend/egretbend/internal/standin/space"
 )
 
-// The times of a simulated fleet.
+// Times and limits of a simulated fleet.
 const (
-	simStep  = 5 * time.Millisecond
-	simWork  = 30 * time.Millisecond
-	simDown  = 1500 * time.Millisecond
-	contact  = 3 * time.Second
-	simTries = 2
+	simStep     = 5 * time.Millisecond
+	simRunTime  = 30 * time.Millisecond
+	simDowntime = 1500 * time.Millisecond
+	// simContactTime is how long after the third crash of a request, and after its own
+	// start or cut, an instance may still send the request on.
+	simContactTime = 3 * time.Second
+	// simMaxAttempts is the number of upstreams that a request may be sent to.
+	simMaxAttempts = 2
 )
 
-// fleetPlan says what is simulated.
+// fleetPlan is the configuration of a simulation.
 type fleetPlan struct {
 	seed      uint64
 	instances int
 	upstreams int
-	deadly    int
-	// every is how often each deadly request comes again, plain how many others come in
-	// a second.
-	every  time.Duration
-	plain  int
-	length time.Duration
-	// restarts, cuts and ends are how many instances restart or hear nothing for a while,
-	// and how many upstreams end by themselves, in a second.
-	restarts, cuts, ends float64
-	// popular is how many callers ask for the same thing in a second, losses how many times
-	// a second half of the upstreams end together, or all.
+	// crashing is the number of different requests that crash every upstream.
+	crashing int
+	// interval is the mean time between two arrivals of each crashing request.
+	interval time.Duration
+	// plain is the number of requests per second that crash nothing, each with another
+	// body.
+	plain    int
+	duration time.Duration
+	// restarts is the number of instances that restart per second, cuts is the number of
+	// instances that begin a time without notices per second, and crashes is the number of
+	// upstreams per second that end for another reason than a request.
+	restarts, cuts, crashes float64
+	// popular is the number of plain requests per second with the same body.
 	popular int
-	losses  float64
-	// alone keeps instances from hearing of each other.
-	alone bool
+	// outages is how many times per second half or all of the upstreams end together.
+	outages float64
+	// isolated keeps all notices from the other instances.
+	isolated bool
 }
 
-// simInstance is one instance.
+// simInstance is a simulated instance.
 type simInstance struct {
 	name  string
 	board *Board
-	// cutUntil is until when it hears nothing, hurt when anything was done to it last.
-	cutUntil, hurt timer.Instant
-	inbox          []delivery
-	due            timer.Instant
+	// cutUntil is the end of the last cut, in which no notices arrive; disturbedAt is the
+	// end of the last cut or the last restart.
+	cutUntil, disturbedAt timer.Instant
+	inbox                 []delivery
+	// writeDue is when the next write is due; zero if none is.
+	writeDue timer.Instant
 }
 
+// delivery is a change on its way to an instance.
 type delivery struct {
 	at     timer.Instant
 	change keyvalue.Change
 }
 
+// simUpstream is a simulated upstream.
 type simUpstream struct {
-	starts int
-	until  timer.Instant
-	runs   []*simRequest
+	// starts counts its incarnations.
+	starts    int
+	downUntil timer.Instant
+	runs      []*simRequest
 }
 
-// simRequest is a request on its way.
+// simRequest is a request that an instance handles.
 type simRequest struct {
-	deadly  int // 0 for a plain one
-	sum     fingerprint.Sum
-	at      *simInstance
-	verdict suspect.Verdict
-	tried   []int
-	cut     int
-	client  int
-	ends    timer.Instant
-	on      int
+	crashing int // number of the crashing request; 0 for a plain one
+	sum      fingerprint.Sum
+	instance *simInstance
+	verdict  suspect.Verdict
+	tried    []int
+	// crashes counts the upstreams that ended while they ran the request, retried the
+	// retries by the client.
+	crashes int
+	retried int
+	endsAt  timer.Instant
+	// upstream is the index of the last upstream that it was sent to.
+	upstream int
 }
 
 // simFleet is a simulated fleet.
 type simFleet struct {
 	fleetPlan
-	r         *rand.Rand
+	rng       *rand.Rand
 	clock     *timer.Manual
 	store     *space.Space
 	instances []*simInstance
 	upstreams []*simUpstream
 	running   []*simRequest
-	later     map[timer.Instant][]*simRequest
+	// retries holds the requests that clients retry, by the time of the retry.
+	retries map[timer.Instant][]*simRequest
 
-	crashes map[int]int
-	third   map[int]timer.Instant
-	late    map[int]int
-	plainN  int
-	// popularN counts the requests for what is popular, which are among the served and
-	// turned as well.
-	popularN int
-	served   int
-	turned   int
-	writes   int
-	most     int
+	// crashCount counts the upstreams that each crashing request has ended, thirdCrash
+	// holds the time of the third one, and lateSends counts the sends that simContactTime
+	// does not allow.
+	crashCount map[int]int
+	thirdCrash map[int]timer.Instant
+	lateSends  map[int]int
+	plainCount int
+	// popularCount counts the popular requests. served and refused include them.
+	popularCount int
+	served       int
+	refused      int
+	writes       int
+	// maxKnown is the largest number of ends of upstreams that an instance knew of.
+	maxKnown int
 }
 
 func newSimFleet(p fleetPlan) *simFleet {
 	f := &simFleet{
-		fleetPlan: p,
-		r:         rand.New(rand.NewPCG(p.seed, 1)),
-		clock:     &timer.Manual{},
-		later:     map[timer.Instant][]*simRequest{},
-		crashes:   map[int]int{},
-		third:     map[int]timer.Instant{},
-		late:      map[int]int{},
+		fleetPlan:  p,
+		rng:        rand.New(rand.NewPCG(p.seed, 1)),
+		clock:      &timer.Manual{},
+		retries:    map[timer.Instant][]*simRequest{},
+		crashCount: map[int]int{},
+		thirdCrash: map[int]timer.Instant{},
+		lateSends:  map[int]int{},
 	}
 	f.clock.Advance(time.Hour)
 	f.store = &space.Space{
@@ -123,8 +141,8 @@
 		in := &simInstance{
 			name: fmt.Sprint("i", i),
 		}
-		f.begin(in)
-		in.hurt = 0
+		f.startInstance(in)
+		in.disturbedAt = 0
 		f.instances = append(f.instances, in)
 	}
 	for range p.upstreams {
@@ -133,16 +151,16 @@
 	return f
 }
 
-// known is a secret that all know.
-type known struct{}
+// fixedSecret is a Secret that is the same at all instances.
+type fixedSecret struct{}
 
-func (known) Known() []byte { return []byte("secret") }
+func (fixedSecret) Known() []byte { return []byte("secret") }
 
-// begin begins an incarnation of an instance, which reads what the store has.
-func (f *simFleet) begin(in *simInstance) {
+// startInstance starts a new incarnation of an instance, which reads the stored notices.
+func (f *simFleet) startInstance(in *simInstance) {
 	key := fmt.Sprint("crashes/", in.name, "/", f.clock.Now())
 	in.board = &Board{
-		Secret: known{},
+		Secret: fixedSecret{},
 		Key:    key,
 		Poster: &Key{
 			Space: f.store,
@@ -162,8 +180,8 @@
 		Timer: f.clock,
 	}
 	in.inbox = nil
-	in.due = 0
-	in.hurt = f.clock.Now()
+	in.writeDue = 0
+	in.disturbedAt = f.clock.Now()
 	listing, err := f.store.Range(context.Background(), "crashes/", keyvalue.Fresh)
 	if err != nil {
 		panic(err)
@@ -173,12 +191,13 @@
 	}
 }
 
-// deliver lets an instance hear of a change after a while.
+// deliver passes a change to an instance after a random delay, and not before its cut
+// ends.
 func (f *simFleet) deliver(in *simInstance, c keyvalue.Change) {
-	if f.alone {
+	if f.isolated {
 		return
 	}
-	at := f.clock.Now().Add(20*time.Millisecond + time.Duration(f.r.Int64N(int64(600*time.Millisecond))))
+	at := f.clock.Now().Add(20*time.Millisecond + time.Duration(f.rng.Int64N(int64(600*time.Millisecond))))
 	if at < in.cutUntil {
 		at = in.cutUntil
 	}
@@ -188,8 +207,9 @@
 	})
 }
 
-// hear lets an instance hear and tell.
-func (f *simFleet) hear(in *simInstance) {
+// stepInstance delivers the changes that are due to an instance and makes its write if one
+// is due. It does what Board.Run does on a real clock.
+func (f *simFleet) stepInstance(in *simInstance) {
 	now := f.clock.Now()
 	in.inbox = slices.DeleteFunc(in.inbox, func(d delivery) bool {
 		if d.at > now {
@@ -200,19 +220,19 @@
 	})
 	select {
 	case <-in.board.wake.C():
-		if in.due == 0 {
-			in.due = now.Add(gather + in.board.pace.wait(now, f.fleetPlan.instances))
+		if in.writeDue == 0 {
+			in.writeDue = now.Add(coalesceDelay + in.board.limiter.reserve(now, f.fleetPlan.instances))
 		}
 	default:
 	}
-	if in.due == 0 || now < in.due {
+	if in.writeDue == 0 || now < in.writeDue {
 		return
 	}
-	in.due = 0
-	if !in.board.untold() {
+	in.writeDue = 0
+	if !in.board.hasUnpublished() {
 		return
 	}
-	if err := in.board.write(context.Background()); err != nil {
+	if err := in.board.post(context.Background()); err != nil {
 		panic(err)
 	}
 	f.writes++
@@ -225,164 +245,168 @@
 	}
 }
 
-// run plays the plan.
+// run runs the simulation.
 func (f *simFleet) run() {
-	ends := f.clock.Now().Add(f.length)
-	next := make([]timer.Instant, f.deadly)
+	end := f.clock.Now().Add(f.duration)
+	next := make([]timer.Instant, f.crashing)
 	for i := range next {
-		next[i] = f.clock.Now().Add(time.Duration(f.r.Int64N(int64(2 * time.Second))))
+		next[i] = f.clock.Now().Add(time.Duration(f.rng.Int64N(int64(2 * time.Second))))
 	}
-	chance := func(perSecond float64) bool { return f.r.Float64() < perSecond*simStep.Seconds() }
-	for f.clock.Now() < ends {
+	chance := func(perSecond float64) bool { return f.rng.Float64() < perSecond*simStep.Seconds() }
+	for f.clock.Now() < end {
 		f.clock.Advance(simStep)
 		now := f.clock.Now()
 		for _, in := range f.instances {
-			f.hear(in)
-			f.most = max(f.most, in.board.evidence.Len())
+			f.stepInstance(in)
+			f.maxKnown = max(f.maxKnown, in.board.evidence.Len())
 		}
 		for i := range next {
 			if now >= next[i] {
-				next[i] = now.Add(f.every/2 + time.Duration(f.r.Int64N(int64(f.every))))
+				next[i] = now.Add(f.interval/2 + time.Duration(f.rng.Int64N(int64(f.interval))))
 				f.arrive(i+1, fmt.Sprint("deadly-", i), 0)
 			}
 		}
 		if chance(float64(f.plain)) {
-			f.plainN++
-			f.arrive(0, fmt.Sprint("plain-", f.plainN), 0)
+			f.plainCount++
+			f.arrive(0, fmt.Sprint("plain-", f.plainCount), 0)
 		}
 		if chance(float64(f.popular)) {
-			f.popularN++
+			f.popularCount++
 			f.arrive(0, "popular", 0)
 		}
-		if chance(f.losses) {
+		if chance(f.outages) {
 			n := len(f.upstreams)
-			if f.r.IntN(3) > 0 {
+			if f.rng.IntN(3) > 0 {
 				n /= 2
 			}
 			for i := range f.upstreams[:n] {
-				f.end(i)
+				f.crashUpstream(i)
 			}
 		}
 		if chance(f.restarts) {
-			f.begin(f.instances[f.r.IntN(len(f.instances))])
+			f.startInstance(f.instances[f.rng.IntN(len(f.instances))])
 		}
 		if chance(f.cuts) {
-			in := f.instances[f.r.IntN(len(f.instances))]
-			in.cutUntil, in.hurt = now.Add(4*time.Second), now.Add(4*time.Second)
+			in := f.instances[f.rng.IntN(len(f.instances))]
+			in.cutUntil, in.disturbedAt = now.Add(4*time.Second), now.Add(4*time.Second)
 		}
-		if chance(f.ends) {
-			f.end(f.r.IntN(len(f.upstreams)))
+		if chance(f.crashes) {
+			f.crashUpstream(f.rng.IntN(len(f.upstreams)))
 		}
 		f.finish(now)
-		for _, q := range f.later[now] {
-			f.arrive(0, string(q.sum[:]), q.client)
+		for _, q := range f.retries[now] {
+			f.arrive(0, string(q.sum[:]), q.retried)
 		}
-		delete(f.later, now)
+		delete(f.retries, now)
 	}
 }
 
-// arrive lets a request arrive at any instance.
-func (f *simFleet) arrive(deadly int, body string, client int) {
+// arrive lets a request arrive at a random instance.
+func (f *simFleet) arrive(crashing int, body string, retried int) {
 	q := &simRequest{
-		deadly: deadly,
-		at:     f.instances[f.r.IntN(len(f.instances))],
-		client: client,
+		crashing: crashing,
+		instance: f.instances[f.rng.IntN(len(f.instances))],
+		retried:  retried,
 	}
 	copy(q.sum[:], body)
-	q.verdict = q.at.board.Judge(func() fingerprint.Sum { return q.sum })
+	q.verdict = q.instance.board.Judge(func() fingerprint.Sum { return q.sum })
 	if q.verdict.Refused() {
-		if deadly == 0 {
-			f.turned++
+		if crashing == 0 {
+			f.refused++
 		}
 		return
 	}
 	f.send(q)
 }
 
-// send sends a request to an upstream that is up.
+// send sends a request to a random upstream that is up, has a free slot and has not run
+// it before.
 func (f *simFleet) send(q *simRequest) {
 	now := f.clock.Now()
 	var up []int
 	for i, u := range f.upstreams {
-		if now >= u.until && len(u.runs) < 6 && !slices.Contains(q.tried, i) {
+		if now >= u.downUntil && len(u.runs) < 6 && !slices.Contains(q.tried, i) {
 			up = append(up, i)
 		}
 	}
 	if len(up) == 0 {
-		f.again(q)
+		f.retryLater(q)
 		return
 	}
-	q.on = up[f.r.IntN(len(up))]
-	q.tried = append(q.tried, q.on)
-	q.ends = now.Add(simWork)
-	f.upstreams[q.on].runs = append(f.upstreams[q.on].runs, q)
+	q.upstream = up[f.rng.IntN(len(up))]
+	q.tried = append(q.tried, q.upstream)
+	q.endsAt = now.Add(simRunTime)
+	f.upstreams[q.upstream].runs = append(f.upstreams[q.upstream].runs, q)
 	f.running = append(f.running, q)
-	if q.deadly == 0 {
+	if q.crashing == 0 {
 		return
 	}
-	if at, ok := f.third[q.deadly]; ok && now.Sub(at) > contact && now.Sub(q.at.hurt) > contact {
-		f.late[q.deadly]++
+	if at, ok := f.thirdCrash[q.crashing]; ok && now.Sub(at) > simContactTime && now.Sub(q.instance.disturbedAt) > simContactTime {
+		f.lateSends[q.crashing]++
 	}
 }
 
-// finish ends the runs that are over.
+// finish ends the runs whose time is over: a crashing request takes its upstream along,
+// any other one is answered.
 func (f *simFleet) finish(now timer.Instant) {
 	for _, q := range slices.Clone(f.running) {
-		if now < q.ends || !slices.Contains(f.running, q) {
+		if now < q.endsAt || !slices.Contains(f.running, q) {
 			continue
 		}
-		if q.deadly > 0 {
-			f.crashes[q.deadly]++
-			if f.crashes[q.deadly] == 3 {
-				f.third[q.deadly] = now
+		if q.crashing > 0 {
+			f.crashCount[q.crashing]++
+			if f.crashCount[q.crashing] == 3 {
+				f.thirdCrash[q.crashing] = now
 			}
-			f.end(q.on)
+			f.crashUpstream(q.upstream)
 			continue
 		}
 		f.drop(q)
 		f.served++
-		q.at.board.Answered(func() fingerprint.Sum { return q.sum })
+		q.instance.board.Answered(func() fingerprint.Sum { return q.sum })
 	}
 }
 
+// drop removes a request from its upstream.
 func (f *simFleet) drop(q *simRequest) {
-	u := f.upstreams[q.on]
+	u := f.upstreams[q.upstream]
 	u.runs = slices.DeleteFunc(u.runs, func(x *simRequest) bool { return x == q })
 	f.running = slices.DeleteFunc(f.running, func(x *simRequest) bool { return x == q })
 }
 
-// end ends an upstream with all that it runs.
-func (f *simFleet) end(at int) {
-	u := f.upstreams[at]
+// crashUpstream ends an upstream and all requests that it runs. These are sent to another
+// upstream if the verdict allows it.
+func (f *simFleet) crashUpstream(index int) {
+	u := f.upstreams[index]
 	now := f.clock.Now()
-	if now < u.until {
+	if now < u.downUntil {
 		return
 	}
-	u.until = now.Add(simDown)
+	u.downUntil = now.Add(simDowntime)
 	u.starts++
-	life := crash.IncarnationOf(fmt.Sprint("u", at), uint64(u.starts))
+	incarnation := crash.IncarnationOf(fmt.Sprint("u", index), uint64(u.starts))
 	for _, q := range slices.Clone(u.runs) {
 		f.drop(q)
-		q.cut++
-		q.at.board.Ended(suspect.Crash{
-			Incarnation: life,
-			Print:       q.sum.Under(known{}.Known()),
+		q.crashes++
+		q.instance.board.Ended(suspect.Crash{
+			Incarnation: incarnation,
+			Print:       q.sum.Under(fixedSecret{}.Known()),
 			At:          now,
-			Row:         q.verdict.Crashes + q.cut,
+			Row:         q.verdict.Crashes + q.crashes,
 		})
-		if len(q.tried) < simTries && q.verdict.MayRepeat(q.cut, 0) {
+		if len(q.tried) < simMaxAttempts && q.verdict.MayRepeat(q.crashes, 0) {
 			f.send(q)
 			continue
 		}
-		f.again(q)
+		f.retryLater(q)
 	}
 }
 
-// again lets the client of a plain request come once more.
-func (f *simFleet) again(q *simRequest) {
-	if q.deadly == 0 && q.client == 0 {
-		q.client++
+// retryLater schedules the one retry that the client of a plain request makes.
+func (f *simFleet) retryLater(q *simRequest) {
+	if q.crashing == 0 && q.retried == 0 {
+		q.retried++
 		at := f.clock.Now().Add(20 * simStep)
-		f.later[at] = append(f.later[at], q)
+		f.retries[at] = append(f.retries[at], q)
 	}
 }
