--- a/internal/fleet/relay/poller.go
+++ b/internal/fleet/relay/poller.go
@@ -16,21 +16,20 @@
 // changes within an answer.
 const coalesceDelay = 250 * time.Millisecond
 
-// errNoWatcher means that none of the watchers that were asked has a working
-// connection to the service.
-var errNoWatcher = errors.New("no watcher has a confirmed connection to the key-value service")
+// errNoWatcher means that all watchers that were asked failed or are stale.
+var errNoWatcher = errors.New("no watcher gave a current answer")
 
 // watcherPoller polls a watcher for the changes of all prefixes at once and buffers
 // them for the callers of Space.Watch, one per prefix. It polls only while there is
 // such a caller. Its zero value is ready to use.
 type watcherPoller struct {
 	mu sync.Mutex
-	// cursors are the revisions after which the next poll asks for changes.
+	// cursors holds the revisions after which the next poll asks for changes, by prefix.
 	cursors map[string]uint64
-	// buffered holds the changes that were polled and not yet returned.
+	// buffered holds the changes that were polled and not yet returned, by prefix.
 	buffered map[string]News
-	// revisions are the revisions up to which prefixes were read by other calls than
-	// polls.
+	// revisions holds the revisions up to which prefixes were read by listings and by
+	// watches of the service itself.
 	revisions map[string]uint64
 	running   bool
 	// hasWaiter is set when a caller waits for the poll in progress.
--- a/internal/fleet/relay/space.go
+++ b/internal/fleet/relay/space.go
@@ -21,13 +21,13 @@
 	// a large instance. Each further watcher costs one call of the service for
 	// each change of the list of upstreams.
 	followersPerWatcher = 24
-	// spareWatchers is the number of watchers beyond that, so that the others can
-	// take over when one dies.
+	// spareWatchers is the number of additional watchers, so that the death of one
+	// leaves enough of them.
 	spareWatchers = 1
 	// maxWatchersAsked is the number of watchers that a follower asks before it
 	// calls the service itself. The service may reject the calls of a third of all
-	// instances: with two watchers asked, one follower in nine fell back to the
-	// service, with a call for each prefix a second.
+	// instances: with two watchers asked, one follower in nine called the service
+	// itself, once a second for each prefix.
 	maxWatchersAsked = 4
 	// pollWait is how long a watch waits at a watcher. It bounds the time until a
 	// follower notices that its watcher no longer answers; a change must be known
@@ -92,8 +92,8 @@
 	// Revision is the revision of that item.
 	Revision uint64
 	// Lead is the time from the arrival of the query to that instant; it is mostly
-	// negative. The sender may add Lead to the instant at which it sent the query:
-	// that instant is before the arrival, so the result is never too late.
+	// negative. The sender of the query adds Lead to the instant at which it sent it.
+	// That was before the arrival, so the result is never later than the true instant.
 	Lead time.Duration
 }
 
