--- a/internal/rollout/runner/attempt.go
+++ b/internal/rollout/runner/attempt.go
@@ -18,24 +18,27 @@
 	"github.com/egretbend/egretbend/internal/route/router"
 )
 
-// errUnwanted ends an attempt whose result nobody would take.
-var errUnwanted = errors.New("the sample is no longer wanted")
+// errUnwanted ends an attempt whose result is no longer needed, because its
+// step was dropped or another attempt at the sample finished first.
+var errUnwanted = errors.New("result of the attempt is no longer needed")
 
-// wantedEvery is after how many tokens an attempt asks whether it is wanted.
-const wantedEvery = 16
+// wantedCheckTokens is the number of tokens between two checks of whether the
+// result of an attempt is still needed.
+const wantedCheckTokens = 16
 
-// attempt is one attempt at a sample.
+// attempt is one attempt at generating a sample.
 type attempt struct {
-	live *live
-	work session.Work
-	task stream.Task
-	rec  *sample.Recorder
+	session *openSession
+	work    session.Work
+	task    stream.Task
+	rec     *sample.Recorder
 }
 
-// task returns the generation of an attempt. The caller holds the lock.
-func (l *live) task(work session.Work, rec *sample.Recorder) stream.Task {
+// newTask returns the generation task of an attempt. It resumes from the tokens
+// in rec. The caller holds the lock.
+func (l *openSession) newTask(work session.Work, rec *sample.Recorder) stream.Task {
 	return stream.Task{
-		RequestID:  fmt.Sprintf("%s.%d.%s.%d", l.state.Trainer, l.state.Number, work.Key, l.attempts),
+		RequestID:  fmt.Sprintf("%s.%d.%s.%d", l.state.Trainer, l.state.Number, work.Key, l.attemptCount),
 		Caller:     l.state.Trainer,
 		Class:      limit.Training,
 		Weight:     l.weight(),
@@ -50,9 +53,9 @@
 	}
 }
 
-// run makes the attempt.
+// run generates the sample and records the result or the failure.
 func (a *attempt) run(trip *router.Trip) {
-	l := a.live
+	l := a.session
 	timeout := time.Duration(trip.Set.Deployment.TimeoutMS) * time.Millisecond
 	ctx, cancel := context.WithTimeout(l.ctx, timeout)
 	defer cancel()
@@ -66,7 +69,7 @@
 	}
 	started := l.runner.Timer.Now()
 	finish, err := l.runner.Generator.Run(ctx, trip, a.task, func(t engine.Token) error {
-		return l.token(a.work.Key, a.rec, t)
+		return l.recordToken(a.work.Key, a.rec, t)
 	})
 	l.runner.Journal.Detail("attempt_end", log.Fields{
 		"request_id": a.task.RequestID,
@@ -77,26 +80,30 @@
 		"error":      fmt.Sprint(err),
 	})
 	if err != nil {
-		l.failed(a.work.Key, err)
+		l.recordFailure(a.work.Key, err)
 		return
 	}
-	l.finished(a.work, a.rec, finish, a.task.RequestID)
+	l.finishSample(a.work, a.rec, finish, a.task.RequestID)
 }
 
-func (l *live) weight() float64 {
+// weight returns the configured weight of the trainer, or 1 while there is no
+// configuration.
+func (l *openSession) weight() float64 {
 	if doc := l.runner.Holder.Current(); doc != nil {
 		return doc.Parsed().TrainerWeight(l.state.Trainer)
 	}
 	return 1
 }
 
-// token takes one token of an attempt. The longest attempt so far is what a
-// further one is resumed from.
-func (l *live) token(key sample.Key, rec *sample.Recorder, t engine.Token) error {
+// recordToken adds a token to the record of an attempt. Every wantedCheckTokens
+// tokens, it returns errUnwanted if the result is no longer needed, and otherwise
+// records the progress of the attempt, so that a later attempt can resume from
+// the longest one.
+func (l *openSession) recordToken(key sample.Key, rec *sample.Recorder, t engine.Token) error {
 	if err := rec.Add(t); err != nil {
 		return err
 	}
-	if len(rec.Texts)%wantedEvery != 1 {
+	if len(rec.Texts)%wantedCheckTokens != 1 {
 		return nil
 	}
 	now := l.runner.Timer.Now()
@@ -106,11 +113,12 @@
 		return errUnwanted
 	}
 	l.state.Progress(key, len(rec.Texts), now)
-	l.advance(key, rec, now)
+	l.recordProgress(key, rec, now)
 	return nil
 }
 
-func (l *live) failed(key sample.Key, err error) {
+// recordFailure records that an attempt ended without a sample.
+func (l *openSession) recordFailure(key sample.Key, err error) {
 	now := l.runner.Timer.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,12 +130,13 @@
 	l.runner.Metrics.count(fateFailed)
 }
 
-// finished copies a sample to another failure domain and makes it ready. Only
-// then may the trainer get it: a sample that is handed over and acknowledged
-// needs no copy, but one that is ready and lost would stall the step.
-func (l *live) finished(work session.Work, rec *sample.Recorder, finish stream.Finish, requestID string) {
+// finishSample copies a finished sample to another failure domain and only then
+// makes it ready for delivery to the trainer. A sample that was delivered and
+// acknowledged needs no copy, but losing a sample that is ready would stall the
+// step.
+func (l *openSession) finishSample(work session.Work, rec *sample.Recorder, finish stream.Finish, requestID string) {
 	if len(rec.Spans) == 0 {
-		l.failed(work.Key, sample.ErrNoVersion)
+		l.recordFailure(work.Key, sample.ErrNoVersion)
 		return
 	}
 	s := &sample.Sample{
@@ -143,40 +152,42 @@
 	}
 	raw, err := json.Marshal(s)
 	if err != nil {
-		l.failed(work.Key, err)
+		l.recordFailure(work.Key, err)
 		return
 	}
 	l.mu.Lock()
 	wanted := l.state.Wanted(work.Key)
-	begun := l.progressOf(work.Key).begun
+	firstTokenAt := l.progressOf(work.Key).firstTokenAt
 	doneBelow := l.state.DoneBelow()
 	l.mu.Unlock()
 	now := l.runner.Timer.Now()
-	if begun == 0 {
-		begun = now
+	if firstTokenAt == 0 {
+		firstTokenAt = now
 	}
-	if wanted && l.runner.copyOut(l.ctx, l, s, raw, now.Sub(begun), doneBelow) {
+	if wanted && l.runner.copyToOtherDomain(l.ctx, l, s, raw, now.Sub(firstTokenAt), doneBelow) {
 		l.fence()
 	}
-	l.settle(work.Key, session.Kept{
+	l.recordResult(work.Key, session.Kept{
 		Raw:    raw,
 		Oldest: s.Oldest(),
 		Tokens: s.Tokens,
-		Begun:  begun,
+		Begun:  firstTokenAt,
 	})
 }
 
-func (l *live) settle(key sample.Key, k session.Kept) {
+// recordResult makes a finished sample ready for delivery, unless another
+// attempt finished first or the step was dropped.
+func (l *openSession) recordResult(key sample.Key, k session.Kept) {
 	now := l.runner.Timer.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := l.state.Finish(key, k, now)
-	l.poke()
+	l.wakeDispatcher()
 	if !first {
 		l.runner.Metrics.count(fateBeaten)
 		return
 	}
 	l.runner.Metrics.count(fateFinished)
 	delete(l.progress, key)
-	l.notify()
+	l.notifyReaders()
 }
--- a/internal/rollout/runner/copies.go
+++ b/internal/rollout/runner/copies.go
@@ -15,25 +15,28 @@
 )
 
 const (
-	// copyTargets is how many instances are tried for one copy.
-	copyTargets = 3
-	// askAll is the size of a fleet up to which all instances are asked for
-	// copies. In a larger one those that any view could have named are asked.
-	askAll = 64
+	// maxCopyTargets is the number of instances that are tried for one copy.
+	maxCopyTargets = 3
+	// askAllMaxInstances is the number of instances up to which all of them
+	// are asked for copies. In a larger fleet, only instances that some
+	// instance could have selected as a copy target are asked.
+	askAllMaxInstances = 64
 )
 
-func copyKey(trainer string, step uint64) string { return fmt.Sprintf("%s/%d", trainer, step) }
+// copyPlacementKey returns the key by which instances are ranked for the copies
+// of a step.
+func copyPlacementKey(trainer string, step uint64) string { return fmt.Sprintf("%s/%d", trainer, step) }
 
-// copyOut copies a finished sample to one instance in another failure domain.
-// It reports whether the session was found to be fenced.
-func (r *Runner) copyOut(ctx context.Context, l *live, s *sample.Sample, raw []byte, age time.Duration, doneBelow uint64) bool {
+// copyToOtherDomain copies a finished sample to one instance in another failure
+// domain. It reports whether that instance answered that the session is fenced.
+func (r *Runner) copyToOtherDomain(ctx context.Context, l *openSession, s *sample.Sample, raw []byte, age time.Duration, doneBelow uint64) bool {
 	view := r.Members.View()
-	for _, m := range view.TopOutside(view.Self.FailureDomain, copyKey(s.Trainer, s.Step), copyTargets) {
+	for _, m := range view.TopOutside(view.Self.FailureDomain, copyPlacementKey(s.Trainer, s.Step), maxCopyTargets) {
 		if m.ID == view.Self.ID {
 			continue
 		}
 		var reply keeper.KeepReply
-		err := r.call(ctx, m, "Keeper.Keep", keeper.KeepArgs{
+		err := r.callInstance(ctx, m, "Keeper.Keep", keeper.KeepArgs{
 			Trainer:   s.Trainer,
 			Session:   l.state.Number,
 			Key:       s.Key,
@@ -43,27 +46,28 @@
 			DoneBelow: doneBelow,
 		}, &reply)
 		if err == nil {
-			r.Metrics.copied(len(raw))
+			r.Metrics.addCopiedBytes(len(raw))
 			return reply.Fenced
 		}
 	}
-	// With no other instance in reach the sample is handed over all the same.
-	// If this instance dies now, the sample is made again.
+	// If no other instance is reachable, the sample is delivered without a
+	// copy. If this instance dies then, the sample is regenerated.
 	r.Metrics.count(fateUncopied)
 	return false
 }
 
-// gather asks others for finished samples of a step and raises the fence
-// there. It reports whether a later session was found.
-func (r *Runner) gather(ctx context.Context, trainer string, number, step uint64) ([]keeper.Copy, bool) {
+// gatherCopies collects the copies of a step's finished samples from other
+// instances and fences the trainer's earlier sessions there. It reports whether
+// an instance knows a later session of the trainer.
+func (r *Runner) gatherCopies(ctx context.Context, trainer string, number, step uint64) ([]keeper.Copy, bool) {
 	var mu sync.Mutex
 	var all []keeper.Copy
 	fenced := false
 	var wg sync.WaitGroup
-	targets := r.keepers(trainer, step)
+	targets := r.copyHolders(trainer, step)
 	for _, m := range targets {
 		wg.Go(func() {
-			copies, f := r.gatherFrom(ctx, m, trainer, number, step)
+			copies, f := r.gatherCopiesFrom(ctx, m, trainer, number, step)
 			mu.Lock()
 			defer mu.Unlock()
 			all = append(all, copies...)
@@ -84,15 +88,15 @@
 	return all, fenced
 }
 
-// keepers returns the instances that may hold copies of a step: whichever
-// failure domain the earlier session's instance was in, its first choices are
-// among the first choices outside of that domain.
-func (r *Runner) keepers(trainer string, step uint64) []member.Member {
+// copyHolders returns the instances that may hold copies of a step. The instance
+// of an earlier session may have been in any failure domain, so in a large fleet
+// the list has the first-ranked instances outside of each domain.
+func (r *Runner) copyHolders(trainer string, step uint64) []member.Member {
 	view := r.Members.View()
-	if len(view.Known) <= askAll {
+	if len(view.Known) <= askAllMaxInstances {
 		return view.Known
 	}
-	key := copyKey(trainer, step)
+	key := copyPlacementKey(trainer, step)
 	seen := make(map[string]bool)
 	domains := make(map[string]bool)
 	var list []member.Member
@@ -101,17 +105,18 @@
 			continue
 		}
 		domains[m.FailureDomain] = true
-		for _, top := range view.TopOutside(m.FailureDomain, key, copyTargets) {
-			if !seen[top.ID] {
-				seen[top.ID] = true
-				list = append(list, top)
+		for _, candidate := range view.TopOutside(m.FailureDomain, key, maxCopyTargets) {
+			if !seen[candidate.ID] {
+				seen[candidate.ID] = true
+				list = append(list, candidate)
 			}
 		}
 	}
 	return list
 }
 
-func (r *Runner) gatherFrom(ctx context.Context, m member.Member, trainer string, number, step uint64) ([]keeper.Copy, bool) {
+// gatherCopiesFrom collects all pages of copies that one instance holds.
+func (r *Runner) gatherCopiesFrom(ctx context.Context, m member.Member, trainer string, number, step uint64) ([]keeper.Copy, bool) {
 	var copies []keeper.Copy
 	for {
 		args := keeper.GatherArgs{
@@ -121,12 +126,12 @@
 			Skip:    len(copies),
 		}
 		var reply keeper.GatherReply
-		err := r.call(ctx, m, "Keeper.Gather", args, &reply)
+		err := r.callInstance(ctx, m, "Keeper.Gather", args, &reply)
 		if err != nil || reply.Fenced {
 			return copies, reply.Fenced
 		}
-		// The way here took at most the deadline of the call; counting all of
-		// it keeps a sample from looking younger than it is.
+		// The reply was in transit for at most the call timeout. Adding all of
+		// it to the age keeps a sample from appearing younger than it is.
 		for _, c := range reply.Copies {
 			c.Age += peer.CallTimeout
 			copies = append(copies, c)
@@ -137,22 +142,24 @@
 	}
 }
 
-// call calls a peer, or this instance's own keeper without a connection.
-func (r *Runner) call(ctx context.Context, m member.Member, method string, args, reply any) error {
+// callInstance calls a keeper method of an instance. For this instance, it
+// calls the local keeper directly.
+func (r *Runner) callInstance(ctx context.Context, m member.Member, method string, args, reply any) error {
 	if m.ID == r.Members.Self().ID {
-		return r.callSelf(args, reply)
+		return r.callLocalKeeper(args, reply)
 	}
 	ctx, cancel := context.WithTimeout(ctx, peer.CallTimeout)
 	defer cancel()
 	return r.Client.Call(ctx, m.PeerAddress, method, args, reply)
 }
 
-func (r *Runner) callSelf(args, reply any) error {
+// callLocalKeeper calls the method of the local keeper that takes args.
+func (r *Runner) callLocalKeeper(args, reply any) error {
 	switch a := args.(type) {
 	case keeper.KeepArgs:
 		return r.Keeper.Keep(a, reply.(*keeper.KeepReply))
 	case keeper.GatherArgs:
 		return r.Keeper.Gather(a, reply.(*keeper.GatherReply))
 	}
-	return fmt.Errorf("no call with %T", args)
+	return fmt.Errorf("no keeper method takes arguments of type %T", args)
 }
--- a/internal/rollout/runner/progress.go
+++ b/internal/rollout/runner/progress.go
@@ -6,19 +6,20 @@
 	"github.com/egretbend/egretbend/internal/rollout/session"
 )
 
-// progress is what is known of the attempts at a sample that is not finished.
+// progress is the state of the attempts at an unfinished sample.
 type progress struct {
-	// furthest is the longest attempt so far; a further one is resumed from it.
-	furthest *sample.Recorder
-	// begun is when the first token came.
-	begun timer.Instant
-	// where names the upstreams that attempts ran at.
-	where []string
+	// longest is the record of the attempt with the most tokens so far. The
+	// next attempt resumes from it.
+	longest *sample.Recorder
+	// firstTokenAt is when the first token arrived.
+	firstTokenAt timer.Instant
+	// upstreams lists the IDs of the upstreams that were chosen for attempts.
+	upstreams []string
 }
 
-// progressOf returns the progress of a sample, and begins it. The caller holds
-// the lock.
-func (l *live) progressOf(key sample.Key) *progress {
+// progressOf returns the progress of a sample, creating it if there is none.
+// The caller holds the lock.
+func (l *openSession) progressOf(key sample.Key) *progress {
 	p, ok := l.progress[key]
 	if !ok {
 		p = &progress{}
@@ -27,38 +28,41 @@
 	return p
 }
 
-// chosen notes where an attempt at a sample runs.
-func (l *live) chosen(key sample.Key, upstream string) {
+// recordUpstream records the upstream that was chosen for an attempt at a
+// sample.
+func (l *openSession) recordUpstream(key sample.Key, upstream string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.progressOf(key)
-	p.where = append(p.where, upstream)
+	p.upstreams = append(p.upstreams, upstream)
 }
 
-// advance notes that an attempt has come this far. The caller holds the lock.
-func (l *live) advance(key sample.Key, rec *sample.Recorder, now timer.Instant) {
+// recordProgress keeps a copy of rec if no attempt at the sample has more tokens.
+// The caller holds the lock.
+func (l *openSession) recordProgress(key sample.Key, rec *sample.Recorder, now timer.Instant) {
 	p := l.progressOf(key)
-	if p.furthest == nil || len(p.furthest.Texts) < len(rec.Texts) {
-		p.furthest = rec.Clone()
+	if p.longest == nil || len(p.longest.Texts) < len(rec.Texts) {
+		p.longest = rec.Clone()
 	}
-	if p.begun == 0 {
-		p.begun = now
+	if p.firstTokenAt == 0 {
+		p.firstTokenAt = now
 	}
 }
 
-// resume returns what earlier attempts made of a sample, unless it is by now
-// too old to begin with. The caller holds the lock.
-func (l *live) resume(work session.Work) *sample.Recorder {
+// resumeRecorder returns the tokens of earlier attempts that the next attempt at
+// a sample resumes from. It is empty if any of them has become too old to resume
+// from. The caller holds the lock.
+func (l *openSession) resumeRecorder(work session.Work) *sample.Recorder {
 	p, ok := l.progress[work.Key]
-	if !ok || p.furthest == nil {
+	if !ok || p.longest == nil {
 		return &sample.Recorder{}
 	}
-	bound := l.runner.bound(work.Deployment, nil)
-	for _, span := range p.furthest.Spans {
+	bound := l.runner.stalenessBound(work.Deployment, nil)
+	for _, span := range p.longest.Spans {
 		if span.Version.Behind(bound.Newest) >= max(1, bound.MaxVersions) {
-			p.furthest, p.begun = nil, 0
+			p.longest, p.firstTokenAt = nil, 0
 			return &sample.Recorder{}
 		}
 	}
-	return p.furthest.Clone()
+	return p.longest.Clone()
 }
--- a/internal/rollout/runner/runner.go
+++ b/internal/rollout/runner/runner.go
@@ -22,7 +22,7 @@
 	"github.com/egretbend/egretbend/internal/rollout/stream"
 )
 
-// Runner holds the sessions of this instance.
+// Runner runs the open sessions of this instance.
 type Runner struct {
 	Generator *stream.Generator
 	Keeper    *keeper.Keeper
@@ -34,28 +34,36 @@
 	Timer     timer.Service
 	Journal   *journal.Journal
 	Metrics   *Metrics
-	// Tomb carries the goroutines of all sessions.
+	// Tomb runs the goroutines of all sessions.
 	Tomb *tomb.Tomb
 
-	mu   sync.Mutex
-	live map[string]*live
+	mu sync.Mutex
+	// sessions holds the latest session of each trainer.
+	sessions map[string]*openSession
 }
 
-// Metrics counts samples.
+// Metrics counts attempts and samples. A nil Metrics counts nothing.
 type Metrics struct {
 	Samples   *prometheus.CounterVec
 	Staleness prometheus.Histogram
 	Copied    prometheus.Counter
 }
 
-// The fates of a finished attempt, as metric labels.
+// Values of the label "fate".
 const (
-	fateFinished  = "finished"
-	fateBeaten    = "beaten"
+	// fateFinished is a sample that became ready for delivery.
+	fateFinished = "finished"
+	// fateBeaten is an attempt whose result was not needed, because another
+	// one finished first or the step was dropped.
+	fateBeaten = "beaten"
+	// fateDiscarded is a finished sample that was too old to be delivered.
 	fateDiscarded = "discarded"
-	fateFailed    = "failed"
+	// fateFailed is an attempt that ended without a sample.
+	fateFailed = "failed"
+	// fateRecovered is a sample recovered from the copy of an earlier session.
 	fateRecovered = "recovered"
-	fateUncopied  = "uncopied"
+	// fateUncopied is a sample that no other instance took a copy of.
+	fateUncopied = "uncopied"
 )
 
 // NewMetrics registers the runner's metrics.
@@ -85,27 +93,28 @@
 	}
 }
 
-func (m *Metrics) copied(bytes int) {
+func (m *Metrics) addCopiedBytes(bytes int) {
 	if m != nil {
 		m.Copied.Add(float64(bytes))
 	}
 }
 
-func (m *Metrics) staleness(versions uint64) {
+func (m *Metrics) observeStaleness(versions uint64) {
 	if m != nil {
 		m.Staleness.Observe(float64(versions))
 	}
 }
 
-// Open begins a session. A number at or below one that this instance knows is
-// refused with problem.SessionFenced; opening the same session again is not.
+// Open opens a session and ends the trainer's earlier one on this instance. It
+// returns problem.SessionFenced if this instance knows a session of the trainer
+// with a higher number. Opening the same session again changes nothing.
 func (r *Runner) Open(trainer string, number uint64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if number == 0 {
 		return problem.BadRequest.Withf("session: expected a number of at least 1")
 	}
-	old, ok := r.live[trainer]
+	old, ok := r.sessions[trainer]
 	if ok && number < old.state.Number {
 		return problem.SessionFenced.Withf("session %d of trainer %q is open", old.state.Number, trainer)
 	}
@@ -113,13 +122,13 @@
 		return nil
 	}
 	if ok {
-		old.end()
+		old.stop()
 	}
-	if r.live == nil {
-		r.live = make(map[string]*live)
+	if r.sessions == nil {
+		r.sessions = make(map[string]*openSession)
 	}
-	l := newLive(r, trainer, number)
-	r.live[trainer] = l
+	l := newOpenSession(r, trainer, number)
+	r.sessions[trainer] = l
 	r.Tomb.Go(l.run)
 	r.Journal.Event("session_open", log.Fields{
 		"trainer": trainer,
@@ -128,11 +137,12 @@
 	return nil
 }
 
-// find returns an open session.
-func (r *Runner) find(trainer string, number uint64) (*live, error) {
+// findSession returns an open session, or an error that tells whether the
+// session is fenced or unknown here.
+func (r *Runner) findSession(trainer string, number uint64) (*openSession, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l, ok := r.live[trainer]
+	l, ok := r.sessions[trainer]
 	switch {
 	case !ok:
 		return nil, problem.SessionUnknown.Withf("no session of trainer %q is open here", trainer)
@@ -144,9 +154,10 @@
 	return l, nil
 }
 
-// Submit adds a step to a session, with what other instances kept of it.
+// Submit adds a step to a session and recovers those of its samples that other
+// instances hold copies of.
 func (r *Runner) Submit(ctx context.Context, trainer string, number uint64, spec session.Spec) (session.Status, error) {
-	l, err := r.find(trainer, number)
+	l, err := r.findSession(trainer, number)
 	if err != nil {
 		return session.Status{}, err
 	}
@@ -160,7 +171,7 @@
 	if err := spec.Check(); err != nil {
 		return session.Status{}, err
 	}
-	copies, fenced := r.gather(ctx, trainer, number, spec.Step)
+	copies, fenced := r.gatherCopies(ctx, trainer, number, spec.Step)
 	if fenced {
 		l.fence()
 		return session.Status{}, problem.SessionFenced.Withf("a session above %d of trainer %q was opened elsewhere", number, trainer)
@@ -168,36 +179,42 @@
 	return l.submit(spec, time.Duration(d.Rounds.DropAfterMS)*time.Millisecond, copies)
 }
 
-// ReadArgs is a trainer's read.
+// ReadArgs are the arguments of a trainer's read.
 type ReadArgs struct {
 	Session uint64 `json:"session"`
 	Cursor  uint64 `json:"cursor"`
-	Max     int    `json:"max"`
+	// Max is the largest number of entries to return.
+	Max int `json:"max"`
 	// WaitMS is how long to wait for a sample, in milliseconds.
 	WaitMS int64 `json:"wait_ms"`
-	// Newest is the newest version that the trainer has published. Its word
-	// may be ahead of what gossip has brought here.
+	// Newest is the newest version that the trainer has published for each
+	// deployment. It may be newer than what gossip has delivered to this
+	// instance.
 	Newest map[string]version.Version `json:"newest,omitempty"`
 }
 
-// Bounds of a read.
+// Limits of a read.
 const (
-	maxRead     = 4096
+	// maxRead is the largest number of entries.
+	maxRead = 4096
+	// maxReadWait is the longest time that a read waits for a sample.
 	maxReadWait = 30 * time.Second
 )
 
-// Read answers a trainer's read.
+// Read returns the batch at a trainer's cursor. If there is none, it waits for
+// one for at most the time in args.
 func (r *Runner) Read(ctx context.Context, trainer string, args ReadArgs) (session.Batch, error) {
 	if args.Max < 1 || args.Max > maxRead {
 		return session.Batch{}, problem.BadRequest.Withf("max: expected 1 to %d, got %d", maxRead, args.Max)
 	}
-	l, err := r.find(trainer, args.Session)
+	l, err := r.findSession(trainer, args.Session)
 	if err != nil {
 		return session.Batch{}, err
 	}
 	return l.read(ctx, args)
 }
 
+// deployment returns the configuration of a deployment.
 func (r *Runner) deployment(name string) (configuration.Deployment, error) {
 	doc := r.Holder.Current()
 	if doc == nil {
@@ -210,12 +227,13 @@
 	return d, nil
 }
 
-// bound returns the age bound of a deployment's samples now.
-func (r *Runner) bound(name string, told map[string]version.Version) session.Bound {
+// stalenessBound returns the current staleness bound of a deployment's samples.
+// The versions in published may be newer than those on the board.
+func (r *Runner) stalenessBound(name string, published map[string]version.Version) session.Bound {
 	d, _ := r.deployment(name)
 	p, _ := r.Board.Newest(name)
 	newest := p.Version
-	if v, ok := told[name]; ok && newest.Less(v) {
+	if v, ok := published[name]; ok && newest.Less(v) {
 		newest = v
 	}
 	return session.Bound{
@@ -225,7 +243,7 @@
 	}
 }
 
-// Overview is what operators see of a session.
+// Overview is the state of a session as shown to operators.
 type Overview struct {
 	Trainer string           `json:"trainer"`
 	Session uint64           `json:"session"`
@@ -233,22 +251,23 @@
 	Steps   []session.Status `json:"steps"`
 }
 
-// Sessions returns an overview of all sessions here.
+// Sessions returns an overview of each session on this instance.
 func (r *Runner) Sessions() []Overview {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := make([]Overview, 0, len(r.live))
-	for _, l := range r.live {
+	list := make([]Overview, 0, len(r.sessions))
+	for _, l := range r.sessions {
 		list = append(list, l.overview())
 	}
 	return list
 }
 
-// Drain ends waiting reads at once, so that trainers can move on.
+// Drain makes waiting reads return at once, so that trainers can continue on
+// another instance.
 func (r *Runner) Drain() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, l := range r.live {
+	for _, l := range r.sessions {
 		l.drain()
 	}
 }
