--- a/internal/rollout/session/doc.go
+++ b/internal/rollout/session/doc.go
@@ -1,17 +1,17 @@
-// Package session is the state of a trainer's session: steps that it
-// submitted, samples that are finished, and what it has read.
+// Package session holds the state of a trainer's session: the steps that the
+// trainer submitted, the samples that are finished, and those that it has read.
 //
-// The trainer's session is the fence. The trainer raises the session number
-// itself, opens the session at any instance and reads there with a cursor;
-// each read acknowledges the one before:
+// A Session gives out attempts (Work), takes their results (Kept), and returns
+// finished samples in batches (Batch). The trainer increases the session number,
+// which acts as a fencing token, opens the session at any instance and reads
+// there with a cursor; each read acknowledges the batch before:
 //
 //	s := &session.Session{Trainer: "saddle", Number: 4}
-//	s.Submit(spec, now)
-//	item := s.Next(limits, now) // to be run
-//	s.Finish(item.Key, sample, now)
+//	err := s.Submit(spec, dropAfter, now)
+//	work, ok := s.Next(limits, now) // an attempt to run
+//	first := s.Finish(work.Key, kept, now)
 //	batch, err := s.Read(cursor, 32, bound, now)
 //
-// How far a trainer has read comes from the trainer alone, so exactly once
-// needs no write to the platform. The package does no input or output; the
-// runner does.
+// The read position comes from the trainer alone, so exactly-once delivery needs
+// no write to the platform. The package does no I/O; package runner does.
 package session
--- a/internal/rollout/session/oracle_test.go
+++ b/internal/rollout/session/oracle_test.go
@@ -10,69 +10,72 @@
 	"github.com/egretbend/egretbend/internal/rollout/session"
 )
 
-// read sends the trainer's read. The answer arrives, is lost, or comes late.
-func (w *world) read(most int, fate string) {
-	s := w.current()
+// read performs a read of the trainer. Its response arrives ("good", or "again"
+// after a read whose response did not arrive), is lost, or arrives late.
+func (w *simulation) read(maxEntries int, outcome string) {
+	s := w.currentSession()
 	if s == nil {
 		return
 	}
-	bound := w.bound
-	if w.off.noWithdraw && fate == "again" {
+	bound := w.stalenessBound
+	if w.disabled.skipWithdrawal && outcome == "again" {
 		bound = func(string) session.Bound {
 			return session.Bound{
 				MaxVersions: 1 << 40,
 			}
 		}
 	}
-	batch, err := s.state.Read(w.cursor, most, bound, w.clock.Now())
+	batch, err := s.state.Read(w.cursor, maxEntries, bound, w.clock.Now())
 	if err != nil {
 		w.t.Fatalf("read %d: %v", w.cursor, err)
 	}
-	w.sameBytes(batch)
-	a := answer{
+	w.checkRedelivery(batch)
+	a := response{
 		batch:  batch,
-		newest: w.newest,
+		newest: w.newestVersion,
 	}
-	switch fate {
+	switch outcome {
 	case "lost":
 	case "late":
-		w.late = append(w.late, a)
+		w.lateResponses = append(w.lateResponses, a)
 	default:
-		w.take(a)
+		w.acceptResponse(a)
 	}
 }
 
-// sameBytes checks that a position that comes again is the same or withdrawn.
-func (w *world) sameBytes(batch session.Batch) {
+// checkRedelivery checks that a position that is delivered again has the same
+// bytes or is withdrawn.
+func (w *simulation) checkRedelivery(batch session.Batch) {
 	for i, e := range batch.Entries {
 		if e.Withdrawn != nil {
 			continue
 		}
-		place := fmt.Sprint(batch.Session, "/", batch.From+uint64(i))
-		if old, ok := w.bytes[place]; ok && !bytes.Equal(old, e.Sample) {
-			w.t.Fatalf("position %s came again with other bytes", place)
+		position := fmt.Sprint(batch.Session, "/", batch.From+uint64(i))
+		if old, ok := w.deliveredBytes[position]; ok && !bytes.Equal(old, e.Sample) {
+			w.t.Fatalf("position %s was delivered again with other bytes", position)
 		}
-		w.bytes[place] = e.Sample
+		w.deliveredBytes[position] = e.Sample
 	}
 }
 
-// arrive lets a late answer arrive.
-func (w *world) arrive(pick int) {
-	if len(w.late) == 0 {
+// deliverLateResponse delivers one of the late responses to the trainer.
+func (w *simulation) deliverLateResponse(pick int) {
+	if len(w.lateResponses) == 0 {
 		return
 	}
-	i := pick % len(w.late)
-	a := w.late[i]
-	w.late = append(w.late[:i], w.late[i+1:]...)
-	// The trainer gave this read up; it takes no answer that it does not wait
-	// for.
-	if w.off.acceptLate {
-		w.take(a)
+	i := pick % len(w.lateResponses)
+	a := w.lateResponses[i]
+	w.lateResponses = append(w.lateResponses[:i], w.lateResponses[i+1:]...)
+	// The trainer gave this read up and does not wait for its response any
+	// more, so it ignores it.
+	if w.disabled.acceptLateResponses {
+		w.acceptResponse(a)
 	}
 }
 
-// take is the oracle: each sample once, none too old at its hand-over.
-func (w *world) take(a answer) {
+// acceptResponse is the test oracle. It checks that no sample is delivered twice
+// and that none was too old when it was delivered.
+func (w *simulation) acceptResponse(a response) {
 	for _, e := range a.batch.Entries {
 		if e.Withdrawn != nil {
 			continue
@@ -84,16 +87,16 @@
 		if err := json.Unmarshal(e.Sample, &got); err != nil {
 			w.t.Fatalf("sample: %v", err)
 		}
-		if w.have[got.Key] {
+		if w.received[got.Key] {
 			w.t.Fatalf("sample %v reached the trainer twice", got.Key)
 		}
 		if age := got.Oldest.Behind(a.newest); age > maxVersions {
-			w.t.Fatalf("sample %v was %d versions old at its hand-over", got.Key, age)
+			w.t.Fatalf("sample %v was %d versions old at its delivery", got.Key, age)
 		}
-		w.have[got.Key] = true
+		w.received[got.Key] = true
 	}
 	w.cursor = a.batch.Cursor
-	if w.off.recountRead {
+	if w.disabled.keepCursor {
 		w.cursor = a.batch.From
 	}
 }
--- a/internal/rollout/session/read.go
+++ b/internal/rollout/session/read.go
@@ -9,46 +9,49 @@
 	"github.com/egretbend/egretbend/internal/rollout/sample"
 )
 
-// Entry is one position of a batch: a sample, or the word that the sample at
-// this position was withdrawn as too old and will come again later.
+// Entry is one position of a batch: a sample, or the key of a sample that was
+// withdrawn because it became too old. A withdrawn sample is generated again and
+// delivered at a later position, unless its step was dropped.
 type Entry struct {
 	Sample    json.RawMessage `json:"sample,omitempty"`
 	Withdrawn *sample.Key     `json:"withdrawn,omitempty"`
 }
 
-// Batch is the answer to a read.
+// Batch is the response to a read.
 type Batch struct {
 	Session uint64 `json:"session"`
-	// From is the cursor of the read, Cursor the one for the next read.
-	From    uint64   `json:"from"`
-	Cursor  uint64   `json:"cursor"`
-	Entries []Entry  `json:"entries"`
-	Steps   []Status `json:"steps"`
+	// From is the cursor of this read, Cursor the one for the next read.
+	From    uint64  `json:"from"`
+	Cursor  uint64  `json:"cursor"`
+	Entries []Entry `json:"entries"`
+	// Steps is the status of all steps that the session knows.
+	Steps []Status `json:"steps"`
 }
 
-// Read returns the batch at cursor. The cursor that the last batch ended with
-// acknowledges that batch and begins the next one. The cursor that it began
-// with asks for it again: a sample in it is then the same, byte for byte, or
-// is withdrawn if it has become too old. Any other cursor is refused with
-// problem.CursorUnknown.
-func (s *Session) Read(cursor uint64, most int, bound func(deployment string) Bound, now timer.Instant) (Batch, error) {
+// Read returns the batch at cursor, with at most maxEntries entries if it is a
+// new one. Passing the Cursor of the last batch acknowledges that batch and
+// starts the next one. Passing its From repeats it: each sample in it is then
+// the same, byte for byte, or is withdrawn if it has become too old. For any
+// other cursor, Read returns problem.CursorUnknown.
+func (s *Session) Read(cursor uint64, maxEntries int, bound func(deployment string) Bound, now timer.Instant) (Batch, error) {
 	switch cursor {
-	case s.start + uint64(len(s.batch)):
-		s.acknowledge()
-		s.fill(most, bound, now)
-	case s.start:
-		s.withdraw(bound, now)
+	case s.batchStart + uint64(len(s.batch)):
+		s.acknowledgeBatch()
+		s.fillBatch(maxEntries, bound, now)
+	case s.batchStart:
+		s.withdrawStale(bound, now)
 	default:
-		return Batch{}, problem.CursorUnknown.Withf("cursor %d is neither %d nor %d", cursor, s.start, s.start+uint64(len(s.batch)))
+		return Batch{}, problem.CursorUnknown.Withf("cursor %d is neither %d, which repeats the last batch, nor %d, which acknowledges it", cursor, s.batchStart, s.batchStart+uint64(len(s.batch)))
 	}
-	return s.answer(), nil
+	return s.currentBatch(), nil
 }
 
-func (s *Session) answer() Batch {
+// currentBatch returns the batch that the trainer has not acknowledged yet.
+func (s *Session) currentBatch() Batch {
 	b := Batch{
 		Session: s.Number,
-		From:    s.start,
-		Cursor:  s.start + uint64(len(s.batch)),
+		From:    s.batchStart,
+		Cursor:  s.batchStart + uint64(len(s.batch)),
 		Entries: make([]Entry, 0, len(s.batch)),
 		Steps:   s.Steps(),
 	}
@@ -58,79 +61,83 @@
 	return b
 }
 
+// entry returns the item's sample, or its key if the sample was withdrawn.
 func (it *item) entry() Entry {
-	if it.state != handed {
+	if it.state != delivered {
 		key := it.key
 		return Entry{
 			Withdrawn: &key,
 		}
 	}
 	return Entry{
-		Sample: it.finished.Raw,
+		Sample: it.result.Raw,
 	}
 }
 
-func (s *Session) acknowledge() {
-	s.start += uint64(len(s.batch))
+// acknowledgeBatch marks the samples of the last batch as acknowledged and
+// starts an empty batch after it.
+func (s *Session) acknowledgeBatch() {
+	s.batchStart += uint64(len(s.batch))
 	for _, it := range s.batch {
-		if it.state == handed {
-			it.step.take(it)
+		if it.state == delivered {
+			it.step.acknowledge(it)
 		}
 	}
 	s.batch = nil
 }
 
-// fill makes the next batch of samples that are young enough. Those that are
-// not are made again.
-func (s *Session) fill(most int, bound func(string) Bound, now timer.Instant) {
-	var kept []*item
+// fillBatch adds ready samples to the batch. Samples that are too old are
+// discarded.
+func (s *Session) fillBatch(maxEntries int, bound func(string) Bound, now timer.Instant) {
+	var stillReady []*item
 	for _, it := range s.ready {
 		switch {
 		case it.state != ready:
-		case bound(it.step.spec.Deployment).TooOld(it.finished, now):
+		case bound(it.step.spec.Deployment).TooOld(it.result, now):
 			it.discard()
-		case len(s.batch) < most:
-			it.state = handed
+		case len(s.batch) < maxEntries:
+			it.state = delivered
 			s.batch = append(s.batch, it)
 			if s.Handed != nil {
-				s.Handed(it.step.spec.Deployment, it.finished)
+				s.Handed(it.step.spec.Deployment, it.result)
 			}
 		default:
-			kept = append(kept, it)
+			stillReady = append(stillReady, it)
 		}
 	}
-	s.ready = kept
+	s.ready = stillReady
 }
 
-// withdraw takes samples out of a batch that is asked for again. The trainer
-// asks because it has no answer; a sample that has become too old since must
-// not be handed over now, though it was young enough before.
-func (s *Session) withdraw(bound func(string) Bound, now timer.Instant) {
+// withdrawStale withdraws samples from a batch that is read again. The trainer
+// repeats a read because it did not get the response. A sample that was young
+// enough for the first response but has become too old since must not be
+// delivered now.
+func (s *Session) withdrawStale(bound func(string) Bound, now timer.Instant) {
 	for i, it := range s.batch {
-		if it.state != handed || !bound(it.step.spec.Deployment).TooOld(it.finished, now) {
+		if it.state != delivered || !bound(it.step.spec.Deployment).TooOld(it.result, now) {
 			continue
 		}
 		// The position keeps a copy of the item in a state that is never
-		// handed over; the item itself is made again and gets a new position.
-		gone := *it
-		gone.state = abandoned
-		s.batch[i] = &gone
+		// delivered. The item itself is generated again and gets a new position.
+		placeholder := *it
+		placeholder.state = abandoned
+		s.batch[i] = &placeholder
 		it.discard()
 	}
 }
 
-// discard throws a finished sample away and has it made again, unless its step
-// was dropped.
+// discard drops the result of a finished item and makes it pending, so that it
+// is generated again, unless its step was dropped.
 func (it *item) discard() {
 	it.step.status.Discarded++
-	it.finished = Kept{}
+	it.result = Kept{}
 	it.state = pending
 	if !it.step.open() {
 		it.state = abandoned
 	}
 }
 
-// Idle reports whether nothing is ready to be read.
+// Idle reports whether no sample is ready for delivery.
 func (s *Session) Idle() bool { return !slices.ContainsFunc(s.ready, isReady) }
 
 func isReady(it *item) bool { return it.state == ready }
--- a/internal/rollout/session/session.go
+++ b/internal/rollout/session/session.go
@@ -11,31 +11,40 @@
 	"github.com/egretbend/egretbend/internal/rollout/sample"
 )
 
-// Session is the state of one trainer's session on the instance that serves
-// it. It is not safe for use by several goroutines.
+// Session is the state of a trainer's session on the instance that serves it. It
+// is not safe for concurrent use.
 type Session struct {
 	Trainer string
 	Number  uint64
-	// Handed is told of each sample that is handed over; nil tells nobody.
+	// Handed, if not nil, is called with each sample when it is first put into
+	// a batch.
 	Handed func(deployment string, k Kept)
 
-	steps   map[uint64]*step
-	order   []*step
-	ready   []*item
-	batch   []*item
-	start   uint64
-	running int
+	steps map[uint64]*step
+	// stepsByNumber holds the same steps in ascending order of their numbers.
+	stepsByNumber []*step
+	// ready holds finished items that are in no batch yet.
+	ready []*item
+	// batch holds the items of the last batch, which is not acknowledged yet.
+	batch []*item
+	// batchStart is the cursor at which batch starts.
+	batchStart      uint64
+	runningAttempts int
 }
 
-// Bound says which samples are too old to be handed over.
+// Bound is the staleness bound of samples: those beyond it are too old to be
+// delivered.
 type Bound struct {
-	Newest      version.Version
+	// Newest is the newest published version.
+	Newest version.Version
+	// MaxVersions is by how many versions the oldest version of a sample may
+	// be behind Newest.
 	MaxVersions uint64
-	// MaxAge bounds the time since the first token; zero sets no bound.
+	// MaxAge limits the time since the first token; zero means no limit.
 	MaxAge time.Duration
 }
 
-// TooOld reports whether k may not be handed over now.
+// TooOld reports whether k is too old to be delivered now.
 func (b Bound) TooOld(k Kept, now timer.Instant) bool {
 	if k.Oldest.Behind(b.Newest) > b.MaxVersions {
 		return true
@@ -43,51 +52,56 @@
 	return b.MaxAge > 0 && now.Sub(k.Begun) > b.MaxAge
 }
 
-// Submit adds a step. Submitting it again changes nothing; another step under
-// the same number is refused with problem.StepConflict.
+// Submit adds a step, which is dropped after dropAfter unless the spec sets
+// another time. Submitting the same step again changes nothing. Submit returns
+// problem.StepConflict for a step with the number of another one, and if too
+// many steps are open.
 func (s *Session) Submit(spec Spec, dropAfter time.Duration, now timer.Instant) error {
 	if err := spec.Check(); err != nil {
 		return err
 	}
 	if old, ok := s.steps[spec.Step]; ok {
-		if sameGroups(old.spec, spec) {
+		if sameDeploymentAndGroups(old.spec, spec) {
 			return nil
 		}
-		return problem.StepConflict.Withf("step %d was submitted with other groups", spec.Step)
+		return problem.StepConflict.Withf("step %d was submitted with another deployment or other groups", spec.Step)
 	}
-	if s.openSteps() >= MaxOpenSteps {
-		return problem.StepConflict.Withf("the session has %d open steps", MaxOpenSteps)
+	if s.countOpenSteps() >= MaxOpenSteps {
+		return problem.StepConflict.Withf("the session has %d open steps, which is the maximum", MaxOpenSteps)
 	}
-	s.add(newStep(spec, dropAfter, now))
+	s.addStep(newStep(spec, dropAfter, now))
 	return nil
 }
 
-func (s *Session) add(st *step) {
+func (s *Session) addStep(st *step) {
 	if s.steps == nil {
 		s.steps = make(map[uint64]*step)
 	}
 	s.steps[st.spec.Step] = st
-	s.order = append(s.order, st)
-	sort.Slice(s.order, func(i, j int) bool { return s.order[i].spec.Step < s.order[j].spec.Step })
-	s.forget()
+	s.stepsByNumber = append(s.stepsByNumber, st)
+	sort.Slice(s.stepsByNumber, func(i, j int) bool { return s.stepsByNumber[i].spec.Step < s.stepsByNumber[j].spec.Step })
+	s.removeOldSteps()
 }
 
-// finishedKept is how many closed steps a session still tells about.
-const finishedKept = 16
+// maxClosedSteps is the number of closed steps whose status a session keeps.
+const maxClosedSteps = 16
 
-func (s *Session) forget() {
-	closed := len(s.order) - s.openSteps()
-	for i := 0; i < len(s.order) && closed > finishedKept; {
-		if s.order[i].open() || s.inBatch(s.order[i]) {
+// removeOldSteps removes the closed steps with the lowest numbers beyond
+// maxClosedSteps, except those with samples in the unacknowledged batch.
+func (s *Session) removeOldSteps() {
+	closed := len(s.stepsByNumber) - s.countOpenSteps()
+	for i := 0; i < len(s.stepsByNumber) && closed > maxClosedSteps; {
+		if s.stepsByNumber[i].open() || s.inBatch(s.stepsByNumber[i]) {
 			i++
 			continue
 		}
-		delete(s.steps, s.order[i].spec.Step)
-		s.order = slices.Delete(s.order, i, i+1)
+		delete(s.steps, s.stepsByNumber[i].spec.Step)
+		s.stepsByNumber = slices.Delete(s.stepsByNumber, i, i+1)
 		closed--
 	}
 }
 
+// inBatch reports whether the unacknowledged batch has a sample of the step.
 func (s *Session) inBatch(st *step) bool {
 	for _, it := range s.batch {
 		if it.step == st {
@@ -97,9 +111,9 @@
 	return false
 }
 
-func (s *Session) openSteps() int {
+func (s *Session) countOpenSteps() int {
 	n := 0
-	for _, st := range s.order {
+	for _, st := range s.stepsByNumber {
 		if st.open() {
 			n++
 		}
@@ -114,8 +128,8 @@
 			Step:  spec.Step,
 			State: Running,
 		},
-		items:     make(map[sample.Key]*item),
-		remaining: make(map[string]int),
+		items:            make(map[sample.Key]*item),
+		remainingByGroup: make(map[string]int),
 	}
 	if spec.DropAfterMS > 0 {
 		dropAfter = time.Duration(spec.DropAfterMS) * time.Millisecond
@@ -128,18 +142,18 @@
 	}
 	for _, key := range spec.Have {
 		if it, ok := st.items[key]; ok && it.state == pending {
-			st.take(it)
+			st.acknowledge(it)
 		}
 	}
-	// Longest first: a long sample that begins late is the one that a whole
-	// step waits for.
-	sort.SliceStable(st.order, func(i, j int) bool {
-		return st.order[i].group.MaxTokens > st.order[j].group.MaxTokens
+	// Longest first: a long sample that starts late delays the whole step.
+	sort.SliceStable(st.itemsByLength, func(i, j int) bool {
+		return st.itemsByLength[i].group.MaxTokens > st.itemsByLength[j].group.MaxTokens
 	})
-	st.settle()
+	st.finishIfComplete()
 	return st
 }
 
+// addGroup adds a pending item for each sample of the group.
 func (st *step) addGroup(g *Group) {
 	for i := range g.Samples {
 		it := &item{
@@ -152,28 +166,29 @@
 			step:  st,
 		}
 		st.items[it.key] = it
-		st.order = append(st.order, it)
+		st.itemsByLength = append(st.itemsByLength, it)
 	}
-	st.remaining[g.Group] += g.Samples
+	st.remainingByGroup[g.Group] += g.Samples
 	st.status.Samples += g.Samples
 }
 
-func (st *step) take(it *item) {
-	it.state = taken
-	it.finished = Kept{}
-	st.remaining[it.key.Group]--
+// acknowledge records that the trainer has the sample, and drops its content.
+func (st *step) acknowledge(it *item) {
+	it.state = acknowledged
+	it.result = Kept{}
+	st.remainingByGroup[it.key.Group]--
 	st.status.Taken++
-	st.settle()
+	st.finishIfComplete()
 }
 
-func sameGroups(a, b Spec) bool {
+func sameDeploymentAndGroups(a, b Spec) bool {
 	return a.Deployment == b.Deployment && slices.Equal(a.Groups, b.Groups)
 }
 
 // Steps returns the status of all steps that the session knows.
 func (s *Session) Steps() []Status {
-	list := make([]Status, 0, len(s.order))
-	for _, st := range s.order {
+	list := make([]Status, 0, len(s.stepsByNumber))
+	for _, st := range s.stepsByNumber {
 		list = append(list, st.status)
 	}
 	return list
@@ -188,10 +203,10 @@
 	return st.status, true
 }
 
-// Tick drops steps whose time has passed and returns their numbers.
+// Tick drops the steps whose drop time has passed and returns their numbers.
 func (s *Session) Tick(now timer.Instant) []uint64 {
 	var dropped []uint64
-	for _, st := range s.order {
+	for _, st := range s.stepsByNumber {
 		if st.open() && st.overdue(now) {
 			st.drop()
 			dropped = append(dropped, st.spec.Step)
@@ -201,9 +216,10 @@
 	return dropped
 }
 
-// Deployment returns the deployment of the oldest open step.
+// Deployment returns the deployment of the oldest open step, or "" if no step is
+// open.
 func (s *Session) Deployment() string {
-	for _, st := range s.order {
+	for _, st := range s.stepsByNumber {
 		if st.open() {
 			return st.spec.Deployment
 		}
@@ -211,10 +227,10 @@
 	return ""
 }
 
-// DoneBelow returns the number of the oldest open step; no step below it is
-// open any more.
+// DoneBelow returns the number of the oldest open step, or 0 if no step is open.
+// All steps with lower numbers are closed.
 func (s *Session) DoneBelow() uint64 {
-	for _, st := range s.order {
+	for _, st := range s.stepsByNumber {
 		if st.open() {
 			return st.spec.Step
 		}
@@ -222,10 +238,11 @@
 	return 0
 }
 
-// Discarded returns how many finished samples were thrown away as too old.
+// Discarded returns the number of finished samples that were discarded as too
+// old.
 func (s *Session) Discarded() int {
 	n := 0
-	for _, st := range s.order {
+	for _, st := range s.stepsByNumber {
 		n += st.status.Discarded
 	}
 	return n
--- a/internal/rollout/session/spec.go
+++ b/internal/rollout/session/spec.go
@@ -7,34 +7,37 @@
 	"github.com/egretbend/egretbend/internal/rollout/sample"
 )
 
-// Limits of one step.
+// Limits of steps.
 const (
-	// MaxSamples is the most samples of a step.
+	// MaxSamples is the largest number of samples of a step.
 	MaxSamples = 65536
-	// MaxOpenSteps is the most steps of a session that are not finished.
+	// MaxOpenSteps is the largest number of open steps of a session.
 	MaxOpenSteps = 64
 )
 
-// Group asks for samples of one prompt.
+// Group requests a number of samples for one prompt.
 type Group struct {
-	Group     string `json:"group"`
-	Prompt    string `json:"prompt"`
-	Samples   int    `json:"samples"`
-	MaxTokens int    `json:"max_tokens"`
+	// Group is the name of the group, which is unique within its step.
+	Group  string `json:"group"`
+	Prompt string `json:"prompt"`
+	// Samples is the number of samples.
+	Samples   int `json:"samples"`
+	MaxTokens int `json:"max_tokens"`
 }
 
-// Spec is a step as the trainer submits it.
+// Spec describes a step, as submitted by the trainer.
 type Spec struct {
 	Step       uint64  `json:"step"`
 	Deployment string  `json:"deployment"`
 	Groups     []Group `json:"groups"`
-	// DropAfterMS overrides the deployment's drop time, in milliseconds.
+	// DropAfterMS is the time until the step is dropped, in milliseconds; zero
+	// means that of the deployment.
 	DropAfterMS int64 `json:"drop_after_ms,omitempty"`
-	// Have names the samples that the trainer has from earlier sessions.
+	// Have lists the samples that the trainer has from earlier sessions.
 	Have []sample.Key `json:"have,omitempty"`
 }
 
-// Check returns problem.BadRequest for a spec that can't be run.
+// Check returns problem.BadRequest for an invalid spec.
 func (s *Spec) Check() error {
 	total := 0
 	seen := make(map[string]bool)
--- a/internal/rollout/session/step.go
+++ b/internal/rollout/session/step.go
@@ -14,102 +14,127 @@
 
 // The states of a step.
 const (
-	Running  State = "running"
+	// Running is an open step: it is neither finished nor dropped.
+	Running State = "running"
+	// Finished is a step of which the trainer has all samples.
 	Finished State = "finished"
-	Dropped  State = "dropped"
+	// Dropped is a step that passed its drop time before it was finished.
+	Dropped State = "dropped"
 )
 
-// Status is what a trainer is told of a step.
+// Status is the status of a step as reported to the trainer. Except for Step and
+// State, its fields are counts.
 type Status struct {
 	Step    uint64 `json:"step"`
 	State   State  `json:"state"`
 	Samples int    `json:"samples"`
-	// Taken are the samples that the trainer has.
+	// Taken counts the samples that the trainer has.
 	Taken int `json:"taken"`
-	// Discarded are finished samples that were too old to be handed over.
+	// Discarded counts finished samples that were too old to be delivered.
 	Discarded      int `json:"discarded"`
 	SecondAttempts int `json:"second_attempts"`
-	// Recovered are samples found at other instances after a session ended.
+	// Recovered counts samples of an earlier session that were recovered from
+	// copies on other instances.
 	Recovered int `json:"recovered"`
 }
 
-// itemState is where an item is on its way to the trainer.
+// itemState is the state of an item between submission and acknowledgement.
 type itemState uint8
 
 const (
+	// pending items wait for an attempt.
 	pending itemState = iota
+	// running items have at least one running attempt.
 	running
+	// ready items are finished but in no batch yet.
 	ready
-	handed
-	taken
+	// delivered items are in the batch that is not acknowledged yet.
+	delivered
+	// acknowledged items are known to be with the trainer.
+	acknowledged
+	// abandoned items are not generated or delivered any more.
 	abandoned
 )
 
-// item is one sample that is to be made.
+// item is one sample of a step.
 type item struct {
-	key      sample.Key
-	group    *Group
-	step     *step
-	state    itemState
+	key   sample.Key
+	group *Group
+	step  *step
+	state itemState
+	// attempts is the number of running attempts. It has a meaning only in
+	// state running.
 	attempts int
-	// started is when the first attempt began, begun when the last one did.
-	started timer.Instant
-	begun   timer.Instant
-	// tokens and first are the furthest attempt's count and its first moment.
-	tokens int
-	first  timer.Instant
-	// waits is when a failed item may be tried again.
-	waits    timer.Instant
-	finished Kept
+	// firstAttemptAt is when the first of the running attempts started, and
+	// lastAttemptAt when the last one did.
+	firstAttemptAt timer.Instant
+	lastAttemptAt  timer.Instant
+	// tokens is the largest number of tokens of any of the attempts, and
+	// firstTokenAt when the first tokens were reported.
+	tokens       int
+	firstTokenAt timer.Instant
+	// retryAt is when a failed item may be attempted again.
+	retryAt timer.Instant
+	result  Kept
 }
 
-// Kept is a finished sample with its bytes and age.
+// Kept is a finished sample in encoded form, with what determines its age.
 type Kept struct {
-	Raw    json.RawMessage
+	// Raw is the JSON encoding of the sample.
+	Raw json.RawMessage
+	// Oldest is the oldest version that generated any of the tokens.
 	Oldest version.Version
+	// Tokens is the number of tokens.
 	Tokens int
-	// Begun is when its first token came, on this instance's clock.
+	// Begun is when the first token arrived, on this instance's clock.
 	Begun timer.Instant
 }
 
-// step is a submitted step.
+// step is a submitted step with the state of its samples.
 type step struct {
-	spec      Spec
-	status    Status
-	items     map[sample.Key]*item
-	order     []*item
-	remaining map[string]int
-	dropAt    timer.Instant
-	paces     []time.Duration
+	spec   Spec
+	status Status
+	items  map[sample.Key]*item
+	// itemsByLength holds the same items in descending order of MaxTokens.
+	itemsByLength []*item
+	// remainingByGroup is the number of samples of each group that the trainer
+	// does not have yet.
+	remainingByGroup map[string]int
+	// dropAt is when the step is dropped; zero means never.
+	dropAt timer.Instant
+	// tokenTimes holds the time per token of each finished sample.
+	tokenTimes []time.Duration
 }
 
+// open reports whether the step is neither finished nor dropped.
 func (st *step) open() bool { return st.status.State == Running }
 
 // overdue reports whether the step's drop time has passed.
 func (st *step) overdue(now timer.Instant) bool { return st.dropAt != 0 && now >= st.dropAt }
 
-// drop abandons all that was not handed over. What is in the trainer's hands
-// or on the way there stays.
+// drop closes the step and abandons all of its items except those that were
+// delivered or acknowledged.
 func (st *step) drop() {
 	st.status.State = Dropped
-	for _, it := range st.order {
-		if it.state != taken && it.state != handed {
+	for _, it := range st.itemsByLength {
+		if it.state != acknowledged && it.state != delivered {
 			it.state = abandoned
 		}
 	}
 }
 
-// settle closes the step when the trainer has everything.
-func (st *step) settle() {
+// finishIfComplete closes the step if the trainer has all of its samples.
+func (st *step) finishIfComplete() {
 	if st.open() && st.status.Taken == st.status.Samples {
 		st.status.State = Finished
 	}
 }
 
-// median returns the median time per token of the step's finished samples.
-func (st *step) median() (time.Duration, bool) {
-	if len(st.paces) < 3 {
+// medianTokenTime returns the median time per token of the step's finished
+// samples, or false if fewer than 3 were generated in this session.
+func (st *step) medianTokenTime() (time.Duration, bool) {
+	if len(st.tokenTimes) < 3 {
 		return 0, false
 	}
-	return quickMedian(st.paces), true
+	return medianDuration(st.tokenTimes), true
 }
--- a/internal/rollout/session/work.go
+++ b/internal/rollout/session/work.go
@@ -8,57 +8,61 @@
 	"github.com/egretbend/egretbend/internal/rollout/sample"
 )
 
-// Work is an attempt that the runner is to make.
+// Work describes an attempt for the runner to start.
 type Work struct {
 	Key        sample.Key
 	Deployment string
 	Prompt     string
 	MaxTokens  int
-	// Attempt counts the attempts of this sample from one.
+	// Attempt is the number of attempts at the sample that run, including this
+	// one.
 	Attempt int
-	// Second is set when another attempt of the sample is still running.
+	// Second is set when another attempt at the sample is still running.
 	Second bool
-	// Lead is how many steps are open before this one.
+	// Lead is by how many step numbers this step is ahead of the oldest open
+	// one.
 	Lead uint64
 }
 
-// Limits bound what Next gives out.
+// Limits are the limits on the attempts that Next returns.
 type Limits struct {
-	// AtOnce is the most attempts that run at the same time.
+	// AtOnce is the largest number of attempts that run at the same time.
 	AtOnce int
-	// SecondAttempts is the share of a step's samples that may have a second
-	// attempt.
+	// SecondAttempts is the budget of second attempts of a step, as a share of
+	// its samples.
 	SecondAttempts float64
-	// RunAhead is by how many steps a step may be begun before the oldest
-	// open one is finished.
+	// RunAhead is by how many step numbers a step may be ahead of the oldest
+	// open one for its attempts to start.
 	RunAhead uint64
 }
 
-// An attempt is late when it takes lateFactor times as long for its tokens as
-// the step's median, and lateTokens more. Comparing the time per token keeps
-// the budget for streams that are slow, not for those that are merely long.
+// A running item is a straggler when it has taken more than stragglerFactor times
+// as long as its tokens plus stragglerMarginTokens take at the step's median time
+// per token. Comparing times per token spends the budget of second attempts on
+// slow streams, not on streams that are merely long.
 const (
-	lateFactor = 1.5
-	lateTokens = 16
-	// attemptsBeside is how many attempts may be made beside the first one. A
-	// second one may be slow as well: of 128 samples with one slow stream in
-	// twenty, every third step has such a sample.
-	attemptsBeside = 2
+	stragglerFactor       = 1.5
+	stragglerMarginTokens = 16
+	// maxExtraAttempts is the number of attempts that may run beside the first
+	// one. One is not enough, because it may be slow as well: with one slow
+	// stream in twenty, this happens in every third step of 128 samples.
+	maxExtraAttempts = 2
 )
 
-// retryPause is how long a failed sample waits for its next attempt.
-const retryPause = 200 * time.Millisecond
+// retryDelay is the time between the failure of an item's last running attempt
+// and its next attempt.
+const retryDelay = 200 * time.Millisecond
 
-// Next returns the next attempt to make, if there is one. The oldest open step
-// goes first: what was not begun, then second attempts of the last samples of
-// a group. Only then is a later step worked ahead; a slow stream of the step
-// that the trainer waits for would otherwise stand back behind it.
+// Next returns the next attempt to start, if there is one. The oldest open step
+// comes first, with its pending samples and then with second attempts at its
+// stragglers. Later steps follow only after that, because otherwise a second
+// attempt for the step that the trainer waits for would queue behind them.
 func (s *Session) Next(l Limits, now timer.Instant) (Work, bool) {
-	if s.running >= l.AtOnce {
+	if s.runningAttempts >= l.AtOnce {
 		return Work{}, false
 	}
 	oldest, found := uint64(0), false
-	for _, st := range s.order {
+	for _, st := range s.stepsByNumber {
 		if !st.open() || st.overdue(now) {
 			continue
 		}
@@ -70,34 +74,36 @@
 		}
 		lead := st.spec.Step - oldest
 		if it := st.nextPending(now); it != nil {
-			return s.begin(it, lead, now), true
+			return s.startAttempt(it, lead, now), true
 		}
-		if it := st.late(l, now); it != nil {
+		if it := st.worstStraggler(l, now); it != nil {
 			st.status.SecondAttempts++
-			return s.begin(it, lead, now), true
+			return s.startAttempt(it, lead, now), true
 		}
 	}
 	return Work{}, false
 }
 
-// Progress notes how many tokens the furthest attempt at a sample has.
+// Progress records the number of tokens of an attempt at a sample, if no other
+// attempt has more.
 func (s *Session) Progress(key sample.Key, tokens int, now timer.Instant) {
-	it, ok := s.find(key)
+	it, ok := s.findItem(key)
 	if !ok || tokens <= it.tokens {
 		return
 	}
 	if it.tokens == 0 {
-		it.first = now
+		it.firstTokenAt = now
 	}
 	it.tokens = tokens
 }
 
-// nextPending returns the pending item to begin. Within one length, groups
-// with the fewest samples left come first, so that groups become whole early.
+// nextPending returns the pending item to attempt next, or nil. Items with the
+// largest MaxTokens come first. Among those, items of groups with the fewest
+// remaining samples come first, so that groups are completed early.
 func (st *step) nextPending(now timer.Instant) *item {
 	var best *item
-	for _, it := range st.order {
-		if it.state != pending || now < it.waits {
+	for _, it := range st.itemsByLength {
+		if it.state != pending || now < it.retryAt {
 			continue
 		}
 		if best == nil {
@@ -107,65 +113,68 @@
 		if it.group.MaxTokens < best.group.MaxTokens {
 			break
 		}
-		if st.remaining[it.key.Group] < st.remaining[best.key.Group] {
+		if st.remainingByGroup[it.key.Group] < st.remainingByGroup[best.key.Group] {
 			best = it
 		}
 	}
 	return best
 }
 
-// late returns the running item that is slowest against the step's median,
-// while the budget lasts.
-func (st *step) late(l Limits, now timer.Instant) *item {
+// worstStraggler returns the straggler with the largest slowdown. It returns nil
+// if there is none or the step's budget of second attempts is used up.
+func (st *step) worstStraggler(l Limits, now timer.Instant) *item {
 	budget := int(l.SecondAttempts*float64(st.status.Samples) + 0.999)
 	if st.status.SecondAttempts >= budget {
 		return nil
 	}
-	median, ok := st.median()
+	median, ok := st.medianTokenTime()
 	if !ok {
 		return nil
 	}
 	var best *item
-	worst := lateFactor
-	for _, it := range st.order {
-		if it.state != running || it.attempts > attemptsBeside || it.justBegun(median, now) {
+	worst := stragglerFactor
+	for _, it := range st.itemsByLength {
+		if it.state != running || it.attempts > maxExtraAttempts || it.startedRecently(median, now) {
 			continue
 		}
-		if by := it.lateness(median, now); by > worst {
-			best, worst = it, by
+		if ratio := it.slowdown(median, now); ratio > worst {
+			best, worst = it, ratio
 		}
 	}
 	return best
 }
 
-// justBegun reports whether the last attempt had no time yet to show its pace.
-func (it *item) justBegun(median time.Duration, now timer.Instant) bool {
-	return float64(now.Sub(it.begun)) < lateFactor*float64(median)*lateTokens
+// startedRecently reports whether the last attempt has run for too short a time
+// to tell whether it is slow.
+func (it *item) startedRecently(median time.Duration, now timer.Instant) bool {
+	return float64(now.Sub(it.lastAttemptAt)) < stragglerFactor*float64(median)*stragglerMarginTokens
 }
 
-// lateness is the time that an item took against what the median would have
-// taken. One without a token may still wait for a slot, which a second attempt
-// would only do again; it is late when it could have been finished by now.
-func (it *item) lateness(median time.Duration, now timer.Instant) float64 {
-	from, tokens := it.first, it.tokens+lateTokens
+// slowdown returns the ratio of the time that an item has taken to the expected
+// time at the median time per token. An item without a token may still wait for
+// a slot, and a second attempt would only wait as well. Its expected time is
+// therefore that of the whole sample.
+func (it *item) slowdown(median time.Duration, now timer.Instant) float64 {
+	start, tokens := it.firstTokenAt, it.tokens+stragglerMarginTokens
 	if it.tokens == 0 {
-		from, tokens = it.started, it.group.MaxTokens+lateTokens
+		start, tokens = it.firstAttemptAt, it.group.MaxTokens+stragglerMarginTokens
 	}
-	due := median * time.Duration(tokens)
-	return float64(now.Sub(from)) / float64(max(1, due))
+	expected := median * time.Duration(tokens)
+	return float64(now.Sub(start)) / float64(max(1, expected))
 }
 
-func (s *Session) begin(it *item, lead uint64, now timer.Instant) Work {
+// startAttempt marks an item as running and returns the attempt to start.
+func (s *Session) startAttempt(it *item, lead uint64, now timer.Instant) Work {
 	second := it.state == running
 	if !second {
-		it.started = now
+		it.firstAttemptAt = now
 		it.attempts = 0
 		it.tokens = 0
 	}
 	it.state = running
-	it.begun = now
+	it.lastAttemptAt = now
 	it.attempts++
-	s.running++
+	s.runningAttempts++
 	return Work{
 		Key:        it.key,
 		Deployment: it.step.spec.Deployment,
@@ -177,60 +186,61 @@
 	}
 }
 
-// Busy reports whether anything waits to be begun. A session whose last
-// samples run needs no more room, and others may take it.
+// Busy reports whether any item is pending. A session that has only running
+// items left needs no more capacity, and other sessions may use it.
 func (s *Session) Busy() bool {
-	for _, st := range s.order {
-		if st.open() && st.pendingItems() {
+	for _, st := range s.stepsByNumber {
+		if st.open() && st.hasPending() {
 			return true
 		}
 	}
 	return false
 }
 
-func (st *step) pendingItems() bool {
-	return slices.ContainsFunc(st.order, func(it *item) bool { return it.state == pending })
+func (st *step) hasPending() bool {
+	return slices.ContainsFunc(st.itemsByLength, func(it *item) bool { return it.state == pending })
 }
 
-// Wanted reports whether a result for key would still be taken. Attempts poll
-// it, so that work for a dropped step or a beaten attempt ends soon.
+// Wanted reports whether Finish would still accept a result for key. Attempts
+// poll it, so that they end soon after their step was dropped or another attempt
+// finished first.
 func (s *Session) Wanted(key sample.Key) bool {
-	it, ok := s.find(key)
+	it, ok := s.findItem(key)
 	return ok && it.state == running
 }
 
-// Finish takes the result of an attempt. It reports whether it is the first
-// one; a later one is thrown away.
+// Finish takes the result of an attempt and reports whether it was accepted. A
+// result is ignored if another attempt finished first or the step was dropped.
 func (s *Session) Finish(key sample.Key, k Kept, now timer.Instant) bool {
-	s.running--
-	it, ok := s.find(key)
+	s.runningAttempts--
+	it, ok := s.findItem(key)
 	if !ok || it.state != running {
 		return false
 	}
-	it.step.paces = append(it.step.paces, now.Sub(it.started)/time.Duration(max(1, k.Tokens)))
+	it.step.tokenTimes = append(it.step.tokenTimes, now.Sub(it.firstAttemptAt)/time.Duration(max(1, k.Tokens)))
 	s.makeReady(it, k)
 	return true
 }
 
-// Fail takes that an attempt brought no result. The sample is tried again
-// unless another attempt still runs.
+// Fail records that an attempt ended without a result. The sample becomes pending
+// again, after retryDelay, unless another attempt still runs.
 func (s *Session) Fail(key sample.Key, now timer.Instant) {
-	s.running--
-	it, ok := s.find(key)
+	s.runningAttempts--
+	it, ok := s.findItem(key)
 	if !ok || it.state != running {
 		return
 	}
 	it.attempts--
 	if it.attempts == 0 {
 		it.state = pending
-		it.waits = now.Add(retryPause)
+		it.retryAt = now.Add(retryDelay)
 	}
 }
 
-// Return takes back work that could not be begun, because there was no room.
+// Return undoes a Next whose attempt was not admitted.
 func (s *Session) Return(w Work) {
-	s.running--
-	it, ok := s.find(w.Key)
+	s.runningAttempts--
+	it, ok := s.findItem(w.Key)
 	if !ok || it.state != running {
 		return
 	}
@@ -242,10 +252,10 @@
 	it.state = pending
 }
 
-// Recover takes a finished sample that another instance kept. It reports
-// whether it was missing.
+// Recover takes a finished sample from a copy on another instance. It reports
+// whether the sample was accepted, which it is only while it is pending.
 func (s *Session) Recover(key sample.Key, k Kept) bool {
-	it, ok := s.find(key)
+	it, ok := s.findItem(key)
 	if !ok || it.state != pending {
 		return false
 	}
@@ -254,13 +264,14 @@
 	return true
 }
 
+// makeReady sets the result of an item and queues it for delivery.
 func (s *Session) makeReady(it *item, k Kept) {
 	it.state = ready
-	it.finished = k
+	it.result = k
 	s.ready = append(s.ready, it)
 }
 
-func (s *Session) find(key sample.Key) (*item, bool) {
+func (s *Session) findItem(key sample.Key) (*item, bool) {
 	st, ok := s.steps[key.Step]
 	if !ok {
 		return nil, false
@@ -269,7 +280,8 @@
 	return it, ok
 }
 
-func quickMedian(list []time.Duration) time.Duration {
+// medianDuration returns the upper median of a list that is not empty.
+func medianDuration(list []time.Duration) time.Duration {
 	sorted := slices.Clone(list)
 	slices.Sort(sorted)
 	return sorted[len(sorted)/2]
