--- a/internal/rollout/demand/book.go
+++ b/internal/rollout/demand/book.go
@@ -9,33 +9,36 @@
 	"github.com/egretbend/egretbend/internal/fleet/member"
 )
 
-// ttl is after how many seconds a demand is forgotten that nobody renewed.
-const ttl = 3600
+// ttlSeconds is the time, in seconds, after which a demand expires unless it is
+// published again.
+const ttlSeconds = 3600
 
-// Demand is what one trainer's session wants.
+// Demand is the demand of a trainer's session for samples of a deployment.
 type Demand struct {
 	Trainer    string  `json:"trainer"`
 	Session    uint64  `json:"-"`
 	Instance   string  `json:"instance"`
 	Deployment string  `json:"deployment"`
 	Weight     float64 `json:"weight"`
-	Busy       bool    `json:"busy"`
+	// Busy is set while the session has attempts to start.
+	Busy bool `json:"busy"`
 }
 
-// Book keeps the demands of the fleet.
+// Book gives access to the demands of all trainers in the gossip state.
 type Book struct {
 	State *gossip.State
 
-	current atomic.Pointer[copied]
+	current atomic.Pointer[snapshot]
 }
 
-// copied is an immutable copy of what gossip tells.
-type copied struct {
+// snapshot is an immutable copy of the demands in the gossip state.
+type snapshot struct {
+	// changes is the change count of the gossip state at the time of the copy.
 	changes uint64
 	list    []Demand
 }
 
-// Tell spreads a demand. A later session of the trainer overrides it.
+// Tell publishes a demand. A demand of the trainer's later session replaces it.
 func (b *Book) Tell(d Demand) {
 	value, err := json.Marshal(d)
 	if err != nil {
@@ -54,16 +57,16 @@
 			Minor: minor,
 		},
 		Value:   value,
-		Expires: time.Now().Unix() + ttl,
+		Expires: time.Now().Unix() + ttlSeconds,
 	})
 }
 
-// Share returns the share of a deployment's engines that a trainer may claim
-// while they are short: its weight against those of all busy trainers whose
-// instance lives.
+// Share returns the share of a deployment's engines that a trainer may claim while
+// their capacity is short: its weight divided by the sum of its weight and those
+// of all other busy trainers whose instance is not dead.
 func (b *Book) Share(deployment, trainer string, weight float64, view *member.View) float64 {
 	sum := weight
-	for _, d := range b.list() {
+	for _, d := range b.demands() {
 		if d.Deployment != deployment || d.Trainer == trainer || !d.Busy {
 			continue
 		}
@@ -74,13 +77,15 @@
 	return weight / sum
 }
 
-func (b *Book) list() []Demand {
+// demands returns the demands of all trainers. The list is rebuilt only after a
+// change of the gossip state.
+func (b *Book) demands() []Demand {
 	changes := b.State.Changes(gossip.KindDemand)
 	c := b.current.Load()
 	if c != nil && c.changes == changes {
 		return c.list
 	}
-	c = &copied{
+	c = &snapshot{
 		changes: changes,
 	}
 	for _, e := range b.State.List(gossip.KindDemand) {
--- a/internal/rollout/demand/book_test.go
+++ b/internal/rollout/demand/book_test.go
@@ -11,9 +11,10 @@
 	"github.com/egretbend/egretbend/internal/rollout/demand"
 )
 
-// Two trainers share engines from different instances; then one of them is
-// idle, opens a new session elsewhere, and its instance dies. The other one
-// would notice engines that stand idle for nobody.
+// Guards against engines that stay idle because they are reserved for a trainer that
+// does not need them. Two trainers on different instances share engines; then one
+// becomes idle, opens a new session, and its instance dies. A late update of its
+// old session is ignored.
 func TestShareFollowsBusyTrainers(t *testing.T) {
 	is := is.New(t)
 	table := &member.Table{
@@ -50,7 +51,7 @@
 	other.Session, other.Busy = 2, true
 	b.Tell(other)
 	other.Session, other.Busy = 1, false
-	b.Tell(other) // the old session's instance wakes up
+	b.Tell(other) // late update of the old session
 	is.Equal(share(), 0.75)
 	table.State.Merge(there.WithStatus(member.Dead).Entry(1 << 40))
 	is.Equal(share(), 1.0)
--- a/internal/rollout/keeper/doc.go
+++ b/internal/rollout/keeper/doc.go
@@ -1,14 +1,15 @@
-// Package keeper holds copies of finished samples for sessions that run on
-// other instances.
+// Package keeper stores copies of finished samples for sessions that run on other
+// instances.
 //
-// A sample counts as finished only when an instance in another failure domain
-// has a copy. When the session's instance dies, the trainer opens its next
-// session elsewhere, and that one gathers the copies; only what is missing is
-// made again.
+// Before a session's instance delivers a finished sample, it copies the sample to
+// the Keeper of an instance in another failure domain, if one is reachable. When the
+// session's instance dies, the trainer opens its next session on another
+// instance, which gathers the copies, so that only missing samples are generated
+// again:
 //
-//	reply := k.Keep(args)   // from the session's instance
-//	reply := k.Gather(args) // from the next session's instance
+//	err := k.Keep(keepArgs, &keepReply)       // called by the session's instance
+//	err := k.Gather(gatherArgs, &gatherReply) // called by the next session's instance
 //
-// The session number fences: a keeper refuses copies of a session below the
-// highest one that it has heard of.
+// The session number is a fencing token: a keeper refuses calls for a session
+// with a lower number than the highest that it has seen of the trainer.
 package keeper
--- a/internal/rollout/keeper/keeper.go
+++ b/internal/rollout/keeper/keeper.go
@@ -11,109 +11,119 @@
 	"github.com/egretbend/egretbend/internal/rollout/sample"
 )
 
-// Bounds of what one instance keeps for others.
+// Limits of the copies that one instance stores for others.
 const (
-	// MaxBytes is the most bytes of copies.
+	// MaxBytes is the largest total size of all copies, in bytes.
 	MaxBytes = 512 << 20
-	// pageBytes is the most bytes of copies in one reply.
-	pageBytes = 2 << 20
-	// idleLife is how long copies of a silent trainer are kept.
-	idleLife = 30 * time.Minute
+	// maxPageBytes is the largest total size of the copies in one reply, in
+	// bytes, unless a single copy is larger.
+	maxPageBytes = 2 << 20
+	// idleTTL is how long the copies of a trainer are kept after the last call
+	// for it.
+	idleTTL = 30 * time.Minute
 )
 
-// Keeper holds copies. Its zero value needs a Timer.
+// Keeper stores copies of finished samples. Timer must be set before use.
 type Keeper struct {
 	Timer timer.Service
 
 	mu       sync.Mutex
-	trainers map[string]*shelf
+	trainers map[string]*trainerCopies
 	bytes    int
 }
 
-// shelf holds the copies of one trainer.
-type shelf struct {
+// trainerCopies holds the copies of one trainer.
+type trainerCopies struct {
+	// session is the highest session number seen.
 	session uint64
-	copies  map[sample.Key]kept
-	floor   uint64
-	used    timer.Instant
+	copies  map[sample.Key]storedCopy
+	// doneBelow is the highest DoneBelow seen.
+	doneBelow uint64
+	lastUsed  timer.Instant
 }
 
-type kept struct {
+// storedCopy is the copy of a sample with what determines its age.
+type storedCopy struct {
 	raw    []byte
 	oldest version.Version
 	begun  timer.Instant
 }
 
-// KeepArgs hands over a copy.
+// KeepArgs are the arguments of Keep.
 type KeepArgs struct {
 	Trainer string
 	Session uint64
 	Key     sample.Key
 	Raw     []byte
 	Oldest  version.Version
-	// Age is the time since the first token, when the copy was sent.
+	// Age is the time from the first token to the sending of the copy.
 	Age time.Duration
-	// DoneBelow says that no step below it is open any more.
+	// DoneBelow is the number of a step below which all steps are closed.
 	DoneBelow uint64
 }
 
-// KeepReply tells whether the copy was taken.
+// KeepReply is the reply of Keep.
 type KeepReply struct {
-	// Fenced is set when a higher session is known.
+	// Fenced is set if the copy was refused, because the keeper knows a higher
+	// session number.
 	Fenced bool
 }
 
-// GatherArgs asks for the copies of a step, and raises the fence.
+// GatherArgs are the arguments of Gather.
 type GatherArgs struct {
 	Trainer string
 	Session uint64
 	Step    uint64
-	// Skip is how many copies were already received.
+	// Skip is the number of copies that were already received.
 	Skip int
 }
 
-// GatherReply carries a page of copies.
+// GatherReply is the reply of Gather, with a page of copies.
 type GatherReply struct {
+	// Fenced is set if the keeper knows a higher session number.
 	Fenced bool
 	Copies []Copy
-	More   bool
+	// More is set if there are more copies after these.
+	More bool
 }
 
-// Copy is one finished sample.
+// Copy is the copy of a finished sample.
 type Copy struct {
 	Key    sample.Key
 	Raw    []byte
 	Oldest version.Version
-	Age    time.Duration
+	// Age is the time since the first token.
+	Age time.Duration
 }
 
-// ErrFull means that the keeper holds as much as it may.
-var ErrFull = errors.New("the keeper is full; another instance may take the copy")
+// ErrFull means that a copy would exceed MaxBytes.
+var ErrFull = errors.New("keeper is full; another instance may take the copy")
 
-// Keep takes a copy.
+// Keep stores a copy of a finished sample. It keeps an existing copy of the same
+// sample, unless the new one has a newer oldest version.
 func (k *Keeper) Keep(args KeepArgs, reply *KeepReply) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.sweep()
-	s := k.shelf(args.Trainer)
+	k.removeIdleTrainers()
+	s := k.copiesOf(args.Trainer)
 	if args.Session < s.session {
 		reply.Fenced = true
 		return nil
 	}
 	s.session = args.Session
-	k.dropBelow(s, args.DoneBelow)
+	k.removeStepsBelow(s, args.DoneBelow)
 	if old, ok := s.copies[args.Key]; ok {
 		if !old.oldest.Less(args.Oldest) {
 			return nil
 		}
-		// The sample was made again because the old one had become too old.
+		// The sample was regenerated because the old one had become too old.
 		k.bytes -= len(old.raw)
 		delete(s.copies, args.Key)
 	}
 	if k.bytes+len(args.Raw) > MaxBytes {
 		return ErrFull
 	}
-	s.copies[args.Key] = kept{
+	s.copies[args.Key] = storedCopy{
 		raw:    args.Raw,
 		oldest: args.Oldest,
 		begun:  k.Timer.Now().Add(-args.Age),
@@ -122,17 +132,18 @@
 	return nil
 }
 
-// Gather returns copies of a step in the order of their keys.
+// Gather returns copies of a step in the order of their keys. It also records the
+// session number, which fences the trainer's earlier sessions.
 func (k *Keeper) Gather(args GatherArgs, reply *GatherReply) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	s := k.shelf(args.Trainer)
+	s := k.copiesOf(args.Trainer)
 	if args.Session < s.session {
 		reply.Fenced = true
 		return nil
 	}
 	s.session = args.Session
-	keys := s.keysOf(args.Step)
+	keys := s.sortedKeys(args.Step)
 	if args.Skip > len(keys) {
 		return nil
 	}
@@ -140,7 +151,7 @@
 	for _, key := range keys[args.Skip:] {
 		c := s.copies[key]
 		size += len(c.raw)
-		if size > pageBytes && len(reply.Copies) > 0 {
+		if size > maxPageBytes && len(reply.Copies) > 0 {
 			reply.More = true
 			return nil
 		}
@@ -154,33 +165,37 @@
 	return nil
 }
 
-// Bytes returns the bytes of all copies.
+// Bytes returns the total size of all copies, in bytes.
 func (k *Keeper) Bytes() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.bytes
 }
 
-func (k *Keeper) shelf(trainer string) *shelf {
+// copiesOf returns the copies of a trainer and marks them as used. The caller holds
+// the lock.
+func (k *Keeper) copiesOf(trainer string) *trainerCopies {
 	if k.trainers == nil {
-		k.trainers = make(map[string]*shelf)
+		k.trainers = make(map[string]*trainerCopies)
 	}
 	s, ok := k.trainers[trainer]
 	if !ok {
-		s = &shelf{
-			copies: make(map[sample.Key]kept),
+		s = &trainerCopies{
+			copies: make(map[sample.Key]storedCopy),
 		}
 		k.trainers[trainer] = s
 	}
-	s.used = k.Timer.Now()
+	s.lastUsed = k.Timer.Now()
 	return s
 }
 
-func (k *Keeper) dropBelow(s *shelf, step uint64) {
-	if step <= s.floor {
+// removeStepsBelow removes the copies of all steps with lower numbers than step. The
+// caller holds the lock.
+func (k *Keeper) removeStepsBelow(s *trainerCopies, step uint64) {
+	if step <= s.doneBelow {
 		return
 	}
-	s.floor = step
+	s.doneBelow = step
 	for key, c := range s.copies {
 		if key.Step < step {
 			k.bytes -= len(c.raw)
@@ -189,10 +204,12 @@
 	}
 }
 
-func (k *Keeper) sweep() {
+// removeIdleTrainers removes the copies of trainers that were not used for idleTTL.
+// The caller holds the lock.
+func (k *Keeper) removeIdleTrainers() {
 	now := k.Timer.Now()
 	for name, s := range k.trainers {
-		if now.Sub(s.used) < idleLife {
+		if now.Sub(s.lastUsed) < idleTTL {
 			continue
 		}
 		for _, c := range s.copies {
@@ -202,7 +219,8 @@
 	}
 }
 
-func (s *shelf) keysOf(step uint64) []sample.Key {
+// sortedKeys returns the keys of a step's copies, sorted by group and index.
+func (s *trainerCopies) sortedKeys(step uint64) []sample.Key {
 	var keys []sample.Key
 	for key := range s.copies {
 		if key.Step == step {
--- a/internal/rollout/sample/doc.go
+++ b/internal/rollout/sample/doc.go
@@ -1,12 +1,13 @@
-// Package sample holds a finished sample and the true record of its origin.
+// Package sample defines a finished sample and the record of which weight versions
+// generated it.
 //
-// A Recorder takes the tokens of a stream in order and notes which weight
-// version made which of them, in the engine's own words:
+// A Recorder takes the tokens of a stream in order and records the weight version
+// that the engine reports for each of them:
 //
 //	var rec sample.Recorder
 //	err := rec.Add(token)
 //	spans := rec.Spans // {1.4 tokens 0-17} {1.5 tokens 18-40}
 //
-// A swap in mid-stream gives two spans. A stream that doesn't name its version
-// is no sample.
+// If the engine swaps its weights during a stream, the record has two spans. A
+// token without a version is rejected, so every Sample has a complete record.
 package sample
--- a/internal/rollout/sample/sample.go
+++ b/internal/rollout/sample/sample.go
@@ -9,24 +9,26 @@
 	"github.com/egretbend/egretbend/internal/outside/engine"
 )
 
-// Key names a sample within its trainer's work.
+// Key identifies a sample of a trainer.
 type Key struct {
 	Step  uint64 `json:"step"`
 	Group string `json:"group"`
-	Index int    `json:"index"`
+	// Index is the index of the sample within its group, from 0.
+	Index int `json:"index"`
 }
 
 // String returns the key as step/group/index.
 func (k Key) String() string { return fmt.Sprintf("%d/%s/%d", k.Step, k.Group, k.Index) }
 
-// Span is a run of tokens that one weight version made.
+// Span is a range of consecutive tokens that one weight version generated. Both
+// ends are inclusive.
 type Span struct {
 	Version    version.Version `json:"version"`
 	FirstToken int             `json:"first_token"`
 	LastToken  int             `json:"last_token"`
 }
 
-// Sample is a finished sample. It is never changed.
+// Sample is a finished sample. It is immutable.
 type Sample struct {
 	Trainer string `json:"trainer"`
 	Key
@@ -39,7 +41,7 @@
 	RequestID string   `json:"request_id"`
 }
 
-// Oldest returns the oldest version in the record.
+// Oldest returns the oldest version that generated any of the tokens.
 func (s *Sample) Oldest() version.Version {
 	oldest := s.Versions[0].Version
 	for _, span := range s.Versions[1:] {
@@ -50,23 +52,26 @@
 	return oldest
 }
 
-// ErrNoVersion means that the engine did not say which weights made a token.
-var ErrNoVersion = errors.New("the stream does not name its weight version")
+// ErrNoVersion means that the engine did not report the weight version of a token.
+var ErrNoVersion = errors.New("token has no weight version")
 
-// Recorder collects the tokens of one sample, over all its attempts. Its zero
-// value is empty.
+// Recorder collects the tokens of a sample, which may come from several attempts.
+// Its zero value is empty.
 type Recorder struct {
+	// Texts holds the text of each token.
 	Texts []string
+	// Spans holds the versions that generated the tokens, without gaps.
 	Spans []Span
 }
 
-// Add takes the next token.
+// Add appends a token. It returns an error if the token has no version or is not
+// the next one.
 func (r *Recorder) Add(t engine.Token) error {
 	if t.Version.Zero() {
 		return ErrNoVersion
 	}
 	if t.Index != len(r.Texts) {
-		return fmt.Errorf("token %d came in place of %d", t.Index, len(r.Texts))
+		return fmt.Errorf("got token %d, expected token %d", t.Index, len(r.Texts))
 	}
 	r.Texts = append(r.Texts, t.Text)
 	if n := len(r.Spans); n > 0 && r.Spans[n-1].Version == t.Version {
@@ -81,7 +86,7 @@
 	return nil
 }
 
-// Clone returns a copy that another attempt may go on with.
+// Clone returns a deep copy, from which another attempt can resume.
 func (r *Recorder) Clone() *Recorder {
 	return &Recorder{
 		Texts: append([]string(nil), r.Texts...),
@@ -89,5 +94,5 @@
 	}
 }
 
-// Text returns all tokens as one text.
+// Text returns the concatenated texts of all tokens.
 func (r *Recorder) Text() string { return strings.Join(r.Texts, "") }
--- a/internal/rollout/stream/doc.go
+++ b/internal/rollout/stream/doc.go
@@ -1,7 +1,9 @@
-// Package stream runs one generation on model engines until it is whole.
+// Package stream runs a generation on model engines until it is complete.
 //
-// A stream that breaks is resumed on another engine from its last token, not
-// begun again. Tokens are emitted in order and once:
+// A Generator runs a Task. If a stream breaks, the Generator resumes it on
+// another engine from the last token instead of starting again. Tokens are
+// emitted in order and exactly once:
 //
-//	finish, err := gen.Run(ctx, task, func(t engine.Token) error { ... })
+//	trip, err := gen.Enter(task) // admission
+//	finish, err := gen.Run(ctx, trip, task, func(t engine.Token) error { ... })
 package stream
--- a/internal/rollout/stream/generator.go
+++ b/internal/rollout/stream/generator.go
@@ -20,17 +20,18 @@
 	"github.com/egretbend/egretbend/internal/route/upstream"
 )
 
-// prefixLength is how much of a prompt decides where its cache lies.
-const prefixLength = 256
+// maxPrefixBytes is the length, in bytes, of the prompt prefix whose hash selects
+// the upstream that may have it cached.
+const maxPrefixBytes = 256
 
-// Generator runs generations.
+// Generator runs generations on the upstreams that its Router chooses.
 type Generator struct {
 	Router *router.Router
 	Engine engine.Adapter
 	Timer  timer.Service
 }
 
-// Task is one generation.
+// Task describes a generation.
 type Task struct {
 	RequestID  string
 	Caller     string
@@ -40,24 +41,27 @@
 	Prompt     string
 	MaxTokens  int
 	Seed       uint64
-	// Resume holds tokens of an earlier attempt, which are not emitted again.
+	// Resume holds the tokens of an earlier attempt. The generation continues
+	// after them and does not emit them again.
 	Resume []string
 	// Staleness applies the deployment's bound on weight versions.
 	Staleness bool
-	// Lead is how many versions are expected to be published until the result
-	// is handed over.
+	// Lead is the number of versions that are expected to be published before
+	// the result is delivered.
 	Lead uint64
-	// Share is the share of the deployment that the caller may claim while it
-	// is short; zero claims none in particular.
+	// Share is the share of the deployment that the caller may claim while its
+	// capacity is short; zero claims no particular share.
 	Share float64
-	// Avoid names the upstreams of attempts that run beside this one.
+	// Avoid lists the IDs of upstreams that run other attempts at the same
+	// result.
 	Avoid []string
-	// Chosen is told of each upstream that is chosen; nil tells nobody.
+	// Chosen, if not nil, is called with the ID of each upstream that is chosen.
 	Chosen func(upstream string)
 }
 
-// sum returns the digest by which the generation is known when it is asked for again.
-func (t *Task) sum() fingerprint.Sum {
+// digest returns the fingerprint that identifies the generation when it is
+// requested again.
+func (t *Task) digest() fingerprint.Sum {
 	return fingerprint.Of(fingerprint.Parts{
 		Organisation: t.Caller,
 		Host:         t.Deployment,
@@ -65,14 +69,16 @@
 	})
 }
 
-// Finish says how a generation ended and where it ran.
+// Finish describes how a generation ended and where it ran.
 type Finish struct {
-	Reason    string
+	// Reason is the finish reason that the engine reported.
+	Reason string
+	// Upstreams lists the IDs of the upstreams of all attempts, in order.
 	Upstreams []string
 }
 
-// Enter lets a generation in, or refuses it at once. The trip is given to Run,
-// or closed.
+// Enter admits a generation, or refuses it at once. The caller passes the trip to
+// Run or closes it.
 func (g *Generator) Enter(task Task) (*router.Trip, error) {
 	job := router.Job{
 		RequestID:  task.RequestID,
@@ -80,13 +86,13 @@
 		Class:      task.Class,
 		Weight:     task.Weight,
 		Deployment: task.Deployment,
-		Key:        prefixKey(task.Prompt),
+		Key:        prefixHash(task.Prompt),
 		Staleness:  task.Staleness,
 		Lead:       task.Lead,
 		Share:      task.Share,
 	}
 	if task.Class != limit.Training {
-		job.Sum = task.sum
+		job.Sum = task.digest
 	}
 	trip, err := g.Router.Enter(job)
 	if err != nil {
@@ -99,89 +105,95 @@
 	return trip, nil
 }
 
-// Run generates until the end of the stream. ctx carries the deadline.
+// Run generates to the end of the stream, passes each new token to emit, and
+// closes the trip. The deadline is that of ctx.
 func (g *Generator) Run(ctx context.Context, trip *router.Trip, task Task, emit func(engine.Token) error) (Finish, error) {
-	r := &run{
-		g:     g,
-		trip:  trip,
-		task:  task,
-		texts: append([]string(nil), task.Resume...),
-		emit:  emit,
+	r := &generation{
+		generator:  g,
+		trip:       trip,
+		task:       task,
+		tokenTexts: append([]string(nil), task.Resume...),
+		emit:       emit,
 	}
 	for _, id := range task.Avoid {
 		trip.Avoid(id)
 	}
-	finish, err := r.attempts(ctx)
-	trip.Close(r.result(err))
+	finish, err := r.runAttempts(ctx)
+	trip.Close(r.limitResult(err))
 	return finish, err
 }
 
-func prefixKey(prompt string) uint64 {
-	if len(prompt) > prefixLength {
-		prompt = prompt[:prefixLength]
+// prefixHash returns the hash of the prompt's prefix. It is never zero, which
+// would mean that there is none.
+func prefixHash(prompt string) uint64 {
+	if len(prompt) > maxPrefixBytes {
+		prompt = prompt[:maxPrefixBytes]
 	}
 	return xxhash.Sum64String(prompt) | 1
 }
 
-// run is one generation over its attempts.
-type run struct {
-	g      *Generator
-	trip   *router.Trip
-	task   Task
-	texts  []string
-	emit   func(engine.Token) error
-	pushed bool
-	began  bool
-	where  []string
+// generation is the state of a generation during its attempts.
+type generation struct {
+	generator  *Generator
+	trip       *router.Trip
+	task       Task
+	tokenTexts []string
+	emit       func(engine.Token) error
+	wasRefused bool
+	mayHaveRun bool
+	upstreams  []string
 	// version is that of the last token.
 	version version.Version
 }
 
-func (r *run) attempts(ctx context.Context) (Finish, error) {
-	var last error
+// runAttempts makes attempts until one reaches the end of the stream or no other
+// may be made.
+func (r *generation) runAttempts(ctx context.Context) (Finish, error) {
+	var lastErr error
 	for {
 		u, err := r.trip.Next()
 		if err != nil {
-			return Finish{}, r.final(err, last)
+			return Finish{}, r.finalError(err, lastErr)
 		}
 		if r.task.Chosen != nil {
 			r.task.Chosen(u.ID)
 		}
-		reason, err := r.once(ctx, u)
+		reason, err := r.attempt(ctx, u)
 		if err == nil {
 			return Finish{
 				Reason:    reason,
-				Upstreams: r.where,
+				Upstreams: r.upstreams,
 			}, nil
 		}
-		last = err
-		if errors.Is(err, errStale) {
+		lastErr = err
+		if errors.Is(err, errStaleVersion) {
 			continue
 		}
 		if ctx.Err() != nil || errors.Is(err, errConsumer) || !r.trip.MayRetry() {
-			return Finish{}, r.final(nil, last)
+			return Finish{}, r.finalError(nil, lastErr)
 		}
 	}
 }
 
-// errStale ends an attempt at the first token of a version that is too old to
-// be handed over. It comes from an engine that restarted with old weights; to
-// learn of that only from its next report, or at the hand-over, would waste
-// the whole stream and have the sample made again when its step is nearly
-// whole. It costs no retry: nothing was done yet.
-var errStale = errors.New("the engine's weights are too old")
+// errStaleVersion ends an attempt at the first token of a version that is too old
+// to be delivered, as from an engine that restarted with old weights. Detecting
+// that only from the engine's next report, or at delivery, would waste the whole
+// stream, and the sample would be regenerated when its step is nearly complete.
+// The next attempt does not count against the retry budget, because nothing was
+// done yet.
+var errStaleVersion = errors.New("weight version of the engine is too old")
 
-// errConsumer wraps an error of the consumer of the tokens. It is no fault of
-// the engine and no reason to try another.
-var errConsumer = errors.New("the consumer of the stream failed")
+// errConsumer wraps an error of the emit callback. It is not a fault of the
+// engine, so the generation is not retried on another one.
+var errConsumer = errors.New("consumer of the stream failed")
 
-// once makes one attempt from the last token on.
-func (r *run) once(ctx context.Context, u *upstream.Upstream) (string, error) {
-	started := r.g.Timer.Now()
-	before := len(r.texts)
+// attempt makes one attempt, which continues after the last token so far.
+func (r *generation) attempt(ctx context.Context, u *upstream.Upstream) (string, error) {
+	started := r.generator.Timer.Now()
+	before := len(r.tokenTexts)
 	r.version = version.Version{}
-	r.where = append(r.where, u.ID)
-	finish, err := r.g.Engine.Generate(ctx, u.Address, engine.Request{
+	r.upstreams = append(r.upstreams, u.ID)
+	finish, err := r.generator.Engine.Generate(ctx, u.Address, engine.Request{
 		ID:        r.task.RequestID,
 		Attempt:   r.task.RequestID + "." + strconv.Itoa(r.trip.Attempts()),
 		Model:     r.task.Deployment,
@@ -189,47 +201,49 @@
 		MaxTokens: r.task.MaxTokens,
 		Seed:      r.task.Seed,
 		Priority:  r.task.Class.EnginePriority(),
-		Resume:    r.texts,
-	}, func(t engine.Token) error { return r.take(u, t) })
-	now := r.g.Timer.Now()
-	tokens := len(r.texts) - before
+		Resume:    r.tokenTexts,
+	}, func(t engine.Token) error { return r.handleToken(u, t) })
+	now := r.generator.Timer.Now()
+	tokens := len(r.tokenTexts) - before
 	if finish.Report != nil {
 		u.Heard(*finish.Report, now)
 	}
-	r.note(ctx, u, err, now.Sub(started), tokens, now)
+	r.recordOutcome(ctx, u, err, now.Sub(started), tokens, now)
 	return finish.Reason, err
 }
 
-func (r *run) take(u *upstream.Upstream, t engine.Token) error {
+// handleToken checks the version of a token against the staleness bound and emits
+// the token.
+func (r *generation) handleToken(u *upstream.Upstream, t engine.Token) error {
 	if t.Version != r.version || t.Index == 0 {
 		r.version = t.Version
 		u.SawVersion(t.Version)
 		if _, oldest, ok := r.trip.Bound(0); ok && t.Version.Less(oldest) {
-			return errStale
+			return errStaleVersion
 		}
 	}
 	if err := r.emit(t); err != nil {
 		return errors.Join(errConsumer, err)
 	}
-	r.began = true
-	r.texts = append(r.texts, t.Text)
+	r.mayHaveRun = true
+	r.tokenTexts = append(r.tokenTexts, t.Text)
 	return nil
 }
 
-// note tells the upstream's state how the attempt went.
-func (r *run) note(ctx context.Context, u *upstream.Upstream, err error, took time.Duration, tokens int, now timer.Instant) {
+// recordOutcome records the result of an attempt in the state of its upstream.
+func (r *generation) recordOutcome(ctx context.Context, u *upstream.Upstream, err error, took time.Duration, tokens int, now timer.Instant) {
 	var refused *engine.RefusedError
 	switch {
 	case err == nil:
 		u.Succeeded(took / time.Duration(max(1, tokens)))
 	case errors.As(err, &refused):
-		r.pushed = true
+		r.wasRefused = true
 		u.Ended()
-	case ctx.Err() != nil, errors.Is(err, errConsumer), errors.Is(err, errStale):
+	case ctx.Err() != nil, errors.Is(err, errConsumer), errors.Is(err, errStaleVersion):
 		u.Ended()
 	default:
 		if !errors.Is(err, engine.ErrNotSent) {
-			r.began = true
+			r.mayHaveRun = true
 		}
 		if errors.Is(err, engine.ErrBroken) {
 			r.trip.CutOff(u)
@@ -238,32 +252,34 @@
 	}
 }
 
-func (r *run) result(err error) limit.Result {
+// limitResult returns the result of the generation for admission control.
+func (r *generation) limitResult(err error) limit.Result {
 	switch {
 	case err == nil:
 		return limit.Good
-	case r.pushed:
+	case r.wasRefused:
 		return limit.Pushed
 	}
 	return limit.Neutral
 }
 
-// final is the error for the caller. A generation may always be repeated, so
-// what matters is only whether it can be said that none of it ran.
-func (r *run) final(choice, last error) error {
-	if last == nil {
-		return choice
+// finalError returns the error for the caller: choiceErr if no attempt was made,
+// or else one for lastErr. A generation is always safe to repeat, so the error
+// only has to tell whether it is certain that none of it ran.
+func (r *generation) finalError(choiceErr, lastErr error) error {
+	if lastErr == nil {
+		return choiceErr
 	}
 	var refused *engine.RefusedError
 	kind := problem.UpstreamFailed
 	switch {
-	case errors.As(last, &refused), errors.Is(last, engine.ErrNotSent):
+	case errors.As(lastErr, &refused), errors.Is(lastErr, engine.ErrNotSent):
 		kind = problem.UpstreamRefused
-	case errors.Is(last, context.DeadlineExceeded):
+	case errors.Is(lastErr, context.DeadlineExceeded):
 		kind = problem.UpstreamTimeout
 	}
-	e := kind.With(last)
-	if r.began {
+	e := kind.With(lastErr)
+	if r.mayHaveRun {
 		e = e.WithOutcome(problem.Unknown)
 	}
 	if e.Kind.Status >= http.StatusInternalServerError {
--- a/internal/rollout/stream/proof_test.go
+++ b/internal/rollout/stream/property_test.go
@@ -24,42 +24,43 @@
 )
 
 const (
-	tokens      = 8
-	maxVersions = 2
-	newest      = 5
+	maxTokens    = 8
+	maxVersions  = 2
+	newestNumber = 5
 )
 
-// engines is a fake protocol whose engines break, refuse, or have old weights.
-type engines struct {
+// fakeEngines is a fake engine.Adapter whose engines break streams, refuse
+// requests, or have old weights at random.
+type fakeEngines struct {
 	t *rapid.T
-	// truth is what an engine said it made, by place.
-	truth map[int]version.Version
-	// ran is set when any engine may have begun.
-	ran bool
-	// fresh begins every stream anew instead of resuming it.
-	fresh bool
+	// generatedBy is the version that generated each token, by token index.
+	generatedBy map[int]version.Version
+	// mayHaveRun is set when any engine may have started to generate.
+	mayHaveRun bool
+	// ignoreResume makes every stream start at token 0 instead of resuming.
+	ignoreResume bool
 }
 
 // Generate implements engine.Adapter.
-func (e *engines) Generate(_ context.Context, _ string, req engine.Request, emit func(engine.Token) error) (engine.Finish, error) {
+func (e *fakeEngines) Generate(_ context.Context, _ string, req engine.Request, emit func(engine.Token) error) (engine.Finish, error) {
 	switch rapid.IntRange(0, 5).Draw(e.t, "fate") {
 	case 0:
 		return engine.Finish{}, engine.ErrNotSent
 	case 1:
 		return engine.Finish{}, &engine.RefusedError{}
 	}
-	e.ran = true
-	end := tokens
+	e.mayHaveRun = true
+	end := maxTokens
 	if rapid.Bool().Draw(e.t, "breaks") {
-		end = rapid.IntRange(len(req.Resume), tokens).Draw(e.t, "at")
+		end = rapid.IntRange(len(req.Resume), maxTokens).Draw(e.t, "at")
 	}
 	start := len(req.Resume)
-	if e.fresh {
+	if e.ignoreResume {
 		start = 0
 	}
 	v := version.Version{
 		Epoch:  1,
-		Number: rapid.Uint64Range(1, newest).Draw(e.t, "version"),
+		Number: rapid.Uint64Range(1, newestNumber).Draw(e.t, "version"),
 	}
 	for i := start; i < end; i++ {
 		if err := emit(engine.Token{
@@ -69,9 +70,9 @@
 		}); err != nil {
 			return engine.Finish{}, err
 		}
-		e.truth[i] = v
+		e.generatedBy[i] = v
 	}
-	if end < tokens {
+	if end < maxTokens {
 		return engine.Finish{}, engine.ErrBroken
 	}
 	return engine.Finish{
@@ -80,25 +81,28 @@
 }
 
 // Report implements engine.Adapter.
-func (e *engines) Report(context.Context, string) (engine.Report, error) {
+func (e *fakeEngines) Report(context.Context, string) (engine.Report, error) {
 	return engine.Report{}, engine.ErrNotSent
 }
 
 // Order implements engine.Adapter.
-func (e *engines) Order(context.Context, string, engine.Order) error { return nil }
+func (e *fakeEngines) Order(context.Context, string, engine.Order) error { return nil }
 
-func generator(e *engines, staleness bool) *stream.Generator {
+// newGenerator returns a generator for a deployment with 4 upstreams. If
+// boundStaleness is set, a newest version is published, so that the deployment's
+// staleness bound of maxVersions applies.
+func newGenerator(e *fakeEngines, boundStaleness bool) *stream.Generator {
 	clock := &timer.Manual{}
 	clock.Advance(time.Hour)
 	state := &gossip.State{}
 	board := &version.Board{
 		State: state,
 	}
-	if staleness {
+	if boundStaleness {
 		_ = board.Publish("m", version.Published{
 			Version: version.Version{
 				Epoch:  1,
-				Number: newest,
+				Number: newestNumber,
 			},
 		})
 	}
@@ -135,60 +139,60 @@
 	}
 }
 
-// generate runs one generation over engines that fail at random.
-func generate(fresh bool) func(*rapid.T) {
+// checkGeneration runs one generation on engines that fail at random and checks
+// the tokens that it emits.
+func checkGeneration(ignoreResume bool) func(*rapid.T) {
 	return func(t *rapid.T) {
-		e := &engines{
-			t:     t,
-			truth: make(map[int]version.Version),
-			fresh: fresh,
+		e := &fakeEngines{
+			t:            t,
+			generatedBy:  make(map[int]version.Version),
+			ignoreResume: ignoreResume,
 		}
-		staleness := rapid.Bool().Draw(t, "staleness")
-		g := generator(e, staleness)
+		boundStaleness := rapid.Bool().Draw(t, "staleness")
+		g := newGenerator(e, boundStaleness)
 		task := stream.Task{
 			Deployment: "m",
-			MaxTokens:  tokens,
+			MaxTokens:  maxTokens,
 			Weight:     1,
-			Staleness:  staleness,
+			Staleness:  boundStaleness,
 		}
 		trip, err := g.Enter(task)
 		if err != nil {
 			t.Fatalf("enter: %v", err)
 		}
-		var got []engine.Token
+		var received []engine.Token
 		_, err = g.Run(context.Background(), trip, task, func(token engine.Token) error {
-			got = append(got, token)
+			received = append(received, token)
 			return nil
 		})
-		for i, token := range got {
+		for i, token := range received {
 			if token.Index != i || token.Text != fmt.Sprint(i) {
-				t.Fatalf("place %d holds token %d", i, token.Index)
+				t.Fatalf("position %d has token %d", i, token.Index)
 			}
-			if token.Version != e.truth[i] {
-				t.Fatalf("token %d is told as %v, but %v made it", i, token.Version, e.truth[i])
+			if token.Version != e.generatedBy[i] {
+				t.Fatalf("token %d is reported with version %v, but was generated by %v", i, token.Version, e.generatedBy[i])
 			}
-			if staleness && token.Version.Number < newest-maxVersions {
-				t.Fatalf("token %d is of version %v, which is too old", i, token.Version)
+			if boundStaleness && token.Version.Number < newestNumber-maxVersions {
+				t.Fatalf("token %d has version %v, which is too old", i, token.Version)
 			}
 		}
-		if err == nil && len(got) != tokens {
-			t.Fatalf("a whole answer has %d of %d tokens", len(got), tokens)
+		if err == nil && len(received) != maxTokens {
+			t.Fatalf("a complete response has %d of %d tokens", len(received), maxTokens)
 		}
-		if err != nil && problem.From(err).Kind.Outcome == problem.NotRun && len(got) > 0 {
-			t.Fatalf("told not run after %d tokens: %v", len(got), err)
+		if err != nil && problem.From(err).Kind.Outcome == problem.NotRun && len(received) > 0 {
+			t.Fatalf("outcome is not_run after %d tokens: %v", len(received), err)
 		}
 	}
 }
 
-// Engines break streams, refuse, and come back with old weights while a
-// generation is on its way. A caller would notice a token that is missing or
-// comes twice, or a short answer; a trainer a version that is not true, or a
-// stream that was made to its end with weights that are too old.
-func TestStreamIsWholeAndTrue(t *testing.T) {
-	proof.Check(t, generate(false))
+// Guards against missing and repeated tokens, truncated responses, wrong versions,
+// and streams that are generated with weights that are too old. Engines break
+// streams, refuse requests, and restart with old weights during a generation.
+func TestStreamIsCompleteWithTrueVersions(t *testing.T) {
+	proof.Check(t, checkGeneration(false))
 }
 
-// An engine that begins anew in place of resuming repeats the first tokens.
-func TestStreamRepeatsWithoutResume(t *testing.T) {
-	proof.Refute(t, generate(true))
+// An engine that starts again instead of resuming repeats the first tokens.
+func TestIgnoringResumeRepeatsTokens(t *testing.T) {
+	proof.Refute(t, checkGeneration(true))
 }
