--- a/internal/rollout/keeper/keeper.go
+++ b/internal/rollout/keeper/keeper.go
@@ -44,9 +44,9 @@
 
 // storedCopy is the copy of a sample with what determines its age.
 type storedCopy struct {
-	raw    []byte
-	oldest version.Version
-	begun  timer.Instant
+	raw          []byte
+	oldest       version.Version
+	firstTokenAt timer.Instant
 }
 
 // KeepArgs are the arguments of Keep.
@@ -124,9 +124,9 @@
 		return ErrFull
 	}
 	s.copies[args.Key] = storedCopy{
-		raw:    args.Raw,
-		oldest: args.Oldest,
-		begun:  k.Timer.Now().Add(-args.Age),
+		raw:          args.Raw,
+		oldest:       args.Oldest,
+		firstTokenAt: k.Timer.Now().Add(-args.Age),
 	}
 	k.bytes += len(args.Raw)
 	return nil
@@ -159,7 +159,7 @@
 			Key:    key,
 			Raw:    c.raw,
 			Oldest: c.oldest,
-			Age:    k.Timer.Now().Sub(c.begun),
+			Age:    k.Timer.Now().Sub(c.firstTokenAt),
 		})
 	}
 	return nil
--- a/internal/rollout/session/simulation_test.go
+++ b/internal/rollout/session/simulation_test.go
@@ -37,7 +37,7 @@
 	sessions []*servedSession
 }
 
-// servedSession is a session with whether a keeper reported it as fenced.
+// servedSession is a session and whether a keeper reported it as fenced.
 type servedSession struct {
 	state  *session.Session
 	fenced bool
--- a/internal/rollout/session/step.go
+++ b/internal/rollout/session/step.go
@@ -102,7 +102,7 @@
 	remainingByGroup map[string]int
 	// dropAt is when the step is dropped; zero means never.
 	dropAt timer.Instant
-	// tokenTimes holds the time per token of each finished sample.
+	// tokenTimes holds the time per token of each accepted result.
 	tokenTimes []time.Duration
 }
 
--- a/internal/rollout/stream/generator.go
+++ b/internal/rollout/stream/generator.go
@@ -134,14 +134,18 @@
 
 // generation is the state of a generation during its attempts.
 type generation struct {
-	generator  *Generator
-	trip       *router.Trip
-	task       Task
+	generator *Generator
+	trip      *router.Trip
+	task      Task
+	// tokenTexts holds the texts of all tokens so far, resumed ones included.
 	tokenTexts []string
 	emit       func(engine.Token) error
+	// wasRefused is set when an upstream refused an attempt.
 	wasRefused bool
+	// mayHaveRun is set when an engine generated tokens or may have.
 	mayHaveRun bool
-	upstreams  []string
+	// upstreams lists the IDs of the upstreams of all attempts.
+	upstreams []string
 	// version is that of the last token.
 	version version.Version
 }
