--- a/internal/fleet/duty/doc.go
+++ b/internal/fleet/duty/doc.go
@@ -1,5 +1,6 @@
-// Package duty chooses the one instance that makes the calls which only one may make at
-// a time: orders to engines, reports of usage, orders of capacity.
+// Package duty elects the one instance, the holder of the duty, that makes the calls
+// which only one instance may make at a time: orders to engines, usage reports and
+// capacity orders.
 //
 //	holder := &duty.Holder{
 //		Space:    store,
@@ -10,7 +11,8 @@
 //	}
 //	fence, ok := holder.Fence()
 //
-// The holder of a key in the key-value service has the right; the revision at which it
-// took the key is its fencing token, which therefore only grows. What it did not finish
-// is found by the next one in a record that was written before the call.
+// This is leader election over the key-value service: a key names the holder. The
+// revision at which the holder wrote that key is its fencing token, so a later holder
+// always has a higher token. A call is recorded before it is made, and the next holder
+// finds unfinished calls in that record.
 package duty
--- a/internal/fleet/duty/holder.go
+++ b/internal/fleet/duty/holder.go
@@ -16,180 +16,186 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// Name is the registry's name for the right to make the calls that one instance makes
-// at a time.
+// Name is the name, in the registry, of the duty to make the calls that only one instance
+// may make at a time.
 const Name = "orders"
 
-// The times of holding.
+// Intervals and timeouts of the election.
 const (
-	// keepEvery is how often the right is looked after.
-	keepEvery = 600 * time.Millisecond
-	// holdTrust is how long after the last renewal of its lease the holder
-	// makes calls. It is shorter than the lease, so that a holder that is cut
-	// off stops before another one can begin.
-	holdTrust = 1200 * time.Millisecond
-	// absence is how long the holder must be missing before another instance
-	// takes over. One that is started again goes on at once.
-	absence = 1500 * time.Millisecond
-	// TurnWait is how long after the one before was seen to be missing a new holder
-	// gives its first order. Engines must not hear two holders within three seconds,
-	// and a holder whose lease was taken away believes in it for holdTrust at most.
-	TurnWait = 3*time.Second + holdTrust
-	// holdCall bounds one call.
-	holdCall = 900 * time.Millisecond
+	// keepInterval is the time between two calls of Keep.
+	keepInterval = 600 * time.Millisecond
+	// maxLeaseAge is how long after the last renewal of its lease the holder
+	// may still make calls. It is shorter than the lease, so that a holder that
+	// has lost its connection stops before another one can start.
+	maxLeaseAge = 1200 * time.Millisecond
+	// takeoverDelay is how long the holder must be missing before another instance
+	// takes over. A holder that restarts continues without this delay.
+	takeoverDelay = 1500 * time.Millisecond
+	// TurnWait is the time between the detection that the previous holder is missing
+	// and the first order of the new one. Engines must not get orders from two holders
+	// within three seconds, and a holder whose lease was revoked relies on it for
+	// another maxLeaseAge at most.
+	TurnWait = 3*time.Second + maxLeaseAge
+	// keepTimeout is the time limit of one call of Keep.
+	keepTimeout = 900 * time.Millisecond
 )
 
-// Presence is what the holder needs to know of instances.
+// Presence is the view of the instances that the election uses.
 type Presence interface {
-	// Lease returns the number of this instance's lease, zero if it has none,
-	// and whether it was renewed within the time.
+	// Lease returns the ID of this instance's lease, zero if it has none, and
+	// whether the lease was renewed within the given time.
 	Lease(within time.Duration) (uint64, bool)
-	// Duty returns who was seen to hold a duty last.
+	// Duty returns the last value read from the key of a duty. HolderOf parses it.
 	Duty(duty string) string
-	// Present reports whether an instance is in the view.
+	// Present reports whether the view contains an instance.
 	Present(name string) bool
-	// First returns the instance that should take over a duty.
+	// First returns the instance that is next to take over a duty.
 	First() string
-	// Synced reports whether the view was read.
+	// Synced reports whether the view has been read from the key-value service.
 	Synced() bool
 }
 
-// Holder holds the right to the calls of one instance, or waits for it. The right lies in a
-// key without a lease: its holder is whoever it names, as long as that
-// instance's own key exists.
+// Holder takes part in the election on behalf of one instance. The duty's key has no
+// lease: the instance that the key names is the holder as long as that instance's own
+// key exists.
 type Holder struct {
 	Space    keyvalue.Space
 	Presence Presence
 	Timer    timer.Service
 	Journal  *journal.Journal
-	// Key is where the holder writes its name, Sign where an instance shows
-	// that it lives.
+	// Key is the duty's key, to which the holder writes its name. Sign returns
+	// the key that exists as long as an instance is alive.
 	Key  string
 	Sign func(name string) string
-	// Name is this instance's. A holder that restarts is the same one.
+	// Name is the name of this instance. It stays the same over a restart, so a
+	// holder that restarts is still the holder.
 	Name string
 
-	// mu guards fence, lease and begins, which others read.
-	mu     sync.Mutex
-	fence  uint64
-	lease  uint64
-	begins timer.Instant
-	holds  atomic.Bool
-	gone   departure
-	// settled says that the stored value no longer tells of a wait.
-	settled bool
+	// mu guards fence, lease and callsFrom, which other goroutines read.
+	mu        sync.Mutex
+	fence     uint64
+	lease     uint64
+	callsFrom timer.Instant
+	holds     atomic.Bool
+	missing   missingHolder
+	// waitOver says that the stored value no longer has the waiting mark.
+	waitOver bool
 }
 
-// departure is what was found of a holder that is missing.
-type departure struct {
+// missingHolder records when a holder was found to be missing.
+type missingHolder struct {
 	holder string
-	// revision is that of the right when its holder was found to show no sign of
-	// life. As long as it stands the holder can't have taken the right again under
-	// another lease, and so gives no order more.
+	// revision is the revision of the duty's key when the holder's own key was
+	// found to be gone. While it is unchanged, the holder cannot have acquired the
+	// duty again under another lease, and gives no more orders.
 	revision uint64
-	// since is when that was found.
+	// since is the time of detection.
 	since timer.Instant
 }
 
-// waiting is the second word of the stored value while the holder has to wait
-// for orders of the one before it. A life of the same instance that starts
-// within that time has to wait as well.
-const waiting = "waiting"
+// waitingMark is the second word of the stored value while the holder still has to
+// wait out the orders of its predecessor. If the holder restarts within that time, it
+// has to wait as well.
+const waitingMark = "waiting"
 
-// valueOf returns the stored value, HolderOf its instance.
-func valueOf(name string, settled bool) []byte {
-	if settled {
+// encodeValue returns the value to store for a holder. HolderOf parses it.
+func encodeValue(name string, waitOver bool) []byte {
+	if waitOver {
 		return []byte(name)
 	}
-	return []byte(name + " " + waiting)
+	return []byte(name + " " + waitingMark)
 }
 
-// HolderOf returns the instance that a stored value names, and whether it still
-// has to wait.
-func HolderOf(value string) (name string, waits bool) {
+// HolderOf returns the instance named by a stored value, and whether that instance
+// still has to wait before it makes calls.
+func HolderOf(value string) (name string, waiting bool) {
 	name, rest, _ := strings.Cut(value, " ")
-	return name, rest == waiting
+	return name, rest == waitingMark
 }
 
-// Run looks after the right until t dies.
+// Run takes part in the election until t dies.
 func (h *Holder) Run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
-	keep := h.Timer.Every(keepEvery)
-	defer keep.Close()
+	ticker := h.Timer.Every(keepInterval)
+	defer ticker.Close()
 	for {
 		if err := h.Keep(ctx); err != nil {
-			h.Journal.Detail("duty not looked after", log.Fields{
+			h.Journal.Detail("checking or acquiring the duty failed", log.Fields{
 				"error": err.Error(),
 			})
 		}
 		select {
-		case <-keep.C:
+		case <-ticker.C:
 		case <-t.Dying():
 			return nil
 		}
 	}
 }
 
-// Fence returns the fencing token and whether calls may be made now. The token is also
-// the revision of Key.
+// Fence returns the fencing token, which is the revision of Key, and whether this
+// instance may make calls now.
 func (h *Holder) Fence() (uint64, bool) {
-	lease, fresh := h.Presence.Lease(holdTrust)
+	lease, fresh := h.Presence.Lease(maxLeaseAge)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.fence, h.fence != 0 && fresh && lease == h.lease && h.Timer.Now() >= h.begins
+	return h.fence, h.fence != 0 && fresh && lease == h.lease && h.Timer.Now() >= h.callsFrom
 }
 
-// Holds reports whether this instance is the holder, even if it has to wait.
+// Holds reports whether this instance is the holder, even if it still has to wait
+// before it makes calls.
 func (h *Holder) Holds() bool { return h.holds.Load() }
 
-// Keep looks after the right. It is called every keepEvery.
+// Keep acquires the duty if this instance should hold it, and renews it after a change
+// of lease or at the end of the wait. Run calls it every keepInterval.
 func (h *Holder) Keep(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, holdCall)
+	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
 	defer cancel()
-	lease, fresh := h.Presence.Lease(holdTrust)
-	if h.fence != 0 && lease == h.lease && (h.settled || h.Timer.Now() < h.begins) {
+	lease, fresh := h.Presence.Lease(maxLeaseAge)
+	if h.fence != 0 && lease == h.lease && (h.waitOver || h.Timer.Now() < h.callsFrom) {
 		return nil
 	}
 	if !fresh || !h.Presence.Synced() {
 		return nil
 	}
-	if ok, err := h.candidate(ctx); !ok {
+	if ok, err := h.shouldAcquire(ctx); !ok {
 		return err
 	}
 	return h.acquire(ctx, lease)
 }
 
-// candidate reports whether this instance should try for the right: it had it,
-// or it comes first and the holder has been missing long enough. All others
-// don't ask; each try is a priced call.
-func (h *Holder) candidate(ctx context.Context) (bool, error) {
+// shouldAcquire reports whether this instance should try to acquire the duty: it held
+// the duty before, or it is next in line and there is no holder or the holder has been
+// missing for takeoverDelay. Other instances don't try, since each try is a call that
+// is charged for.
+func (h *Holder) shouldAcquire(ctx context.Context) (bool, error) {
 	holder, _ := HolderOf(h.Presence.Duty(Name))
 	if holder == h.Name || h.fence != 0 {
 		return true, nil
 	}
 	if h.Presence.First() != h.Name {
-		h.gone = departure{}
+		h.missing = missingHolder{}
 		return false, nil
 	}
 	if holder == "" {
 		return true, nil
 	}
 	if h.Presence.Present(holder) {
-		h.gone = departure{}
+		h.missing = missingHolder{}
 		return false, nil
 	}
-	if h.gone.holder != holder {
-		if err := h.depart(ctx, holder); err != nil {
+	if h.missing.holder != holder {
+		if err := h.recordMissing(ctx, holder); err != nil {
 			return false, err
 		}
 	}
-	return h.gone.holder == holder && h.Timer.Now().Sub(h.gone.since) >= absence, nil
+	return h.missing.holder == holder && h.Timer.Now().Sub(h.missing.since) >= takeoverDelay, nil
 }
 
-// depart notes that a holder is missing, if the service says so as well: a new
-// holder's wait for orders of the one before begins then, and not seconds later
-// when it takes the right, in which no engine would get the weights of a step.
-func (h *Holder) depart(ctx context.Context, holder string) error {
+// recordMissing records that a holder is missing, if the key-value service confirms it.
+// The wait of the new holder for orders of its predecessor counts from this moment. If
+// it counted from the acquisition seconds later, no engine would get the weights of a
+// step in the meantime.
+func (h *Holder) recordMissing(ctx context.Context, holder string) error {
 	item, err := h.Space.Get(ctx, h.Key)
 	if err != nil {
 		return err
@@ -201,7 +207,7 @@
 	if !errors.Is(err, keyvalue.ErrNotFound) {
 		return err
 	}
-	h.gone = departure{
+	h.missing = missingHolder{
 		holder:   holder,
 		revision: item.Revision,
 		since:    h.Timer.Now(),
@@ -209,89 +215,91 @@
 	return nil
 }
 
-// acquire takes the key if it names nobody, an earlier life of this instance,
-// or an instance that shows no sign of life; or renews it after a new lease or
-// at the end of the wait.
+// acquire writes this instance to the duty's key if the key names nobody, this instance
+// itself (before a restart, under an earlier lease or with the waiting mark), or an
+// instance whose own key is gone.
 func (h *Holder) acquire(ctx context.Context, lease uint64) error {
 	item, err := h.Space.Get(ctx, h.Key)
 	if err != nil && !errors.Is(err, keyvalue.ErrNotFound) {
 		return err
 	}
-	before, waits := HolderOf(string(item.Value))
-	if h.fence != 0 && before != h.Name {
-		// Another instance has the right. This one waits for its absence like
-		// any other before it tries again.
-		h.drop(errTaken)
+	previous, waiting := HolderOf(string(item.Value))
+	if h.fence != 0 && previous != h.Name {
+		// Another instance is the holder. This one tries again only once that
+		// instance is missing, like any other.
+		h.markLost(errTakenOver)
 		return nil
 	}
-	begins := h.wait(before, waits)
-	if h.gone.holder == before && h.gone.revision == item.Revision && h.fence == 0 {
-		begins = max(h.Timer.Now(), h.gone.since.Add(TurnWait))
+	callsFrom := h.firstCallTime(previous, waiting)
+	if h.missing.holder == previous && h.missing.revision == item.Revision && h.fence == 0 {
+		callsFrom = max(h.Timer.Now(), h.missing.since.Add(TurnWait))
 	}
 	if item.Revision == 0 {
-		// The key is never removed: nobody has given an order yet.
-		begins = h.Timer.Now()
+		// The key is never removed, so nobody has held the duty or given an order yet.
+		callsFrom = h.Timer.Now()
 	}
-	settled := h.Timer.Now() >= begins
+	waitOver := h.Timer.Now() >= callsFrom
 	tx := keyvalue.Transaction{
 		Expects: []keyvalue.Expect{
 			{Key: h.Key, Revision: item.Revision},
 		},
 		Writes: []keyvalue.Write{
-			{Key: h.Key, Value: valueOf(h.Name, settled)},
+			{Key: h.Key, Value: encodeValue(h.Name, waitOver)},
 		},
 	}
-	if before != "" && before != h.Name {
+	if previous != "" && previous != h.Name {
 		tx.Expects = append(tx.Expects, keyvalue.Expect{
-			Key: h.Sign(before),
+			Key: h.Sign(previous),
 		})
 	}
 	rev, err := h.Space.Commit(ctx, tx)
 	if errors.Is(err, keyvalue.ErrConflict) {
-		h.drop(err)
+		h.markLost(err)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	h.set(rev, lease, begins)
-	h.settled = settled
+	h.set(rev, lease, callsFrom)
+	h.waitOver = waitOver
 	h.holds.Store(true)
-	h.gone = departure{}
+	h.missing = missingHolder{}
 	h.Journal.Event("duty held", log.Fields{
 		"fencing": rev,
-		"before":  before,
-		"wait_ms": max(0, begins.Sub(h.Timer.Now())).Milliseconds(),
+		"before":  previous,
+		"wait_ms": max(0, callsFrom.Sub(h.Timer.Now())).Milliseconds(),
 	})
 	return nil
 }
 
-func (h *Holder) set(fence, lease uint64, begins timer.Instant) {
+// set stores the values that Fence reads.
+func (h *Holder) set(fence, lease uint64, callsFrom timer.Instant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.fence, h.lease, h.begins = fence, lease, begins
+	h.fence, h.lease, h.callsFrom = fence, lease, callsFrom
 }
 
-// wait returns when calls may begin.
-func (h *Holder) wait(before string, waits bool) timer.Instant {
+// firstCallTime returns the time from which this instance may make calls, given the
+// previous holder and whether that one was still waiting.
+func (h *Holder) firstCallTime(previous string, waiting bool) timer.Instant {
 	now := h.Timer.Now()
 	switch {
-	case before != h.Name:
-		// Since when that one is missing is not known.
+	case previous != h.Name:
+		// It is not known how long the previous holder has been missing.
 		return now.Add(TurnWait)
 	case h.fence != 0:
-		// This very life goes on; what it waits for stays the same.
-		return max(h.begins, now)
-	case waits:
+		// This instance has held the duty since it started: its wait is unchanged.
+		return max(h.callsFrom, now)
+	case waiting:
 		return now.Add(TurnWait)
 	}
 	return now
 }
 
-var errTaken = errors.New("another instance has taken over the duty")
+var errTakenOver = errors.New("another instance has taken over the duty")
 
-// drop forgets a right that another instance took over.
-func (h *Holder) drop(err error) {
+// markLost resets the state after another instance took over the duty.
+func (h *Holder) markLost(err error) {
 	if h.fence != 0 {
 		h.Journal.Trouble("duty lost", err, log.Fields{
 			"fencing": h.fence,
--- a/internal/fleet/duty/holder_test.go
+++ b/internal/fleet/duty/holder_test.go
@@ -16,41 +16,41 @@
 
 const (
 	dutyKey = "duty"
-	// leaseTTL is that of the registry.
+	// leaseTTL is the lease duration of the registry.
 	leaseTTL = 2200 * time.Millisecond
 )
 
-func sign(name string) string { return "instance/" + name }
+func instanceKey(name string) string { return "instance/" + name }
 
-// presence is the view of one instance, kept by hand.
-type presence struct {
+// fakePresence is a Presence whose view the test sets.
+type fakePresence struct {
 	clock   timer.Service
 	lease   uint64
 	renewed timer.Instant
-	duty    string
+	holder  string
 	present map[string]bool
 	first   string
 }
 
 // Lease implements Presence.
-func (p *presence) Lease(within time.Duration) (uint64, bool) {
+func (p *fakePresence) Lease(within time.Duration) (uint64, bool) {
 	return p.lease, p.lease != 0 && p.clock.Now().Sub(p.renewed) < within
 }
 
 // Duty implements Presence.
-func (p *presence) Duty(string) string { return p.duty }
+func (p *fakePresence) Duty(string) string { return p.holder }
 
 // Present implements Presence.
-func (p *presence) Present(name string) bool { return p.present[name] }
+func (p *fakePresence) Present(name string) bool { return p.present[name] }
 
 // First implements Presence.
-func (p *presence) First() string { return p.first }
+func (p *fakePresence) First() string { return p.first }
 
 // Synced implements Presence.
-func (p *presence) Synced() bool { return true }
+func (p *fakePresence) Synced() bool { return true }
 
-func newHolder(clock timer.Service, store *space.Space, name string) (*Holder, *presence) {
-	p := &presence{
+func newHolder(clock timer.Service, store *space.Space, name string) (*Holder, *fakePresence) {
+	p := &fakePresence{
 		clock:   clock,
 		present: map[string]bool{},
 		first:   name,
@@ -60,13 +60,14 @@
 		Presence: p,
 		Timer:    clock,
 		Key:      dutyKey,
-		Sign:     sign,
+		Sign:     instanceKey,
 		Name:     name,
 	}, p
 }
 
-// Guards against a holder that waits for seconds after a loss of power of all instances.
-func TestHolderThatStartsAgainGoesOn(t *testing.T) {
+// Guards against a holder that waits for seconds when it restarts, as after a power loss
+// of all instances.
+func TestRestartedHolderContinuesAtOnce(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	clock := &timer.Manual{}
@@ -79,17 +80,18 @@
 	first, ok := h.Fence()
 	is.True(ok)
 
-	again, p := newHolder(clock, store, "a")
-	p.lease, p.renewed, p.duty, p.first = 2, clock.Now(), "a", "b"
-	is.NoErr(again.Keep(ctx))
-	second, ok := again.Fence()
-	is.True(ok)             // at once
-	is.True(second > first) // engines that check fencing tokens take it
+	restarted, p := newHolder(clock, store, "a")
+	p.lease, p.renewed, p.holder, p.first = 2, clock.Now(), "a", "b"
+	is.NoErr(restarted.Keep(ctx))
+	second, ok := restarted.Fence()
+	is.True(ok)             // without a wait
+	is.True(second > first) // engines that check fencing tokens accept it
 }
 
-// turns drives two instances through pauses, lapses of leases and revocations.
-// Each gives an order whenever it may. hurry leaves out the wait of a new holder.
-func turns(t *rapid.T, hurry bool) {
+// simulateHolders drives two instances through pauses, expired leases and revoked leases. Each
+// gives an order whenever it may; an order less than three seconds after one of the other
+// instance fails the test. skipWait disables the wait of a new holder.
+func simulateHolders(t *rapid.T, skipWait bool) {
 	ctx := context.Background()
 	clock := &timer.Manual{}
 	store := &space.Space{
@@ -97,7 +99,7 @@
 	}
 	type node struct {
 		h     *Holder
-		p     *presence
+		p     *fakePresence
 		pause int
 	}
 	nodes := map[string]*node{}
@@ -108,7 +110,7 @@
 			p: p,
 		}
 	}
-	last := map[string]timer.Instant{}
+	lastOrder := map[string]timer.Instant{}
 	for range rapid.IntRange(10, 200).Draw(t, "steps") {
 		clock.Advance(100 * time.Millisecond)
 		for _, name := range []string{"a", "b"} {
@@ -129,12 +131,12 @@
 					t.Fatal(err)
 				}
 			}
-			n.p.look(ctx, store)
+			n.p.readView(ctx, store)
 			if err := n.h.Keep(ctx); err != nil {
 				t.Fatal(err)
 			}
-			if hurry {
-				n.h.begins = 0
+			if skipWait {
+				n.h.callsFrom = 0
 			}
 			if _, ok := n.h.Fence(); !ok {
 				continue
@@ -143,16 +145,17 @@
 			if name == "a" {
 				other = "b"
 			}
-			if at, ok := last[other]; ok && clock.Now().Sub(at) < 3*time.Second && last[name] < at {
+			if at, ok := lastOrder[other]; ok && clock.Now().Sub(at) < 3*time.Second && lastOrder[name] < at {
 				t.Fatalf("an order of %s %v after one of %s", name, clock.Now().Sub(at), other)
 			}
-			last[name] = clock.Now()
+			lastOrder[name] = clock.Now()
 		}
 	}
 }
 
-// renew keeps the lease and key of an instance, as the registry does.
-func (p *presence) renew(ctx context.Context, store *space.Space, name string) error {
+// renew renews the lease of an instance, or writes its key under a new one, as the
+// registry does.
+func (p *fakePresence) renew(ctx context.Context, store *space.Space, name string) error {
 	if p.lease != 0 && store.KeepAlive(ctx, p.lease) == nil {
 		p.renewed = p.clock.Now()
 		return nil
@@ -164,32 +167,32 @@
 	p.lease, p.renewed = lease, p.clock.Now()
 	_, err = store.Commit(ctx, keyvalue.Transaction{
 		Writes: []keyvalue.Write{
-			{Key: sign(name), Value: []byte(name), Lease: lease},
+			{Key: instanceKey(name), Value: []byte(name), Lease: lease},
 		},
 	})
 	return err
 }
 
-// look reads the view from the service.
-func (p *presence) look(ctx context.Context, store *space.Space) {
+// readView reads the view from the key-value service.
+func (p *fakePresence) readView(ctx context.Context, store *space.Space) {
 	p.present = map[string]bool{}
 	p.first = ""
 	for _, name := range []string{"a", "b"} {
-		if _, err := store.Get(ctx, sign(name)); err == nil {
+		if _, err := store.Get(ctx, instanceKey(name)); err == nil {
 			p.present[name] = true
 			if p.first == "" {
 				p.first = name
 			}
 		}
 	}
-	p.duty = ""
+	p.holder = ""
 	if item, err := store.Get(ctx, dutyKey); err == nil {
-		p.duty = string(item.Value)
+		p.holder = string(item.Value)
 	}
 }
 
-// holding returns a holder "a" that may give orders.
-func holding(is *is.I) (*timer.Manual, *space.Space, *Holder, *presence) {
+// newActiveHolder returns a holder "a" that may give orders.
+func newActiveHolder(is *is.I) (*timer.Manual, *space.Space, *Holder, *fakePresence) {
 	clock := &timer.Manual{}
 	store := &space.Space{
 		Timer: clock,
@@ -200,67 +203,70 @@
 	return clock, store, h, p
 }
 
-// Guards against a new holder that waits for the one before twice.
-func TestNextHolderWaitsFromTheDeparture(t *testing.T) {
+// Guards against a new holder whose wait counts from its acquisition of the duty instead
+// of from the detection that the previous holder is missing.
+func TestSuccessorWaitsFromDetectedAbsence(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	clock, store, _, _ := holding(is)
+	clock, store, _, _ := newActiveHolder(is)
 	b, pb := newHolder(clock, store, "b")
-	const tick = 100 * time.Millisecond
-	for since := time.Duration(0); since < leaseTTL+TurnWait+2*keepEvery; since += tick {
-		clock.Advance(tick)
-		if since%(5*tick) == 0 {
+	const step = 100 * time.Millisecond
+	for since := time.Duration(0); since < leaseTTL+TurnWait+2*keepInterval; since += step {
+		clock.Advance(step)
+		if since%(5*step) == 0 {
 			is.NoErr(pb.renew(ctx, store, "b"))
 		}
-		pb.look(ctx, store)
-		if since%keepEvery != 0 {
+		pb.readView(ctx, store)
+		if since%keepInterval != 0 {
 			continue
 		}
 		is.NoErr(b.Keep(ctx))
 		if _, ok := b.Fence(); ok {
-			is.True(since >= leaseTTL+3*time.Second) // never before the last order of a is old
+			is.True(since >= leaseTTL+3*time.Second) // the last order of a is at least three seconds old
 			return
 		}
 	}
-	t.Fatal("no orders for longer than a lease and a turn")
+	t.Fatal("b gave no orders within a lease duration, TurnWait and two checks")
 }
 
-// Guards against a new holder that counts an absence which the one before has ended.
-func TestDepartureEndsWhenTheHolderComesBack(t *testing.T) {
+// Guards against a new holder that counts its wait from an absence after which the
+// previous holder came back and gave orders again.
+func TestHolderReturnResetsDetectedAbsence(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	clock, store, a, pa := holding(is)
+	clock, store, a, pa := newActiveHolder(is)
 	b, pb := newHolder(clock, store, "b")
 	store.Lapse(pa.lease)
-	clock.Advance(tickOf)
+	clock.Advance(tick)
 	is.NoErr(pb.renew(ctx, store, "b"))
-	pb.look(ctx, store)
-	is.NoErr(b.Keep(ctx)) // b finds a missing
+	pb.readView(ctx, store)
+	is.NoErr(b.Keep(ctx)) // b records that a is missing
 	is.NoErr(pa.renew(ctx, store, "a"))
-	pa.look(ctx, store)
+	pa.readView(ctx, store)
 	is.NoErr(a.Keep(ctx))
 	_, ok := a.Fence()
-	is.True(ok) // a goes on under another lease
+	is.True(ok) // a continues under another lease
 	store.Lapse(pa.lease)
-	clock.Advance(absence)
-	// The view of b has missed that a was back.
+	clock.Advance(takeoverDelay)
+	// b's view has not been read since, so b does not know that a was back.
 	is.NoErr(pb.renew(ctx, store, "b"))
 	is.NoErr(b.Keep(ctx))
-	clock.Advance(TurnWait - absence)
+	clock.Advance(TurnWait - takeoverDelay)
 	is.NoErr(pb.renew(ctx, store, "b"))
 	is.NoErr(b.Keep(ctx))
 	_, ok = b.Fence()
 	is.Equal(ok, false)
 }
 
-const tickOf = 100 * time.Millisecond
+const tick = 100 * time.Millisecond
 
-// Guards against engines that get orders of two holders within three seconds.
-func TestHoldersTakeNoQuickTurns(t *testing.T) {
-	proof.CheckN(t, 200, func(t *rapid.T) { turns(t, false) })
+// Guards against engines that get orders from two holders within three seconds.
+func TestHoldersKeepHandoverWait(t *testing.T) {
+	proof.CheckN(t, 200, func(t *rapid.T) { simulateHolders(t, false) })
 }
 
-// Without the wait two holders meet at an engine.
-func TestHoldersMeetWithoutTheWait(t *testing.T) {
-	proof.Refute(t, func(t *rapid.T) { turns(t, true) })
+// Shows that without the wait of a new holder, engines get orders from two holders within
+// three seconds.
+func TestHoldersOverlapWithoutHandoverWait(t *testing.T) {
+	proof.Refute(t, func(t *rapid.T) { simulateHolders(t, true) })
 }
