--- a/internal/fleet/capacity/decision.go
+++ b/internal/fleet/capacity/decision.go
@@ -6,58 +6,61 @@
 	"slices"
 )
 
-// spare is how many slots there should be for each item of the steps that come again
-// and again: steps overlap, and some engines are slow, loading or lost.
-const spare = 1.25
+// slotsPerItem is the number of slots to provide for each item of the steps that trainers
+// request repeatedly. It is above 1 because steps overlap and some engines are slow,
+// loading weights or lost.
+const slotsPerItem = 1.25
 
-// Group is what is known of the engines of one upstream group.
+// Group describes the engines of one upstream group and the demand for them.
 type Group struct {
-	// Slots is what one engine runs at once.
+	// Slots is the number of items that one engine runs at once.
 	Slots int
-	// Most is the most engines of both kinds together in a failure domain.
+	// Most is the maximum number of engines, lasting and reclaimable, in a failure domain.
 	Most int
-	// Work is how many items may want to run at once.
+	// Work is the number of items that may have to run at once.
 	Work    int
 	Domains []Domain
 }
 
-// Domain is what is known of them in one failure domain.
+// Domain describes the engines of a group in one failure domain.
 type Domain struct {
 	Name string
-	// Price is that of a lasting engine, relative to other domains.
+	// Price is the price of a lasting engine, relative to other domains.
 	Price float64
-	// Lasting and Reclaimable are the engines there that are not leaving.
+	// Lasting and Reclaimable are the numbers of engines of each kind, without
+	// those that are leaving.
 	Lasting     int
 	Reclaimable int
-	// Dry says that no more could be had there a short time ago.
+	// Dry says that the domain recently refused an order for lack of capacity.
 	Dry bool
 }
 
-// Target is how many reclaimable engines a failure domain should have.
+// Target is the number of reclaimable engines that a failure domain should have.
 type Target struct {
 	Domain string
 	Count  int
 }
 
-// Decide returns the targets of all domains, in their order. While there is any work none
-// is given back: it is not this side that chooses which engines go.
+// Decide returns the targets of all domains, in the order of g.Domains. While there is any
+// work, no target is below the present number of engines, because the platform, not the
+// caller, chooses which engines it removes.
 func Decide(g Group) []Target {
 	if g.Slots <= 0 {
 		return nil
 	}
 	targets := make([]Target, len(g.Domains))
-	left := int(math.Ceil(float64(g.Work) * spare / float64(g.Slots)))
+	needed := int(math.Ceil(float64(g.Work) * slotsPerItem / float64(g.Slots)))
 	for i, d := range g.Domains {
 		targets[i].Domain = d.Name
-		left -= d.Lasting
+		needed -= d.Lasting
 		if d.Dry {
-			// What is there stays; an order for more would be refused.
+			// Keep the present engines; an order for more would be refused.
 			targets[i].Count = d.Reclaimable
-			left -= d.Reclaimable
+			needed -= d.Reclaimable
 		}
 	}
-	for ; left > 0; left-- {
-		i := next(g, targets)
+	for ; needed > 0; needed-- {
+		i := nextDomain(g, targets)
 		if i < 0 {
 			break
 		}
@@ -71,19 +74,20 @@
 	return targets
 }
 
-// next returns the domain that gets one more: the one with the fewest, of several the
-// cheapest. One reclaim then takes the least possible share.
-func next(g Group, targets []Target) int {
-	open := make([]int, 0, len(g.Domains))
+// nextDomain returns the index of the domain that gets one more engine, or -1 if none can
+// take one. It is the domain with the lowest target, and the cheapest of those, so that
+// the reclaim of one domain takes the smallest possible share of the engines.
+func nextDomain(g Group, targets []Target) int {
+	available := make([]int, 0, len(g.Domains))
 	for i, d := range g.Domains {
 		if !d.Dry && d.Lasting+targets[i].Count < g.Most {
-			open = append(open, i)
+			available = append(available, i)
 		}
 	}
-	if len(open) == 0 {
+	if len(available) == 0 {
 		return -1
 	}
-	return slices.MinFunc(open, func(a, b int) int {
+	return slices.MinFunc(available, func(a, b int) int {
 		return cmp.Or(cmp.Compare(targets[a].Count, targets[b].Count), cmp.Compare(g.Domains[a].Price, g.Domains[b].Price))
 	})
 }
--- a/internal/fleet/capacity/decision_test.go
+++ b/internal/fleet/capacity/decision_test.go
@@ -14,8 +14,8 @@
 	"github.com/egretbend/egretbend/internal/standin/proof"
 )
 
-// four returns a group with twelve lasting engines in each of four domains.
-func four(work int) Group {
+// fourDomains returns a group with twelve lasting engines in each of four failure domains.
+func fourDomains(work int) Group {
 	g := Group{
 		Slots: 8,
 		Most:  24,
@@ -39,19 +39,20 @@
 	return list
 }
 
-// Guards against long items that wait for a slot when several steps come at once.
-func TestDecideHasSlotsForAllItemsAtOnce(t *testing.T) {
+// Guards against long items that wait for a slot when several steps arrive at once.
+func TestDecideProvidesSlotsForAllItems(t *testing.T) {
 	is := is.New(t)
-	is.Equal(counts(Decide(four(0))), []int{0, 0, 0, 0})
-	is.Equal(counts(Decide(four(300))), []int{0, 0, 0, 0})     // 47 engines
-	is.Equal(counts(Decide(four(568))), []int{10, 11, 10, 10}) // 89 engines
-	is.Equal(counts(Decide(four(5000))), []int{12, 12, 12, 12})
+	is.Equal(counts(Decide(fourDomains(0))), []int{0, 0, 0, 0})
+	is.Equal(counts(Decide(fourDomains(300))), []int{0, 0, 0, 0})     // 47 engines
+	is.Equal(counts(Decide(fourDomains(568))), []int{10, 11, 10, 10}) // 89 engines
+	is.Equal(counts(Decide(fourDomains(5000))), []int{12, 12, 12, 12})
 }
 
-// A failure domain that has none to give is made up for by the others.
-func TestDecideLeavesDryDomains(t *testing.T) {
+// Guards against a shortfall when a failure domain has no capacity: the others have to make
+// up for it.
+func TestDecideSkipsDomainsWithoutCapacity(t *testing.T) {
 	is := is.New(t)
-	g := four(480)
+	g := fourDomains(480)
 	is.Equal(counts(Decide(g)), []int{7, 7, 6, 7})
 	g.Domains[1].Dry = true
 	is.Equal(counts(Decide(g)), []int{9, 0, 9, 9})
@@ -59,8 +60,9 @@
 	is.Equal(counts(Decide(g)), []int{8, 3, 8, 8})
 }
 
-// Guards against engines given back under work, too many in a domain, and too few in all.
-func TestDecideKeepsItsBounds(t *testing.T) {
+// Guards against targets that give engines back while there is work, exceed the maximum of
+// a domain, or provide too few engines in total.
+func TestDecideRespectsBounds(t *testing.T) {
 	proof.Check(t, func(t *rapid.T) {
 		g := Group{
 			Slots: rapid.IntRange(1, 16).Draw(t, "slots"),
@@ -88,13 +90,13 @@
 			engines += d.Lasting + target.Count
 			open = open || !d.Dry && d.Lasting+target.Count < g.Most
 		}
-		if open && float64(engines*g.Slots) < float64(g.Work)*spare {
-			t.Fatalf("%d engines for %d items though more could be had", engines, g.Work)
+		if open && float64(engines*g.Slots) < float64(g.Work)*slotsPerItem {
+			t.Fatalf("%d engines for %d items though domains below their maximum have capacity", engines, g.Work)
 		}
 	})
 }
 
-func TestDemandRemembersTheLargestSteps(t *testing.T) {
+func TestDemandKeepsLargestRecentStep(t *testing.T) {
 	is := is.New(t)
 	var d Demand
 	at := timer.Instant(0).Add(time.Hour)
@@ -109,33 +111,33 @@
 	is.Equal(d.Work(models, at.Add(3*time.Minute)), 0)
 }
 
-// platform takes orders, or refuses them.
-type platform struct {
+// fakePlatform records orders, and refuses those to the domains in err.
+type fakePlatform struct {
 	orders []Order
 	err    map[string]error
 }
 
 // Order implements Platform.
-func (p *platform) Order(_ context.Context, _ uint64, o Order) error {
+func (p *fakePlatform) Order(_ context.Context, _ uint64, o Order) error {
 	p.orders = append(p.orders, o)
 	return p.err[o.Domain]
 }
 
-// holder has a token, or none.
-type holder struct {
+// fakeHolder is a Holder that may give orders while fence is not zero.
+type fakeHolder struct {
 	fence uint64
 }
 
 // Fence implements Holder.
-func (h *holder) Fence() (uint64, bool) { return h.fence, h.fence != 0 }
+func (h *fakeHolder) Fence() (uint64, bool) { return h.fence, h.fence != 0 }
 
-func newOrderer() (*Orderer, *platform, *holder, *timer.Manual) {
+func newOrderer() (*Orderer, *fakePlatform, *fakeHolder, *timer.Manual) {
 	clock := &timer.Manual{}
 	clock.Advance(time.Hour)
-	p := &platform{
+	p := &fakePlatform{
 		err: make(map[string]error),
 	}
-	h := &holder{
+	h := &fakeHolder{
 		fence: 7,
 	}
 	config := &catalog.Holder{}
@@ -161,8 +163,8 @@
 	}, p, h, clock
 }
 
-// pass lets some seconds go by and returns the orders made in them.
-func pass(o *Orderer, p *platform, clock *timer.Manual, seconds int) []Order {
+// reconcileFor calls Reconcile once a second for some seconds and returns the orders made.
+func reconcileFor(o *Orderer, p *fakePlatform, clock *timer.Manual, seconds int) []Order {
 	p.orders = nil
 	for range seconds {
 		clock.Advance(time.Second)
@@ -171,8 +173,8 @@
 	return p.orders
 }
 
-// list says which engines there are.
-func list(o *Orderer, present map[string]int) {
+// setEngines replaces the listed engines by the given numbers in each failure domain.
+func setEngines(o *Orderer, present map[string]int) {
 	var entries []catalog.Listed
 	for domain, n := range present {
 		for i := range n {
@@ -192,72 +194,74 @@
 	o.Book.Update(entries, nil)
 }
 
-func TestOrderer(t *testing.T) {
+func TestOrdererFollowsDemandAndDuty(t *testing.T) {
 	is := is.New(t)
 	o, p, h, clock := newOrderer()
-	is.Equal(len(pass(o, p, clock, 3)), 0) // nobody asks for steps
+	is.Equal(len(reconcileFor(o, p, clock, 3)), 0) // no steps are requested
 	o.Demand.Asked("m", 64, clock.Now())
-	first := pass(o, p, clock, 3)
+	first := reconcileFor(o, p, clock, 3)
 	is.Equal(first, []Order{
 		{Service: "s", Domain: "a", Count: 5, Reclaimable: true},
 		{Service: "s", Domain: "b", Count: 5, Reclaimable: true},
 	})
-	list(o, map[string]int{"a": 5, "b": 5})
-	is.Equal(len(pass(o, p, clock, 20)), 0) // they came
+	setEngines(o, map[string]int{"a": 5, "b": 5})
+	is.Equal(len(reconcileFor(o, p, clock, 20)), 0) // the engines have appeared
 	h.fence = 0
-	is.Equal(len(pass(o, p, clock, 5)), 0)
+	is.Equal(len(reconcileFor(o, p, clock, 5)), 0)
 	h.fence = 8
-	is.Equal(len(pass(o, p, clock, 2)), 2) // a new holder says it once
+	is.Equal(len(reconcileFor(o, p, clock, 2)), 2) // a new holder orders each domain once
 	clock.Advance(2 * time.Minute)
-	is.Equal(pass(o, p, clock, 1)[0].Count, 0) // all trainers rest
+	is.Equal(reconcileFor(o, p, clock, 1)[0].Count, 0) // no trainer requests steps any more
 }
 
-// Guards against a dry failure domain that is asked each second and made up for by none.
-func TestOrdererAfterAReclaim(t *testing.T) {
+// Guards against orders each second to a failure domain without capacity, and against a
+// reclaim that the other domains don't make up for.
+func TestOrdererReplacesReclaimedEngines(t *testing.T) {
 	is := is.New(t)
 	o, p, _, clock := newOrderer()
 	o.Demand.Asked("m", 64, clock.Now())
-	pass(o, p, clock, 1)
-	list(o, map[string]int{"a": 5, "b": 5})
-	pass(o, p, clock, 2)
+	reconcileFor(o, p, clock, 1)
+	setEngines(o, map[string]int{"a": 5, "b": 5})
+	reconcileFor(o, p, clock, 2)
 	p.err["a"] = ErrNone
-	list(o, map[string]int{"b": 5})
-	orders := pass(o, p, clock, 5)
+	setEngines(o, map[string]int{"b": 5})
+	orders := reconcileFor(o, p, clock, 5)
 	is.Equal(orders, []Order{
 		{Service: "s", Domain: "a", Count: 5, Reclaimable: true},
 		{Service: "s", Domain: "b", Count: 10, Reclaimable: true},
 	})
 	delete(p.err, "a")
-	is.True(len(pass(o, p, clock, 10)) > 0) // asked again later
+	is.True(len(reconcileFor(o, p, clock, 10)) > 0) // ordered again after the backoff
 }
 
-// An order without an answer is made again, whether it was taken or not.
-func TestOrdererRepeatsWhatWasLost(t *testing.T) {
+// Guards against lost orders: an order without an answer is sent again, whether it was
+// accepted or not.
+func TestOrdererRetriesUnconfirmedOrders(t *testing.T) {
 	is := is.New(t)
 	o, p, _, clock := newOrderer()
 	o.Demand.Asked("m", 8, clock.Now())
 	p.err["a"] = errors.New("lost")
-	is.Equal(len(pass(o, p, clock, 1)), 2)
-	is.Equal(len(pass(o, p, clock, 1)), 1)
+	is.Equal(len(reconcileFor(o, p, clock, 1)), 2)
+	is.Equal(len(reconcileFor(o, p, clock, 1)), 1)
 	delete(p.err, "a")
-	pass(o, p, clock, 1)
-	is.Equal(len(pass(o, p, clock, 5)), 0)
-	is.Equal(len(pass(o, p, clock, 8)), 2) // no engine came
+	reconcileFor(o, p, clock, 1)
+	is.Equal(len(reconcileFor(o, p, clock, 5)), 0)
+	is.Equal(len(reconcileFor(o, p, clock, 8)), 2) // no engine has appeared
 }
 
-// Guards against engines that are taken back while they boot and ordered anew.
-func TestOrdererKeepsWhatBoots(t *testing.T) {
+// Guards against engines that are given back while they boot and then ordered again.
+func TestOrdererCountsBootingEngines(t *testing.T) {
 	is := is.New(t)
 	o, p, _, clock := newOrderer()
 	o.Demand.Asked("m", 64, clock.Now())
 	p.err["a"] = ErrNone
-	is.Equal(pass(o, p, clock, 2), []Order{
+	is.Equal(reconcileFor(o, p, clock, 2), []Order{
 		{Service: "s", Domain: "a", Count: 5, Reclaimable: true},
 		{Service: "s", Domain: "b", Count: 5, Reclaimable: true},
 		{Service: "s", Domain: "b", Count: 10, Reclaimable: true},
 	})
 	delete(p.err, "a")
-	for _, order := range pass(o, p, clock, 9) {
+	for _, order := range reconcileFor(o, p, clock, 9) {
 		is.True(order.Domain != "b" || order.Count == 10)
 	}
 }
--- a/internal/fleet/capacity/demand.go
+++ b/internal/fleet/capacity/demand.go
@@ -7,29 +7,31 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// remembered is how long a step counts after it was asked for. A trainer that stands
-// still for longer finds its engines given back.
-const remembered = time.Minute
+// stepLifetime is how long a step counts towards the demand after it was requested. The
+// engines of a trainer that pauses for longer are given back.
+const stepLifetime = time.Minute
 
-// Demand remembers the largest steps of late. Its zero value works.
+// Demand keeps the sizes of recently requested steps by model. Its zero value is ready to
+// use.
 type Demand struct {
 	mu    sync.Mutex
 	steps map[string][]step
 }
 
+// step is the size of a requested step and the time of the request.
 type step struct {
 	items int
 	at    timer.Instant
 }
 
-// Asked tells of a step of a model.
+// Asked records that a step of a model was requested.
 func (d *Demand) Asked(model string, items int, now timer.Instant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.steps == nil {
 		d.steps = make(map[string][]step)
 	}
-	// Smaller ones that were asked for earlier never count again.
+	// Earlier steps of the same size or smaller can no longer be the largest one.
 	kept := d.steps[model]
 	for len(kept) > 0 && kept[len(kept)-1].items <= items {
 		kept = kept[:len(kept)-1]
@@ -40,14 +42,15 @@
 	})
 }
 
-// Work returns how many items the largest steps of some models have together.
+// Work returns the total number of items in the largest recent step of each of the
+// models.
 func (d *Demand) Work(models []string, now timer.Instant) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	work := 0
 	for _, m := range models {
 		steps := d.steps[m]
-		for len(steps) > 0 && now.Sub(steps[0].at) > remembered {
+		for len(steps) > 0 && now.Sub(steps[0].at) > stepLifetime {
 			steps = steps[1:]
 		}
 		if len(steps) > 0 {
--- a/internal/fleet/capacity/doc.go
+++ b/internal/fleet/capacity/doc.go
@@ -1,7 +1,8 @@
-// Package capacity decides how many engines there should be in each failure domain, and
-// orders them.
+// Package capacity scales the engine groups: it decides how many engines each failure
+// domain should have, and orders them from the platform.
 //
-// The decision is a function of what is observed:
+// Decide computes the targets from an observed Group. Demand keeps the sizes of recent
+// steps. Orderer observes the groups each second and orders engines to reach the targets:
 //
 //	targets := capacity.Decide(capacity.Group{
 //		Slots: 8,
@@ -14,9 +15,12 @@
 //		}},
 //	})
 //
-// A step brings all its items at once, and its longest item ends it. One that waits for
-// a slot while others run is begun late, so there should be slots for all items of the
-// steps that trainers ask for again and again. The engines beyond the lasting ones, which
-// are the operators' to remove, are of the reclaimable kind: cheap, and taken away with
-// short notice, a whole failure domain at a time. They are spread over all domains.
+// All items of a step arrive at once, and the step ends with its longest item. An item
+// that waits for a slot starts late, so there should be slots for all items of the steps
+// that trainers request repeatedly.
+//
+// Engines are of two kinds. Lasting engines are added and removed by operators.
+// Reclaimable engines (spot capacity) are ordered by this package: they are cheap, but
+// the platform takes them back at short notice, a whole failure domain at a time. They
+// are therefore spread over all domains.
 package capacity
--- a/internal/fleet/capacity/orderer.go
+++ b/internal/fleet/capacity/orderer.go
@@ -16,23 +16,23 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// The times of orders.
+// Intervals and timeouts of orders.
 const (
-	// reconcileEvery is how often the targets are worked out.
-	reconcileEvery = time.Second
-	// orderTimeout bounds one order.
+	// reconcileInterval is the time between two computations of the targets.
+	reconcileInterval = time.Second
+	// orderTimeout is the time limit of one order.
 	orderTimeout = 900 * time.Millisecond
-	// dryFor is how long a failure domain that refused an order gets none.
-	dryFor = 8 * time.Second
-	// bootSlack is how much longer than its usual boot an engine may take before it is
-	// ordered once more.
-	bootSlack = 6 * time.Second
+	// refusalBackoff is how long a failure domain gets no orders after it refused one.
+	refusalBackoff = 8 * time.Second
+	// bootGrace is how much longer than its usual boot time an engine may take before
+	// it is ordered again.
+	bootGrace = 6 * time.Second
 )
 
-// ErrNone means that no engines are to be had in a failure domain at the moment.
-var ErrNone = errors.New("no engines are available there at the moment")
+// ErrNone means that a failure domain has no engines available at the moment.
+var ErrNone = errors.New("the failure domain has no engines available at the moment")
 
-// Order asks for a number of engines of one kind in a failure domain.
+// Order sets the number of engines of one kind in a failure domain.
 type Order struct {
 	Service     string
 	Domain      string
@@ -40,19 +40,21 @@
 	Reclaimable bool
 }
 
-// Platform takes orders. An error other than ErrNone leaves open whether one was taken.
+// Platform accepts orders. After an error other than ErrNone it is unknown whether the
+// order was accepted.
 type Platform interface {
 	Order(ctx context.Context, fence uint64, o Order) error
 }
 
-// Holder tells whether this instance orders.
+// Holder tells whether this instance holds the duty to give orders.
 type Holder interface {
+	// Fence returns the fencing token and whether orders may be given now.
 	Fence() (uint64, bool)
 }
 
-// Orderer orders engines while this instance has the duty. Orders name a whole number of
-// engines, so that a repeat changes nothing, and nothing needs to be written down: a
-// successor works out its own targets and orders them under a higher token.
+// Orderer orders engines while this instance holds the duty. An order states the total
+// number of engines, so repeating it changes nothing. No state has to be stored: the next
+// holder computes its own targets and orders them under a higher fencing token.
 type Orderer struct {
 	Holder   Holder
 	Platform Platform
@@ -63,29 +65,30 @@
 	Journal  *journal.Journal
 
 	fence  uint64
-	states map[place]*state
+	states map[domainKey]*domainState
 }
 
-type place struct{ service, domain string }
-
-// state is what was ordered in a failure domain under the present token.
-type state struct {
-	ordered bool
-	count   int
-	at      timer.Instant
-	// most is the most that were seen since the order.
-	most int
-	dry  timer.Instant
+// domainKey identifies a failure domain of a service.
+type domainKey struct{ service, domain string }
+
+// domainState records the orders to a failure domain under the current fencing token.
+type domainState struct {
+	ordered   bool
+	count     int
+	orderedAt timer.Instant
+	// peak is the largest number of engines seen since the last detected reclaim.
+	peak         int
+	backoffUntil timer.Instant
 }
 
-// Run orders until t dies.
+// Run calls Reconcile every reconcileInterval until t dies.
 func (o *Orderer) Run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
-	tick := o.Timer.Every(reconcileEvery)
-	defer tick.Close()
+	ticker := o.Timer.Every(reconcileInterval)
+	defer ticker.Close()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 			o.Reconcile(ctx)
 		case <-t.Dying():
 			return nil
@@ -93,7 +96,8 @@
 	}
 }
 
-// Reconcile works out the targets and orders what differs.
+// Reconcile computes the targets and sends the orders that are needed to reach them. It
+// does nothing while this instance does not hold the duty.
 func (o *Orderer) Reconcile(ctx context.Context) {
 	fence, ok := o.Holder.Fence()
 	cfg := o.Config.Current()
@@ -103,36 +107,39 @@
 	}
 	if fence != o.fence {
 		o.fence = fence
-		o.states = make(map[place]*state)
+		o.states = make(map[domainKey]*domainState)
 	}
 	for _, name := range slices.Sorted(maps.Keys(cfg.Services)) {
 		if s := cfg.Services[name]; s.Scaling != nil && s.Engine != nil {
-			o.service(ctx, s)
+			o.reconcileService(ctx, s)
 		}
 	}
 }
 
-// service orders for one upstream group.
-func (o *Orderer) service(ctx context.Context, s catalog.Service) {
+// reconcileService sends the orders for one upstream group.
+func (o *Orderer) reconcileService(ctx context.Context, s catalog.Service) {
 	now := o.Timer.Now()
 	group := o.observe(s, now)
 	for i, t := range Decide(group) {
-		st := o.state(s.Name, t.Domain)
-		if st.due(t.Count, group.Domains[i].Reclaimable, s.Scaling.BootTime, now) {
-			o.order(ctx, s.Name, t, group, st)
+		st := o.domainState(s.Name, t.Domain)
+		if st.needsOrder(t.Count, group.Domains[i].Reclaimable, s.Scaling.BootTime, now) {
+			o.sendOrder(ctx, s.Name, t, group, st)
 		}
 	}
 }
 
-func (o *Orderer) state(service, domain string) *state {
-	p := place{service, domain}
-	if o.states[p] == nil {
-		o.states[p] = &state{}
+// domainState returns the state of a failure domain of a service, which it creates if
+// there is none.
+func (o *Orderer) domainState(service, domain string) *domainState {
+	key := domainKey{service, domain}
+	if o.states[key] == nil {
+		o.states[key] = &domainState{}
 	}
-	return o.states[p]
+	return o.states[key]
 }
 
-// observe returns what is known of a group.
+// observe returns the present engines of a group and the demand for them. Booting engines
+// of the last order count as present.
 func (o *Orderer) observe(s catalog.Service, now timer.Instant) Group {
 	domains := make(map[string]*Domain)
 	for name, price := range s.Scaling.Prices {
@@ -158,11 +165,12 @@
 		Work:  o.Demand.Work(s.Engine.Models, now),
 	}
 	for _, d := range domains {
-		st := o.state(s.Name, d.Name)
-		st.saw(d.Reclaimable)
-		d.Dry = now < st.dry
-		if st.ordered && now.Sub(st.at) < s.Scaling.BootTime+bootSlack {
-			// Those that boot count: taken back, they would be ordered again.
+		st := o.domainState(s.Name, d.Name)
+		st.observeCount(d.Reclaimable)
+		d.Dry = now < st.backoffUntil
+		if st.ordered && now.Sub(st.orderedAt) < s.Scaling.BootTime+bootGrace {
+			// Count booting engines: otherwise a lower target would take them
+			// back, and they would be ordered again.
 			d.Reclaimable = max(d.Reclaimable, st.count)
 		}
 		g.Domains = append(g.Domains, *d)
@@ -171,30 +179,32 @@
 	return g
 }
 
-// saw notes how many engines there are. Half of them gone at once were reclaimed, and are
-// ordered again without waiting for their boot time.
-func (s *state) saw(count int) {
-	if s.most > 1 && count <= s.most/2 {
+// observeCount records the present number of engines. If it falls to half of the peak or
+// less, the platform has reclaimed engines, and they are ordered again without waiting for
+// the boot time.
+func (s *domainState) observeCount(count int) {
+	if s.peak > 1 && count <= s.peak/2 {
 		s.ordered = false
-		s.most = 0
+		s.peak = 0
 	}
-	s.most = max(s.most, count)
+	s.peak = max(s.peak, count)
 }
 
-// due reports whether an order is to be made: the target is another one, or the engines
-// of the last order have not come.
-func (s *state) due(target, present int, boot time.Duration, now timer.Instant) bool {
-	if now < s.dry || target == 0 && !s.ordered && present == 0 {
+// needsOrder reports whether to send an order: the target differs from the last order, or
+// the engines of the last order have not appeared in time. During the backoff after a
+// refusal it never does.
+func (s *domainState) needsOrder(target, present int, boot time.Duration, now timer.Instant) bool {
+	if now < s.backoffUntil || target == 0 && !s.ordered && present == 0 {
 		return false
 	}
 	if !s.ordered || target != s.count {
 		return true
 	}
-	return present < target && now.Sub(s.at) > boot+bootSlack
+	return present < target && now.Sub(s.orderedAt) > boot+bootGrace
 }
 
-// order makes one order.
-func (o *Orderer) order(ctx context.Context, service string, t Target, g Group, st *state) {
+// sendOrder sends one order and records its outcome.
+func (o *Orderer) sendOrder(ctx context.Context, service string, t Target, g Group, st *domainState) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	err := o.Platform.Order(ctx, o.fence, Order{
@@ -207,11 +217,11 @@
 	outcome := "ordered"
 	switch {
 	case err == nil:
-		st.ordered, st.count, st.at = true, t.Count, now
+		st.ordered, st.count, st.orderedAt = true, t.Count, now
 	case errors.Is(err, ErrNone):
 		outcome = "none_available"
 		st.ordered = false
-		st.dry = now.Add(dryFor)
+		st.backoffUntil = now.Add(refusalBackoff)
 	default:
 		outcome = "unknown"
 		st.ordered = false
