--- a/internal/fleet/usage/collector.go
+++ b/internal/fleet/usage/collector.go
@@ -6,68 +6,74 @@
 	"github.com/egretbend/egretbend/internal/fleet/peer"
 )
 
-// mostRecords bounds the lives that a collector remembers.
-const mostRecords = 4096
+// maxRecords limits the number of incarnations whose records a collector keeps.
+const maxRecords = 4096
 
-// Collector keeps what the instances of a failure domain counted. Its zero value works.
+// Collector keeps the counts of the instances of a failure domain. Its zero value is ready
+// to use.
 type Collector struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// records holds the records by instance and incarnation, count their number.
 	records map[string]map[string]Record
 	count   int
-	newest  Window
+	// newest is the newest window of all records.
+	newest Window
 }
 
-// Take keeps the record of an instance.
+// Take stores the record of an instance, unless a newer one of the same incarnation is
+// known or the collector is full.
 func (c *Collector) Take(r Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for w := range r.Windows {
 		if w > c.newest {
 			c.newest = w
-			c.clear()
+			c.dropExpiredRecords()
 		}
 	}
 	if c.records == nil {
 		c.records = make(map[string]map[string]Record)
 	}
-	lives := c.records[r.Instance]
-	if lives == nil {
-		lives = make(map[string]Record)
-		c.records[r.Instance] = lives
+	incarnations := c.records[r.Instance]
+	if incarnations == nil {
+		incarnations = make(map[string]Record)
+		c.records[r.Instance] = incarnations
 	}
-	old, known := lives[r.Incarnation]
-	if known && !r.newer(old) || !known && c.count >= mostRecords {
+	old, known := incarnations[r.Incarnation]
+	if known && !r.newer(old) || !known && c.count >= maxRecords {
 		return
 	}
 	if !known {
 		c.count++
 	}
-	lives[r.Incarnation] = r.clone()
+	incarnations[r.Incarnation] = r.clone()
 }
 
-// clear forgets what is too old. The lock is held.
-func (c *Collector) clear() {
-	for instance, lives := range c.records {
-		for life, r := range lives {
-			forget(r.Windows, c.newest)
+// dropExpiredRecords removes windows that are too old, and records that have no windows
+// left. The caller holds c.mu.
+func (c *Collector) dropExpiredRecords() {
+	for instance, incarnations := range c.records {
+		for incarnation, r := range incarnations {
+			dropExpiredWindows(r.Windows, c.newest)
 			if len(r.Windows) == 0 {
-				delete(lives, life)
+				delete(incarnations, incarnation)
 				c.count--
 			}
 		}
-		if len(lives) == 0 {
+		if len(incarnations) == 0 {
 			delete(c.records, instance)
 		}
 	}
 }
 
-// Find returns the records of all lives, with one window each.
+// Find returns the records of all incarnations that have counts of the window w, reduced to
+// that window.
 func (c *Collector) Find(w Window) []Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var found []Record
-	for _, lives := range c.records {
-		for _, r := range lives {
+	for _, incarnations := range c.records {
+		for _, r := range incarnations {
 			if counts, ok := r.Windows[w]; ok {
 				r.Windows = map[Window]Counts{w: counts}
 				found = append(found, r.clone())
@@ -77,29 +83,30 @@
 	return found
 }
 
-// receiver is the name of the calls between instances.
-const receiver = "Usage"
+// rpcService is the service name of the calls between instances.
+const rpcService = "Usage"
 
-// Server answers the calls of other instances.
+// Server handles the calls of other instances.
 type Server struct {
 	collector *Collector
 }
 
-// Register lets other instances store here what they counted, and ask for it.
+// Register registers c with s, so that other instances can store their counts here and
+// query them.
 func (c *Collector) Register(s *peer.Server) error {
-	return s.Register(receiver, &Server{
+	return s.Register(rpcService, &Server{
 		collector: c,
 	})
 }
 
-// Store keeps a record.
-func (s *Server) Store(r *Record, taken *bool) error {
+// Store stores a record in the collector.
+func (s *Server) Store(r *Record, accepted *bool) error {
 	s.collector.Take(*r)
-	*taken = true
+	*accepted = true
 	return nil
 }
 
-// Find answers with what is known of a window.
+// Find answers with the records of a window.
 func (s *Server) Find(w *Window, records *[]Record) error {
 	*records = s.collector.Find(*w)
 	return nil
--- a/internal/fleet/usage/doc.go
+++ b/internal/fleet/usage/doc.go
@@ -1,17 +1,18 @@
-// Package usage counts how many requests of each organisation began to run in each
-// window of time, and reports each window once.
+// Package usage counts how many requests of each organisation began to run in each time
+// window, and reports each window once.
 //
-// An instance counts with its Meter and sends two collectors of its failure domain,
-// each time, all that it counted lately:
+// Each instance counts with a Meter. Its Sender sends all recent counts to two collectors
+// in its failure domain each time:
 //
 //	meter := &usage.Meter{
 //		Length: 5 * time.Second,
 //		Now:    clock.Now,
 //	}
 //	undo := meter.Began("saddlers")
-//	undo() // the upstream says that it did not run it
+//	undo() // the upstream did not run the request
 //
-// So a count outlives its instance, and the one instance that reports asks the
-// collectors only. It writes a report down before it sends it: whoever takes over sends
-// exactly that one again, or goes on with the next window.
+// So the counts survive the loss of an instance, and the one instance that reports, the
+// holder of the duty, asks only the collectors. Its Reporter stores a report before it
+// sends it, so an instance that takes over either sends exactly the same report again or
+// continues with the next window.
 package usage
--- a/internal/fleet/usage/meter.go
+++ b/internal/fleet/usage/meter.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// keptWindows is how many windows a meter and a collector remember: reports of them may
-// be late by an outage of the key-value service.
-const keptWindows = 12
+// retainedWindows is how many windows a meter and a collector keep, since reports may be
+// delayed by an outage of the key-value service.
+const retainedWindows = 12
 
 // Meter counts the requests that begin to run at one instance.
 type Meter struct {
 	Instance    string
 	Incarnation string
-	// Length is that of a window.
+	// Length is the duration of a window.
 	Length time.Duration
-	// Now returns the true time as far as it is known.
+	// Now returns the best known estimate of the time of day.
 	Now func() time.Time
-	// Changed is called after each change; nil is not called.
+	// Changed, if not nil, is called after each change.
 	Changed func()
 
 	mu       sync.Mutex
@@ -25,14 +25,15 @@
 	windows  map[Window]Counts
 }
 
-// Began counts a request that is sent to an upstream now. Undo takes it back: the
-// upstream did not run it.
+// Began counts a request that is being sent to an upstream. The caller calls undo if the
+// upstream did not run the request.
 func (m *Meter) Began(organisation string) (undo func()) {
 	w := WindowAt(m.Now(), m.Length)
 	m.add(organisation, w, 1)
 	return func() { m.add(organisation, w, -1) }
 }
 
+// add adds n to the count of an organisation in the window w.
 func (m *Meter) add(organisation string, w Window, n int) {
 	m.mu.Lock()
 	if m.windows == nil {
@@ -40,7 +41,7 @@
 	}
 	if m.windows[w] == nil {
 		m.windows[w] = make(Counts)
-		forget(m.windows, w)
+		dropExpiredWindows(m.windows, w)
 	}
 	m.windows[w][organisation] += n
 	m.sequence++
@@ -50,7 +51,7 @@
 	}
 }
 
-// Record returns all that was counted lately.
+// Record returns a copy of the counts of the retained windows.
 func (m *Meter) Record() Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -62,10 +63,11 @@
 	}.clone()
 }
 
-// forget removes windows that are too old beside the newest one.
-func forget(windows map[Window]Counts, newest Window) {
+// dropExpiredWindows removes the windows that are retainedWindows or more behind the
+// newest one.
+func dropExpiredWindows(windows map[Window]Counts, newest Window) {
 	for w := range windows {
-		if w <= newest-keptWindows {
+		if w <= newest-retainedWindows {
 			delete(windows, w)
 		}
 	}
--- a/internal/fleet/usage/metrics.go
+++ b/internal/fleet/usage/metrics.go
@@ -2,14 +2,14 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics counts what is reported. A nil one counts nothing.
+// Metrics holds the metrics of reports. A nil Metrics records nothing.
 type Metrics struct {
 	requests *prometheus.CounterVec
 	windows  prometheus.Counter
 	leftOut  prometheus.Counter
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics returns Metrics that are registered with r.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -29,7 +29,8 @@
 	return m
 }
 
-func (m *Metrics) reported(r Report, leftOut int) {
+// recordReport counts a report from which leftOut failure domains are missing.
+func (m *Metrics) recordReport(r Report, leftOut int) {
 	if m == nil {
 		return
 	}
--- a/internal/fleet/usage/proof_test.go
+++ b/internal/fleet/usage/proof_test.go
@@ -21,37 +21,38 @@
 	reporters = 3
 )
 
-// mechanisms are what the proofs switch off, one at a time.
+// mechanisms selects the safeguards that a property test disables.
 type mechanisms struct {
-	record bool // a report is sent without being written down
-	fence  bool // a report is written down by whoever had the duty once
+	store bool // reports are sent without being stored
+	fence bool // reports are stored without a check of the fencing token
 }
 
-// world is instances that take the duty from each other, and a receiver that remembers
-// what it was told.
-type world struct {
-	t     *rapid.T
-	off   mechanisms
-	clock timer.Manual
-	now   time.Time
-	store *space.Space
-	fault space.Fault
-	nodes []*node
-	peers collectorPeers
-	taken map[Window]Counts
+// simulation consists of instances that take over the duty from each other, two collectors,
+// and a receiver that remembers the reports it accepted.
+type simulation struct {
+	t        *rapid.T
+	off      mechanisms
+	clock    timer.Manual
+	now      time.Time
+	store    *space.Space
+	fault    space.Fault
+	nodes    []*node
+	peers    fakePeers
+	accepted map[Window]Counts
 }
 
-// node is an instance; its word of who has the duty may be old.
+// node is an instance. Its knowledge of whether it holds the duty may be outdated.
 type node struct {
-	w        *world
+	sim      *simulation
 	meter    *Meter
 	reporter *Reporter
 	fence    uint64
-	// asleep stops it just before it sends.
-	asleep bool
-	// late is what it sends when it wakes.
-	late []Report
-	lost bool
+	// paused suspends the instance just before it sends a report.
+	paused bool
+	// delayed holds the reports that it sends when it resumes.
+	delayed []Report
+	// answersLost drops the answers of the receiver to this instance.
+	answersLost bool
 }
 
 // Fence implements Holder.
@@ -59,33 +60,34 @@
 
 // Report implements Receiver.
 func (n *node) Report(_ context.Context, _ uint64, r Report) error {
-	if n.asleep {
-		n.late = append(n.late, r)
-		return errors.New("asleep")
+	if n.paused {
+		n.delayed = append(n.delayed, r)
+		return errors.New("instance is paused")
 	}
-	n.w.accept(r)
-	if n.lost {
+	n.sim.accept(r)
+	if n.answersLost {
 		return errors.New("the answer is lost")
 	}
 	return nil
 }
 
-func (w *world) accept(r Report) {
-	if before, ok := w.taken[r.Window]; ok && !maps.Equal(before, r.Counts) {
-		w.t.Fatalf("window %d was reported as %v and as %v", r.Window, before, r.Counts)
+// accept takes a report, and fails the test if an earlier one of the same window differs.
+func (w *simulation) accept(r Report) {
+	if before, ok := w.accepted[r.Window]; ok && !maps.Equal(before, r.Counts) {
+		w.t.Fatalf("window %d was reported first as %v, then as %v", r.Window, before, r.Counts)
 	}
-	w.taken[r.Window] = maps.Clone(r.Counts)
+	w.accepted[r.Window] = maps.Clone(r.Counts)
 }
 
-// careless is a store on which some mechanisms are switched off.
-type careless struct {
+// uncheckedStore is a store on which some safeguards are disabled.
+type uncheckedStore struct {
 	keyvalue.Space
 	off mechanisms
 }
 
 // Commit implements keyvalue.Space.
-func (c careless) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
-	if c.off.record {
+func (c uncheckedStore) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
+	if c.off.store {
 		return 1, nil
 	}
 	if c.off.fence {
@@ -94,15 +96,15 @@
 	return c.Space.Commit(ctx, tx)
 }
 
-func newWorld(t *rapid.T, off mechanisms) *world {
-	w := &world{
-		t:     t,
-		off:   off,
-		now:   time.UnixMilli(1_000_000),
-		taken: make(map[Window]Counts),
-		peers: collectorPeers{
-			down: make(map[string]bool),
-			at:   map[string]*Collector{"x": {}, "y": {}},
+func newSimulation(t *rapid.T, off mechanisms) *simulation {
+	w := &simulation{
+		t:        t,
+		off:      off,
+		now:      time.UnixMilli(1_000_000),
+		accepted: make(map[Window]Counts),
+		peers: fakePeers{
+			down:       make(map[string]bool),
+			collectors: map[string]*Collector{"x": {}, "y": {}},
 		},
 	}
 	w.store = &space.Space{
@@ -111,14 +113,14 @@
 	}
 	for i := range reporters {
 		n := &node{
-			w:     w,
+			sim:   w,
 			meter: newMeter(string(rune('a'+i)), &w.now),
 		}
 		n.reporter = &Reporter{
 			Holder:     n,
 			DutyKey:    dutyKey,
 			Key:        usageKey,
-			Space:      careless{Space: w.store, off: off},
+			Space:      uncheckedStore{Space: w.store, off: off},
 			Meter:      n.meter,
 			Collectors: func() map[string][]string { return map[string][]string{"d": {"x", "y"}} },
 			Peers:      &w.peers,
@@ -127,12 +129,12 @@
 		}
 		w.nodes = append(w.nodes, n)
 	}
-	w.take(w.nodes[0])
+	w.grantDuty(w.nodes[0])
 	return w
 }
 
-// take gives an instance the duty. The one before may not know it yet.
-func (w *world) take(n *node) {
+// grantDuty gives an instance the duty. The previous holder may not know it yet.
+func (w *simulation) grantDuty(n *node) {
 	revision, err := w.store.Commit(context.Background(), keyvalue.Transaction{
 		Writes: []keyvalue.Write{{Key: dutyKey, Value: []byte(n.meter.Instance)}},
 	})
@@ -141,60 +143,66 @@
 	}
 }
 
-// send sends the collectors that answer what an instance counted.
-func (w *world) send(n *node) {
+// sendCounts sends the counts of an instance to the collectors that answer.
+func (w *simulation) sendCounts(n *node) {
 	for _, address := range []string{"x", "y"} {
 		_ = w.peers.Store(context.Background(), address, n.meter.Record())
 	}
 }
 
-func (n *node) wake() {
-	n.asleep = false
-	for _, r := range n.late {
-		n.w.accept(r)
+// resume ends the pause of an instance, which then sends its delayed reports.
+func (n *node) resume() {
+	n.paused = false
+	for _, r := range n.delayed {
+		n.sim.accept(r)
 	}
-	n.late = nil
+	n.delayed = nil
 }
 
-func history(off mechanisms) func(*rapid.T) {
+// simulate returns a property that runs random histories of faults, pauses, takeovers and
+// lost collectors.
+func simulate(off mechanisms) func(*rapid.T) {
 	return func(t *rapid.T) {
-		w := newWorld(t, off)
-		some := func() *node { return w.nodes[rapid.IntRange(0, reporters-1).Draw(t, "instance")] }
+		w := newSimulation(t, off)
+		anyNode := func() *node { return w.nodes[rapid.IntRange(0, reporters-1).Draw(t, "instance")] }
 		faults := []space.Fault{space.None, space.Down, space.LostBefore, space.LostAfter, space.Late}
 		t.Repeat(map[string]func(*rapid.T){
-			"request": func(*rapid.T) { some().meter.Began("saddlers") },
-			"send":    func(*rapid.T) { w.send(some()) },
+			"request": func(*rapid.T) { anyNode().meter.Began("saddlers") },
+			"send":    func(*rapid.T) { w.sendCounts(anyNode()) },
 			"step": func(*rapid.T) {
 				w.fault = rapid.SampledFrom(faults).Draw(t, "fault")
-				_ = some().reporter.Step(context.Background())
+				_ = anyNode().reporter.Step(context.Background())
 				w.fault = space.None
 			},
-			"calm step": func(*rapid.T) { _ = some().reporter.Step(context.Background()) },
+			"calm step": func(*rapid.T) { _ = anyNode().reporter.Step(context.Background()) },
 			"settle":    func(*rapid.T) { w.store.Settle() },
-			"take":      func(*rapid.T) { w.take(some()) },
-			"notice":    func(*rapid.T) { some().fence = 0 },
-			"sleep":     func(*rapid.T) { some().asleep = true },
-			"wake":      func(*rapid.T) { some().wake() },
-			"lose":      func(*rapid.T) { n := some(); n.lost = !n.lost },
+			"take":      func(*rapid.T) { w.grantDuty(anyNode()) },
+			"notice":    func(*rapid.T) { anyNode().fence = 0 },
+			"sleep":     func(*rapid.T) { anyNode().paused = true },
+			"wake":      func(*rapid.T) { anyNode().resume() },
+			"lose":      func(*rapid.T) { n := anyNode(); n.answersLost = !n.answersLost },
 			"silence": func(*rapid.T) {
 				address := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "collector")
 				w.peers.down[address] = !w.peers.down[address]
 			},
-			"replace": func(*rapid.T) { w.peers.at["x"] = &Collector{} },
+			"replace": func(*rapid.T) { w.peers.collectors["x"] = &Collector{} },
 			"wait":    func(*rapid.T) { w.now = w.now.Add(time.Duration(rapid.IntRange(1, 9).Draw(t, "s")) * time.Second) },
 		})
 	}
 }
 
-// Guards against two reports of one window that differ, after suspension, losses and takeovers.
-func TestEachWindowIsReportedOnce(t *testing.T) { proof.Check(t, history(mechanisms{})) }
+// Guards against two different reports of one window after a suspension, lost answers or a
+// takeover.
+func TestEachWindowIsReportedOnce(t *testing.T) { proof.Check(t, simulate(mechanisms{})) }
 
-// Without the record, whoever takes over reports the window once more as it knows it.
-func TestWindowsAreReportedTwiceWithoutTheRecord(t *testing.T) {
-	proof.Refute(t, history(mechanisms{record: true}))
+// Shows that without the stored report, an instance that takes over reports a window again
+// with the counts that it knows.
+func TestReportsDifferWithoutStoredReport(t *testing.T) {
+	proof.Refute(t, simulate(mechanisms{store: true}))
 }
 
-// Without the fencing token, one that lost the duty writes over the report of its successor.
-func TestWindowsAreReportedTwiceWithoutTheFence(t *testing.T) {
-	proof.Refute(t, history(mechanisms{fence: true}))
+// Shows that without the fencing token, an instance that lost the duty overwrites the report
+// of its successor.
+func TestReportsDifferWithoutFencing(t *testing.T) {
+	proof.Refute(t, simulate(mechanisms{fence: true}))
 }
--- a/internal/fleet/usage/reporter.go
+++ b/internal/fleet/usage/reporter.go
@@ -15,47 +15,48 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// The times of reports.
+// Intervals and timeouts of reports.
 const (
-	// reportEvery is how often the reporter looks whether a report is due.
-	reportEvery = 500 * time.Millisecond
-	// settle is how long after the end of a window all that was counted in it has been
-	// sent.
-	settle = 1500 * time.Millisecond
-	// patience is how long after its end a window waits for a failure domain of which
-	// no collector answers.
-	patience = 5 * time.Second
-	// findTimeout bounds the answer of a collector.
+	// reportInterval is the time between two checks whether a report is due.
+	reportInterval = 500 * time.Millisecond
+	// collectDelay is how long after the end of a window all of its counts should have reached
+	// the collectors.
+	collectDelay = 1500 * time.Millisecond
+	// missingDomainWait is how long after the end of a window its report waits for a
+	// failure domain none of whose collectors answers.
+	missingDomainWait = 5 * time.Second
+	// findTimeout is the time limit for the answers of the collectors.
 	findTimeout = 600 * time.Millisecond
-	// storeTimeout bounds one call of the key-value service.
+	// storeTimeout is the time limit of one call to the key-value service.
 	storeTimeout = 900 * time.Millisecond
-	// reportTimeout bounds one report.
+	// reportTimeout is the time limit of sending one report.
 	reportTimeout = 900 * time.Millisecond
 )
 
-// Report is what is told of one window.
+// Report holds the counts of one window.
 type Report struct {
 	Window Window `json:"window"`
 	Counts Counts `json:"counts"`
 }
 
-// Receiver takes reports. An error leaves open whether it took the report; it ignores an
-// exact repeat.
+// Receiver accepts reports. After an error it is unknown whether the report was accepted.
+// A Receiver ignores an exact repeat.
 type Receiver interface {
 	Report(ctx context.Context, fence uint64, r Report) error
 }
 
-// Holder tells whether this instance reports.
+// Holder tells whether this instance holds the duty to report.
 type Holder interface {
 	// Fence returns the fencing token, which is the revision of the duty's key, and
 	// whether calls may be made now.
 	Fence() (uint64, bool)
 }
 
-// Reporter reports each window once while this instance has the duty.
+// Reporter reports each window once while this instance holds the duty.
 type Reporter struct {
 	Holder Holder
-	// DutyKey is where the holder of the duty lies, Key where its reports do.
+	// DutyKey is the key that names the holder of the duty, Key the key of the last
+	// report.
 	DutyKey string
 	Key     string
 	Space   keyvalue.Space
@@ -68,37 +69,38 @@
 	Journal    *journal.Journal
 	Metrics    *Metrics
 
-	// fence is that under which the record was read.
+	// fence is the fencing token under which the stored report was read, zero if it
+	// has to be read again. revision is the revision of Key.
 	fence    uint64
 	revision uint64
-	// last is the newest report that was written down, pending says that it may not
-	// have been taken.
+	// last is the newest stored report. pending says that the receiver may not have
+	// accepted it.
 	last    *Report
 	pending bool
-	// begun is the first window that there is to report.
-	begun Window
+	// firstWindow is the first window to report if there is no stored report.
+	firstWindow Window
 }
 
-// Run reports until t dies.
+// Run calls Step every reportInterval until t dies.
 func (r *Reporter) Run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
-	look := r.Timer.Every(reportEvery)
-	defer look.Close()
+	ticker := r.Timer.Every(reportInterval)
+	defer ticker.Close()
 	for {
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-t.Dying():
 			return nil
 		}
 		if err := r.Step(ctx); err != nil {
 			r.Journal.Trouble("usage not reported", err, log.Fields{
-				"window": r.next(),
+				"window": r.nextWindow(),
 			})
 		}
 	}
 }
 
-// Step does what is due, one window at the most.
+// Step stores and sends the report that is due, if any, of one window at most.
 func (r *Reporter) Step(ctx context.Context) error {
 	fence, ok := r.Holder.Fence()
 	if !ok {
@@ -106,28 +108,28 @@
 		return nil
 	}
 	if fence != r.fence {
-		if err := r.load(ctx, fence); err != nil {
+		if err := r.loadLast(ctx, fence); err != nil {
 			return err
 		}
 	}
 	if r.pending {
-		return r.send(ctx)
+		return r.sendLast(ctx)
 	}
-	w := r.next()
+	w := r.nextWindow()
 	age := r.Meter.Now().Sub(w.End(r.Meter.Length))
-	if age < settle {
+	if age < collectDelay {
 		return nil
 	}
 	counts, missing := r.gather(ctx, w)
-	if len(missing) > 0 && age < patience {
+	if len(missing) > 0 && age < missingDomainWait {
 		return nil
 	}
-	return r.report(ctx, Report{Window: w, Counts: counts}, missing)
+	return r.storeAndSend(ctx, Report{Window: w, Counts: counts}, missing)
 }
 
-// load reads what was reported last, by this instance or another one. Whether that was
-// taken is not known, so it is sent once more.
-func (r *Reporter) load(ctx context.Context, fence uint64) error {
+// loadLast reads the last stored report, from this instance or another one. It is unknown
+// whether the receiver accepted it, so it is sent again.
+func (r *Reporter) loadLast(ctx context.Context, fence uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	item, err := r.Space.Get(ctx, r.Key)
@@ -146,22 +148,23 @@
 	return nil
 }
 
-// next returns the window to report next. What is too old to be remembered anywhere is
-// left out.
-func (r *Reporter) next() Window {
+// nextWindow returns the window to report next. It skips windows that are so old that no
+// collector keeps them any more.
+func (r *Reporter) nextWindow() Window {
 	now := WindowAt(r.Meter.Now(), r.Meter.Length)
-	if r.begun == 0 {
-		r.begun = now
+	if r.firstWindow == 0 {
+		r.firstWindow = now
 	}
-	next := r.begun
+	next := r.firstWindow
 	if r.last != nil {
 		next = r.last.Window + 1
 	}
-	return max(next, now-keptWindows+1)
+	return max(next, now-retainedWindows+1)
 }
 
-// gather sums up a window, and returns the failure domains of which nobody answered. All
-// collectors of a domain are asked: what one missed the other may have.
+// gather returns the total counts of a window and the failure domains none of whose
+// collectors answered. It asks all collectors of a domain, because one may have counts that
+// the other has missed.
 func (r *Reporter) gather(ctx context.Context, w Window) (Counts, []string) {
 	ctx, cancel := context.WithTimeout(ctx, findTimeout)
 	defer cancel()
@@ -199,15 +202,15 @@
 	return Sum(w, records), missing
 }
 
-// report writes a report down and sends it.
-func (r *Reporter) report(ctx context.Context, report Report, missing []string) error {
+// storeAndSend stores a report and sends it.
+func (r *Reporter) storeAndSend(ctx context.Context, report Report, missing []string) error {
 	value, err := json.Marshal(report)
 	if err != nil {
 		return err
 	}
-	call, cancel := context.WithTimeout(ctx, storeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	revision, err := r.Space.Commit(call, keyvalue.Transaction{
+	revision, err := r.Space.Commit(callCtx, keyvalue.Transaction{
 		Expects: []keyvalue.Expect{
 			{Key: r.DutyKey, Revision: r.fence},
 			{Key: r.Key, Revision: r.revision},
@@ -217,13 +220,14 @@
 		},
 	})
 	if err != nil {
-		// Whether it was written, or by whom else, shows when it is read again.
+		// Reading the key again shows whether the report was stored, or another
+		// instance stored one.
 		r.fence = 0
 		return err
 	}
 	r.revision = revision
 	r.last, r.pending = &report, true
-	r.Metrics.reported(report, len(missing))
+	r.Metrics.recordReport(report, len(missing))
 	r.Journal.Decision("report_usage", log.Fields{
 		"window":        report.Window,
 		"requests":      total(report.Counts),
@@ -233,9 +237,10 @@
 		"fencing":       r.fence,
 		"age_ms":        r.Meter.Now().Sub(report.Window.End(r.Meter.Length)).Milliseconds(),
 	})
-	return r.send(ctx)
+	return r.sendLast(ctx)
 }
 
+// total returns the number of requests of all organisations.
 func total(c Counts) int {
 	n := 0
 	for _, k := range c {
@@ -244,8 +249,9 @@
 	return n
 }
 
-// send sends the report that was written down last, if this instance still has the duty.
-func (r *Reporter) send(ctx context.Context) error {
+// sendLast sends the last stored report, if this instance still holds the duty under the
+// same fencing token.
+func (r *Reporter) sendLast(ctx context.Context) error {
 	if fence, ok := r.Holder.Fence(); !ok || fence != r.fence {
 		return nil
 	}
--- a/internal/fleet/usage/sender.go
+++ b/internal/fleet/usage/sender.go
@@ -15,27 +15,28 @@
 	"github.com/egretbend/egretbend/internal/kernel/wake"
 )
 
-// The times of sending.
+// Delays and timeouts of sending.
 const (
-	// gatherTime gathers counts before they are sent. What an instance counted in it
-	// is lost if it loses power.
-	gatherTime = 250 * time.Millisecond
-	// sendTimeout bounds a call to one collector.
+	// batchDelay is how long counts are gathered before they are sent. An instance
+	// that loses power loses the counts of this time.
+	batchDelay = 250 * time.Millisecond
+	// sendTimeout is the time limit of a call to one collector.
 	sendTimeout = 500 * time.Millisecond
-	// againAfter is how soon what was not taken is sent again.
-	againAfter = 500 * time.Millisecond
+	// retryDelay is the delay before counts that a collector did not accept are sent
+	// again.
+	retryDelay = 500 * time.Millisecond
 )
 
-// Peers calls collectors.
+// Peers calls the collectors of other instances.
 type Peers interface {
 	Store(ctx context.Context, address string, r Record) error
 	Find(ctx context.Context, address string, w Window) ([]Record, error)
 }
 
-// Sender sends the collectors what this instance counts.
+// Sender sends the counts of this instance to the collectors.
 type Sender struct {
 	Meter *Meter
-	// Collectors returns the peer addresses of those that keep it.
+	// Collectors returns the peer addresses of the collectors to send to.
 	Collectors func() []string
 	Peers      Peers
 	Timer      timer.Service
@@ -43,43 +44,45 @@
 
 	wake wake.Signal
 	mu   sync.Mutex
-	// acked are the sequences that each collector has.
+	// acked is the sequence number of the last record that each collector accepted,
+	// by address.
 	acked map[string]uint64
 }
 
-// Wake says that there is something to send.
+// Wake makes Run send the counts. It is called after a change.
 func (s *Sender) Wake() { s.wake.Set() }
 
-// Run sends to the collectors until t dies. All that was counted lately is sent once more
-// in each window, as a collector may have been replaced.
+// Run sends counts to the collectors until t dies. Once per window it sends all recent
+// counts again, since a collector may have been replaced.
 func (s *Sender) Run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
-	every := s.Timer.Every(s.Meter.Length)
-	defer every.Close()
+	ticker := s.Timer.Every(s.Meter.Length)
+	defer ticker.Close()
 	for {
 		select {
 		case <-s.wake.C():
-			timer.Wait(s.Timer, gatherTime, t.Dying())
-		case <-every.C:
-			s.forget()
+			timer.Wait(s.Timer, batchDelay, t.Dying())
+		case <-ticker.C:
+			s.resetAcks()
 		case <-t.Dying():
 			return nil
 		}
 		if !s.Send(ctx) {
-			timer.Wait(s.Timer, againAfter, t.Dying())
+			timer.Wait(s.Timer, retryDelay, t.Dying())
 			s.Wake()
 		}
 	}
 }
 
-// forget makes the next record go to all collectors.
-func (s *Sender) forget() {
+// resetAcks makes the next call of Send send to all collectors.
+func (s *Sender) resetAcks() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.acked = nil
 }
 
-// Send sends the collectors what they may not have, and reports whether all have it.
+// Send sends the record of this instance to the collectors that may not have it, and reports
+// whether all of them have it now.
 func (s *Sender) Send(ctx context.Context) bool {
 	r := s.Meter.Record()
 	if len(r.Windows) == 0 {
@@ -102,7 +105,7 @@
 	return !failed.Load()
 }
 
-// send sends a record to a collector unless that has it.
+// send sends a record to one collector, unless the collector has it already.
 func (s *Sender) send(ctx context.Context, address string, r Record) error {
 	s.mu.Lock()
 	acked := s.acked[address]
@@ -124,20 +127,20 @@
 	return nil
 }
 
-// PeerCalls implements Peers.
+// PeerCalls implements Peers by calls to other instances.
 type PeerCalls struct {
 	Client *peer.Client
 }
 
 // Store implements Peers.
 func (p *PeerCalls) Store(ctx context.Context, address string, r Record) error {
-	var taken bool
-	return p.Client.Call(ctx, address, receiver+".Store", &r, &taken)
+	var accepted bool
+	return p.Client.Call(ctx, address, rpcService+".Store", &r, &accepted)
 }
 
 // Find implements Peers.
 func (p *PeerCalls) Find(ctx context.Context, address string, w Window) ([]Record, error) {
 	var records []Record
-	err := p.Client.Call(ctx, address, receiver+".Find", &w, &records)
+	err := p.Client.Call(ctx, address, rpcService+".Find", &w, &records)
 	return records, err
 }
--- a/internal/fleet/usage/usage_test.go
+++ b/internal/fleet/usage/usage_test.go
@@ -13,7 +13,7 @@
 
 const length = 5 * time.Second
 
-// newMeter returns a meter at a moment that can be moved.
+// newMeter returns a meter whose current time is *now.
 func newMeter(instance string, now *time.Time) *Meter {
 	return &Meter{
 		Instance:    instance,
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestWindow(t *testing.T) {
+func TestWindowBounds(t *testing.T) {
 	is := is.New(t)
 	at := time.UnixMilli(12_499)
 	is.Equal(WindowAt(at, length), Window(2))
@@ -31,7 +31,7 @@
 	is.Equal(WindowAt(Window(2).End(length), length), Window(3))
 }
 
-func TestMeterCountsWhatBegins(t *testing.T) {
+func TestMeterCountsStartedRequests(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(14_999)
 	m := newMeter("a", &now)
@@ -40,22 +40,23 @@
 	m.Began("bookbinders")
 	now = time.UnixMilli(15_000)
 	m.Began("saddlers")
-	undo() // an upstream refused it, after the window had ended
+	undo() // an upstream refused the request after its window had ended
 	records := []Record{m.Record()}
 	is.Equal(Sum(2, records), Counts{"saddlers": 1, "bookbinders": 1})
 	is.Equal(Sum(3, records), Counts{"saddlers": 1})
-	now = now.Add(keptWindows * length)
+	now = now.Add(retainedWindows * length)
 	m.Began("saddlers")
-	is.Equal(len(m.Record().Windows), 1) // the others are forgotten
+	is.Equal(len(m.Record().Windows), 1) // the expired windows are dropped
 }
 
-// Guards against requests counted once a collector, or lost with the first life of an instance.
-func TestSumCountsEachLifeOnce(t *testing.T) {
+// Guards against requests that are counted once per collector, or lost with an earlier
+// incarnation of an instance.
+func TestSumCountsEachIncarnationOnce(t *testing.T) {
 	is := is.New(t)
-	record := func(life string, sequence uint64, n int) Record {
+	record := func(incarnation string, sequence uint64, n int) Record {
 		return Record{
 			Instance:    "a",
-			Incarnation: life,
+			Incarnation: incarnation,
 			Sequence:    sequence,
 			Windows:     map[Window]Counts{2: {"saddlers": n, "bookbinders": 0}},
 		}
@@ -63,7 +64,7 @@
 	is.Equal(Sum(2, []Record{record("1", 4, 4), record("1", 3, 3), record("2", 1, 1)}), Counts{"saddlers": 5})
 }
 
-func TestCollectorKeepsTheNewest(t *testing.T) {
+func TestCollectorKeepsNewestRecord(t *testing.T) {
 	is := is.New(t)
 	var c Collector
 	now := time.UnixMilli(12_000)
@@ -72,49 +73,50 @@
 	old := m.Record()
 	m.Began("saddlers")
 	c.Take(m.Record())
-	c.Take(old) // it came late
+	c.Take(old) // a delayed record
 	is.Equal(Sum(2, c.Find(2)), Counts{"saddlers": 2})
 	is.Equal(len(c.Find(3)), 0)
 	other := newMeter("b", &now)
-	now = now.Add(2 * keptWindows * length)
+	now = now.Add(2 * retainedWindows * length)
 	other.Began("saddlers")
 	c.Take(other.Record())
 	is.Equal(len(c.Find(2)), 0)
-	is.Equal(c.count, 1) // nothing is kept of what has no windows left
+	is.Equal(c.count, 1) // records without windows are dropped
 }
 
-// collectorPeers is a set of collectors, some of which don't answer.
-type collectorPeers struct {
-	down   map[string]bool
-	at     map[string]*Collector
-	stored int
+// fakePeers is a set of collectors by address. Those in down don't answer.
+type fakePeers struct {
+	down       map[string]bool
+	collectors map[string]*Collector
+	stored     int
 }
 
 // Store implements Peers.
-func (p *collectorPeers) Store(_ context.Context, address string, r Record) error {
+func (p *fakePeers) Store(_ context.Context, address string, r Record) error {
 	if p.down[address] {
 		return errors.New("no answer")
 	}
 	p.stored++
-	p.at[address].Take(r)
+	p.collectors[address].Take(r)
 	return nil
 }
 
 // Find implements Peers.
-func (p *collectorPeers) Find(_ context.Context, address string, w Window) ([]Record, error) {
+func (p *fakePeers) Find(_ context.Context, address string, w Window) ([]Record, error) {
 	if p.down[address] {
 		return nil, errors.New("no answer")
 	}
-	return p.at[address].Find(w), nil
+	return p.collectors[address].Find(w), nil
 }
 
-// Guards against counts that are lost with a collector that comes back empty.
-func TestSenderSendsAgain(t *testing.T) {
+// Guards against counts that are lost when a collector restarts without its records, or does
+// not answer.
+func TestSenderResendsCounts(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(12_000)
-	peers := &collectorPeers{
-		down: map[string]bool{},
-		at:   map[string]*Collector{"x": {}, "y": {}},
+	peers := &fakePeers{
+		down:       map[string]bool{},
+		collectors: map[string]*Collector{"x": {}, "y": {}},
 	}
 	s := &Sender{
 		Meter:      newMeter("a", &now),
@@ -128,9 +130,9 @@
 	peers.down["x"] = false
 	is.True(s.Send(context.Background()))
 	is.True(s.Send(context.Background()))
-	is.Equal(peers.stored, 1) // nothing is new
-	peers.at["x"] = &Collector{}
-	s.forget()
+	is.Equal(peers.stored, 1) // nothing to send again
+	peers.collectors["x"] = &Collector{}
+	s.resetAcks()
 	is.True(s.Send(context.Background()))
-	is.Equal(Sum(2, peers.at["x"].Find(2)), Counts{"saddlers": 1})
+	is.Equal(Sum(2, peers.collectors["x"].Find(2)), Counts{"saddlers": 1})
 }
--- a/internal/fleet/usage/window.go
+++ b/internal/fleet/usage/window.go
@@ -5,35 +5,37 @@
 	"time"
 )
 
-// Window is the number of a window since the start of 1970.
+// Window is the number of a time window, counted from the Unix epoch (the start of 1970).
 type Window int64
 
-// Counts are the requests of each organisation.
+// Counts is the number of requests of each organisation.
 type Counts map[string]int
 
-// WindowAt returns the window of some length that a moment lies in.
+// WindowAt returns the window that contains a time, for windows of the given length.
 func WindowAt(at time.Time, length time.Duration) Window {
 	return Window(at.UnixMilli() / length.Milliseconds())
 }
 
-// End returns the moment at which a window ends.
+// End returns the time at which w ends, for windows of the given length.
 func (w Window) End(length time.Duration) time.Time {
 	return time.UnixMilli((int64(w) + 1) * length.Milliseconds())
 }
 
-// Record is all that one life of an instance counted lately.
+// Record holds the recent counts of one incarnation of an instance, which is the time
+// between a start of its process and the end of it.
 type Record struct {
 	Instance    string
 	Incarnation string
-	// Sequence grows with each change.
+	// Sequence increases with each change.
 	Sequence uint64
 	Windows  map[Window]Counts
 }
 
-// newer reports whether r says more than other of the same life.
+// newer reports whether r is at least as recent as other, a record of the same
+// incarnation.
 func (r Record) newer(other Record) bool { return r.Sequence >= other.Sequence }
 
-// clone returns a copy that shares nothing.
+// clone returns a deep copy.
 func (r Record) clone() Record {
 	windows := make(map[Window]Counts, len(r.Windows))
 	for w, c := range r.Windows {
@@ -43,15 +45,15 @@
 	return r
 }
 
-// Sum returns the counts of a window over all records. Of each life the newest record
-// counts, whichever collector it came from.
+// Sum returns the total counts of a window over all records. Only the newest record of each
+// incarnation counts, whichever collector it came from.
 func Sum(w Window, records []Record) Counts {
-	type life struct{ instance, incarnation string }
-	newest := make(map[life]Record)
+	type incarnationKey struct{ instance, incarnation string }
+	newest := make(map[incarnationKey]Record)
 	for _, r := range records {
-		l := life{r.Instance, r.Incarnation}
-		if old, ok := newest[l]; !ok || r.newer(old) {
-			newest[l] = r
+		key := incarnationKey{r.Instance, r.Incarnation}
+		if old, ok := newest[key]; !ok || r.newer(old) {
+			newest[key] = r
 		}
 	}
 	sum := make(Counts)
