--- a/internal/fleet/weights/assign.go
+++ b/internal/fleet/weights/assign.go
@@ -5,31 +5,33 @@
 	"sort"
 )
 
-// equalPart is the part of the engines that models share alike; the rest goes by
-// the work of their steps. A step with little work has long items as well, and a
-// trainer whose steps are small now may have large ones next.
-const equalPart = 0.5
+// equalFraction is the fraction of the engines that is divided equally among the models.
+// The rest is divided in proportion to the work of their steps. The equal part is needed
+// because a step with little work has long items as well, and a trainer with small steps
+// may request large ones next.
+const equalFraction = 0.5
 
-// Demand is the work of a step of each model, in tokens, as far as is known.
+// Demand holds the smoothed work of a step of each model, in tokens. Models without a known
+// step are absent.
 type Demand map[string]float64
 
-// with returns the demand after one more step, smoothed: with each change of the
-// shares engines load weights that others have.
-func (d Demand) with(model string, tokens float64) Demand {
-	const weight = 0.2
-	next := make(Demand, len(d)+1)
+// withStep returns the demand after one more step. It smooths the work, because each change
+// of the shares makes engines load weights that other engines already have.
+func (d Demand) withStep(model string, tokens float64) Demand {
+	const smoothing = 0.2
+	updated := make(Demand, len(d)+1)
 	for m, t := range d {
-		next[m] = t
+		updated[m] = t
 	}
-	if old, ok := next[model]; ok {
-		tokens = old + weight*(tokens-old)
+	if old, ok := updated[model]; ok {
+		tokens = old + smoothing*(tokens-old)
 	}
-	next[model] = tokens
-	return next
+	updated[model] = tokens
+	return updated
 }
 
-// shares returns the part of the engines that each model gets. Where the work of
-// any model is not known all share alike.
+// shares returns the fraction of the engines for each model. The fractions are equal if
+// the work of any model is unknown.
 func (d Demand) shares(models []string) map[string]float64 {
 	total := 0.0
 	for _, m := range models {
@@ -43,96 +45,105 @@
 	for _, m := range models {
 		shares[m] = 1 / float64(len(models))
 		if total > 0 {
-			shares[m] = equalPart*shares[m] + (1-equalPart)*d[m]/total
+			shares[m] = equalFraction*shares[m] + (1-equalFraction)*d[m]/total
 		}
 	}
 	return shares
 }
 
-// division is engines being divided among models.
-type division struct {
+// assigner holds the state of Assign.
+type assigner struct {
 	models []string
 	shares map[string]float64
 	total  int
-	sets   map[string]string
-	size   map[string]int
+	// modelOf holds the model of each engine, by engine ID.
+	modelOf map[string]string
+	// sizes holds the number of engines assigned to each model.
+	sizes map[string]int
 }
 
-// Assign divides engines among models. An engine stays with the model of which
-// it has fresh weights, as long as no set gets more than its share; the others
-// fill the smallest sets. A set that lost its engines gets some of the largest.
-func Assign(engines []Engine, models []string, named map[string]uint64, demand Demand) map[string]string {
-	d := &division{
-		models: models,
-		shares: demand.shares(models),
-		total:  len(engines),
-		sets:   make(map[string]string, len(engines)),
-		size:   make(map[string]int, len(models)),
+// Assign divides engines among models and returns the model of each engine, by engine ID.
+// An engine stays with the model whose weights it has closest to the latest version,
+// unless the set of that model exceeds its share. The remaining engines go to the sets
+// that are filled least relative to their shares. A set that is below its share, as after
+// the loss of its engines, gets engines from the set that is filled most.
+func Assign(engines []Engine, models []string, latest map[string]uint64, demand Demand) map[string]string {
+	d := &assigner{
+		models:  models,
+		shares:  demand.shares(models),
+		total:   len(engines),
+		modelOf: make(map[string]string, len(engines)),
+		sizes:   make(map[string]int, len(models)),
 	}
 	if len(models) == 0 {
-		return d.sets
+		return d.modelOf
 	}
 	sorted := append([]Engine(nil), engines...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].ID < sorted[j].ID })
 	for _, e := range sorted {
-		if model := home(e, models, named); model != "" && d.size[model] < d.most(model) {
-			d.put(e, model)
+		if model := closestModel(e, models, latest); model != "" && d.sizes[model] < d.maxSize(model) {
+			d.assign(e, model)
 		}
 	}
 	for _, e := range sorted {
-		if d.sets[e.ID] == "" {
-			d.put(e, d.emptiest())
+		if d.modelOf[e.ID] == "" {
+			d.assign(e, d.leastFilled())
 		}
 	}
 	for {
-		to, from := d.emptiest(), d.fullest()
-		if d.size[to] >= d.least(to) || d.size[from] <= d.least(from) {
-			return d.sets
+		to, from := d.leastFilled(), d.mostFilled()
+		if d.sizes[to] >= d.minSize(to) || d.sizes[from] <= d.minSize(from) {
+			return d.modelOf
 		}
 		for _, e := range sorted {
-			if d.sets[e.ID] == from {
-				d.size[from]--
-				d.put(e, to)
+			if d.modelOf[e.ID] == from {
+				d.sizes[from]--
+				d.assign(e, to)
 				break
 			}
 		}
 	}
 }
 
-func (d *division) put(e Engine, model string) {
-	d.sets[e.ID] = model
-	d.size[model]++
+// assign adds an engine to a model's set.
+func (d *assigner) assign(e Engine, model string) {
+	d.modelOf[e.ID] = model
+	d.sizes[model]++
 }
 
-// most and least are the bounds of a model's set.
-func (d *division) most(model string) int {
-	return int(math.Ceil(d.shares[model]*float64(d.total) - rounding))
+// maxSize returns the share of a model in engines, rounded up.
+func (d *assigner) maxSize(model string) int {
+	return int(math.Ceil(d.shares[model]*float64(d.total) - roundingTolerance))
 }
 
-func (d *division) least(model string) int {
-	return max(1, int(d.shares[model]*float64(d.total)+rounding))
+// minSize returns the share of a model in engines, rounded down, but at least 1.
+func (d *assigner) minSize(model string) int {
+	return max(1, int(d.shares[model]*float64(d.total)+roundingTolerance))
 }
 
-// rounding keeps a third of nine at three.
-const rounding = 1e-9
+// roundingTolerance compensates for floating-point errors, so that a third of nine engines
+// is three.
+const roundingTolerance = 1e-9
 
-// use is how full a model's set is against its share.
-func (d *division) use(model string) float64 { return float64(d.size[model]) / d.shares[model] }
+// fillRatio returns the size of a model's set relative to the model's share.
+func (d *assigner) fillRatio(model string) float64 { return float64(d.sizes[model]) / d.shares[model] }
 
-func (d *division) emptiest() string {
+// leastFilled returns the model with the lowest fillRatio.
+func (d *assigner) leastFilled() string {
 	best := d.models[0]
 	for _, m := range d.models[1:] {
-		if d.use(m) < d.use(best)-rounding {
+		if d.fillRatio(m) < d.fillRatio(best)-roundingTolerance {
 			best = m
 		}
 	}
 	return best
 }
 
-func (d *division) fullest() string {
+// mostFilled returns the model with the highest fillRatio.
+func (d *assigner) mostFilled() string {
 	best := d.models[0]
 	for _, m := range d.models[1:] {
-		if d.use(m) > d.use(best)+rounding {
+		if d.fillRatio(m) > d.fillRatio(best)+roundingTolerance {
 			best = m
 		}
 	}
--- a/internal/fleet/weights/assignment.go
+++ b/internal/fleet/weights/assignment.go
@@ -8,39 +8,41 @@
 )
 
 const (
-	// workLasts is how long after a step was asked for its model counts as at
-	// work: its trainer asks for the next one within that time.
-	workLasts = 10 * time.Second
-	// divideEvery is how long a division of the engines is used.
-	divideEvery = 100 * time.Millisecond
+	// activeWindow is how long a model counts as active after a step of it was
+	// requested. A running trainer requests the next step within that time.
+	activeWindow = 10 * time.Second
+	// assignmentTTL is how long a cached assignment is used.
+	assignmentTTL = 100 * time.Millisecond
 )
 
-// divided is a division of the engines of one service.
-type divided struct {
-	at   timer.Instant
-	sure bool
-	sets map[string]string
+// cachedAssignment is the assignment of the engines of one service to models.
+type cachedAssignment struct {
+	computedAt timer.Instant
+	// complete is the argument of Sets.
+	complete bool
+	// modelOf holds the model of each engine, by engine ID.
+	modelOf map[string]string
 }
 
-// Asked tells of a step and its work in tokens.
+// Asked records that a step of a model was requested, and its work in tokens.
 func (o *Orderer) Asked(model string, tokens int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.demand = o.demand.with(model, float64(tokens))
-	if o.asked == nil {
-		o.asked = make(map[string]timer.Instant)
+	o.demand = o.demand.withStep(model, float64(tokens))
+	if o.stepRequestedAt == nil {
+		o.stepRequestedAt = make(map[string]timer.Instant)
 	}
-	o.asked[model] = o.Timer.Now()
+	o.stepRequestedAt[model] = o.Timer.Now()
 }
 
-// Sets returns the model that each engine of a service is for while several
-// models are at work, by the engine's id. It is nil while one model alone is, and
-// its engines are for all. The division is a function of the list of engines and of
-// the steps that were asked for, so that all instances come to nearly the same one
-// without asking each other. sure says that the news of all steps has come by now;
-// without it all configured models count as at work, since steps of several trainers
+// Sets returns the model to which each engine of a service is assigned, by engine ID,
+// while several models are active. While at most one model is active it returns nil,
+// and all engines serve all models. The assignment depends only on the list of engines
+// and the requested steps, so all instances compute nearly the same one without
+// communication. complete says that all requested steps are known by now; if it is
+// false, all configured models count as active, because steps of several trainers may
 // begin at the same moment.
-func (o *Orderer) Sets(service string, sure bool) map[string]string {
+func (o *Orderer) Sets(service string, complete bool) map[string]string {
 	cfg := o.Config.Current()
 	if cfg == nil || cfg.Services[service].Engine == nil {
 		return nil
@@ -48,46 +50,47 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.Timer.Now()
-	if d, ok := o.divided[service]; ok && d.sure == sure && now.Sub(d.at) < divideEvery {
-		return d.sets
+	if d, ok := o.assignments[service]; ok && d.complete == complete && now.Sub(d.computedAt) < assignmentTTL {
+		return d.modelOf
 	}
 	models := cfg.Services[service].Engine.Models
-	if sure {
-		models = o.atWork(models, now)
+	if complete {
+		models = o.activeModels(models, now)
 	}
-	d := divided{
-		at:   now,
-		sure: sure,
+	d := cachedAssignment{
+		computedAt: now,
+		complete:   complete,
 	}
 	if len(models) > 1 {
-		d.sets = o.divide(service, models)
+		d.modelOf = o.assign(service, models)
 	}
-	if o.divided == nil {
-		o.divided = make(map[string]divided)
+	if o.assignments == nil {
+		o.assignments = make(map[string]cachedAssignment)
 	}
-	o.divided[service] = d
-	return d.sets
+	o.assignments[service] = d
+	return d.modelOf
 }
 
-// atWork returns the models whose steps were asked for lately. The lock is held.
-func (o *Orderer) atWork(models []string, now timer.Instant) []string {
-	var list []string
+// activeModels returns the models with a step requested within activeWindow. The caller
+// holds o.mu.
+func (o *Orderer) activeModels(models []string, now timer.Instant) []string {
+	var active []string
 	for _, m := range models {
-		if at, ok := o.asked[m]; ok && now.Sub(at) < workLasts {
-			list = append(list, m)
+		if at, ok := o.stepRequestedAt[m]; ok && now.Sub(at) < activeWindow {
+			active = append(active, m)
 		}
 	}
-	return list
+	return active
 }
 
-// divide assigns the listed engines to models. The lock is held.
-func (o *Orderer) divide(service string, models []string) map[string]string {
+// assign assigns the listed engines to models. The caller holds o.mu.
+func (o *Orderer) assign(service string, models []string) map[string]string {
 	var engines []Engine
-	// Versions that were named are followed where orders are given; everywhere
-	// else the newest ones that engines have stand in for them.
-	named := maps.Clone(o.named)
-	if named == nil {
-		named = make(map[string]uint64)
+	// Only the instance that gives orders tracks the published versions. Others use
+	// the newest versions that engines have instead.
+	latest := maps.Clone(o.latest)
+	if latest == nil {
+		latest = make(map[string]uint64)
 	}
 	for _, u := range o.Book.Group(service).Upstreams {
 		if u.Leaving() {
@@ -95,12 +98,12 @@
 		}
 		versions := u.Listed().Versions
 		for _, m := range models {
-			named[m] = max(named[m], versions[m])
+			latest[m] = max(latest[m], versions[m])
 		}
 		engines = append(engines, Engine{
 			ID:       u.ID,
 			Versions: versions,
 		})
 	}
-	return Assign(engines, models, named, o.demand)
+	return Assign(engines, models, latest, o.demand)
 }
--- a/internal/fleet/weights/assignment_test.go
+++ b/internal/fleet/weights/assignment_test.go
@@ -11,8 +11,8 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// dividing returns an orderer that sees 50 engines of three models.
-func dividing() (*Orderer, *timer.Manual) {
+// newTestOrderer returns an Orderer for a service with 50 engines and three models.
+func newTestOrderer() (*Orderer, *timer.Manual) {
 	clock := &timer.Manual{}
 	clock.Advance(time.Hour)
 	o := &Orderer{
@@ -41,43 +41,45 @@
 	return o, clock
 }
 
-func sizes(sets map[string]string) map[string]int {
-	n := make(map[string]int)
-	for _, model := range sets {
-		n[model]++
+// setSizes returns the number of engines assigned to each model.
+func setSizes(assignment map[string]string) map[string]int {
+	sizes := make(map[string]int)
+	for _, model := range assignment {
+		sizes[model]++
 	}
-	return n
+	return sizes
 }
 
-// Guards against homes that begin their first steps at the same moment at all engines.
-func TestHomesDivideTheEnginesBeforeTheyHearOfEachOther(t *testing.T) {
+// Guards against instances that each use all engines for the first step of their own trainer
+// when these steps begin at the same moment.
+func TestInstancesAgreeOnAssignmentWithoutExchange(t *testing.T) {
 	is := is.New(t)
-	homes := make([]map[string]string, 3)
-	for i := range homes {
-		o, _ := dividing()
-		o.Asked(fmt.Sprintf("m%d", i), 1000) // each knows of its own step alone
-		homes[i] = o.Sets("s", false)
+	assignments := make([]map[string]string, 3)
+	for i := range assignments {
+		o, _ := newTestOrderer()
+		o.Asked(fmt.Sprintf("m%d", i), 1000) // each instance knows only of its own step
+		assignments[i] = o.Sets("s", false)
 	}
-	is.Equal(sizes(homes[0])["m0"]+sizes(homes[0])["m1"]+sizes(homes[0])["m2"], 50)
-	for i := range homes {
-		is.Equal(homes[i], homes[0]) // all come to the same division
+	is.Equal(setSizes(assignments[0])["m0"]+setSizes(assignments[0])["m1"]+setSizes(assignments[0])["m2"], 50)
+	for i := range assignments {
+		is.Equal(assignments[i], assignments[0]) // all compute the same assignment
 	}
 }
 
-// Guards against engines that are kept for models that nobody trains.
-func TestIdleModelsLeaveTheirEngines(t *testing.T) {
+// Guards against engines that stay assigned to models whose trainers have stopped.
+func TestIdleModelsReleaseEngines(t *testing.T) {
 	is := is.New(t)
-	o, clock := dividing()
+	o, clock := newTestOrderer()
 	is.Equal(len(o.Sets("s", true)), 0)
 	o.Asked("m0", 1000)
-	clock.Advance(divideEvery)
+	clock.Advance(assignmentTTL)
 	is.Equal(len(o.Sets("s", true)), 0)
 	o.Asked("m1", 3000)
-	clock.Advance(divideEvery)
-	got := sizes(o.Sets("s", true))
-	is.Equal(got["m2"], 0)
-	is.True(got["m1"] > got["m0"]) // half of the engines go by the work
-	clock.Advance(workLasts)
+	clock.Advance(assignmentTTL)
+	sizes := setSizes(o.Sets("s", true))
+	is.Equal(sizes["m2"], 0)
+	is.True(sizes["m1"] > sizes["m0"]) // half of the engines are divided by work
+	clock.Advance(activeWindow)
 	is.Equal(len(o.Sets("s", true)), 0)
 	is.Equal(len(o.Sets("other", true)), 0)
 }
--- a/internal/fleet/weights/orderer.go
+++ b/internal/fleet/weights/orderer.go
@@ -16,84 +16,91 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// The times of orders.
+// Intervals and timeouts of orders.
 const (
-	// lookEvery is how often an instance looks whether it has the right to give orders.
-	lookEvery = 600 * time.Millisecond
-	// planEvery is how often a plan is made while orders are under way.
-	planEvery = 200 * time.Millisecond
-	// orderTimeout bounds the answer to an order; a good engine answers within
-	// a few milliseconds.
+	// dutyCheckInterval is the time between two checks whether this instance holds
+	// the duty to give orders.
+	dutyCheckInterval = 600 * time.Millisecond
+	// planInterval is the time between two plans of the holder.
+	planInterval = 200 * time.Millisecond
+	// orderTimeout is the time limit for the answer to an order; a healthy engine
+	// answers within a few milliseconds.
 	orderTimeout = 600 * time.Millisecond
-	// loadTimeout is how long an accepted load may take before the engine is
-	// asked again: a load takes about a second, some more when several run.
+	// loadTimeout is how long an accepted load may take before the engine gets
+	// another order. A load takes about a second, or more when several run.
 	loadTimeout = 6 * time.Second
-	// lostTimeout is how long to wait for the effect of an order without an
-	// answer. The same count of orders goes with the second one, so only one
-	// of them can be carried out.
-	lostTimeout = 1500 * time.Millisecond
-	// placeTime is how long after a version was named the items of its step are
-	// being placed. Streams that run go on while their engine loads.
-	placeTime = 500 * time.Millisecond
-	// refusedPause is the pause after a refused order.
-	refusedPause = 500 * time.Millisecond
+	// noAnswerTimeout is how long to wait for the effect of an order without an
+	// answer before it is sent again. Both carry the same order count, so the
+	// engine carries out only one of them.
+	noAnswerTimeout = 1500 * time.Millisecond
+	// placementTime is how long after a version was published the items of its step
+	// are being placed on engines. Running streams continue while their engine loads.
+	placementTime = 500 * time.Millisecond
+	// refusalBackoff is how long an engine gets no order after it refused one.
+	refusalBackoff = 500 * time.Millisecond
 )
 
-// Switch says what becomes of the streams that an engine runs.
+// Switch says what happens to the running streams of an engine that loads a version.
 type Switch int
 
-// The ways to switch.
+// The modes of a switch.
 const (
-	// Continue lets streams go on under the new version.
+	// Continue continues the streams with the new version.
 	Continue Switch = iota
-	// Finish lets streams end first.
+	// Finish waits for the streams to end first.
 	Finish
 )
 
-// Command is an order as it goes to an engine.
+// Command is an order with the fields that are sent to an engine along with it.
 type Command struct {
 	Order
 	Switch Switch
 	Holder string
 	Fence  uint64
-	// Seen is how many orders the engine should have accepted before.
+	// Seen is the number of orders that the engine should have accepted before. An
+	// engine with another count refuses the order.
 	Seen uint64
 }
 
-// The answers to an order.
+// Errors that an engine answers to an order.
 var (
-	// ErrStanding means that the order holds already.
-	ErrStanding = errors.New("the engine has that version already")
-	// ErrCount means that the engine carries out another order, or has seen
-	// another number of them.
-	ErrCount = errors.New("the engine is busy or has seen other orders")
-	// ErrRefused means that the engine will not carry it out.
+	// ErrStanding means that the engine has the ordered version already.
+	ErrStanding = errors.New("the engine has the ordered version already")
+	// ErrCount means that the engine is carrying out another order, or has accepted
+	// another number of orders than Command.Seen.
+	ErrCount = errors.New("the engine is busy or has accepted another number of orders")
+	// ErrRefused means that the engine will not carry out the order.
 	ErrRefused = errors.New("the engine refuses the order")
 )
 
-// State is what an engine says of itself.
+// State is the state that an engine reports of itself.
 type State struct {
-	Orders   uint64
+	// Orders is the number of orders that the engine has accepted.
+	Orders uint64
+	// Busy says that the engine is carrying out an order.
 	Busy     bool
 	Versions map[string]uint64
 }
 
-// Engines gives orders to engines. Order returns nil when the engine has begun,
-// one of the errors above, or another error when the outcome is not known.
+// Engines sends orders to engines and queries their state. Order returns nil if the engine
+// has begun to carry out the order, one of the errors above, or another error if the
+// outcome is unknown.
 type Engines interface {
 	Order(ctx context.Context, u *catalog.Upstream, c Command) error
 	State(ctx context.Context, u *catalog.Upstream) (State, error)
 }
 
-// Holder tells whether this instance gives the orders.
+// Holder tells whether this instance holds the duty to give orders.
 type Holder interface {
 	// Fence returns the fencing token and whether orders may be given now.
 	Fence() (uint64, bool)
-	// Holds reports whether this instance is the one, even if it has to wait.
+	// Holds reports whether this instance is the holder, even if it still has to
+	// wait before it gives orders.
 	Holds() bool
 }
 
-// Orderer gives the orders while it holds the right to.
+// Orderer assigns engines to models, and gives orders to engines while this instance holds
+// the duty.
 type Orderer struct {
 	Holder  Holder
 	Book    *catalog.Book
@@ -101,85 +108,94 @@
 	Engines Engines
 	Timer   timer.Service
 	Journal *journal.Journal
-	// Name is this instance's.
+	// Name is the name of this instance.
 	Name string
 
-	mu     sync.Mutex
-	named  map[string]uint64
+	mu sync.Mutex
+	// latest holds the latest published version of each model.
+	latest map[string]uint64
 	demand Demand
-	// asked is when a step of each model was asked for last.
-	asked   map[string]timer.Instant
-	divided map[string]divided
-	since   map[string]timer.Instant
-	last    map[string]*standing
-	wake    wake.Signal
+	// stepRequestedAt holds the time of the last step request of each model.
+	stepRequestedAt map[string]timer.Instant
+	// assignments holds the cached assignment of each service.
+	assignments map[string]cachedAssignment
+	// latestAt holds the time at which each version in latest became known.
+	latestAt map[string]timer.Instant
+	// orderStates holds the state of orders by engine ID.
+	orderStates map[string]*orderState
+	wake        wake.Signal
 }
 
-// standing is what is known of the orders to one engine.
-type standing struct {
-	u     *catalog.Upstream
+// orderState is the state of the orders to one engine.
+type orderState struct {
+	upstream *catalog.Upstream
+	// order is the last order.
 	order Order
-	seen  uint64
-	// asked says that seen is what the engine said, or follows from it.
-	asked   bool
-	until   timer.Instant
-	loading bool
-	// learnt are the versions that the engine told itself.
-	learnt map[string]uint64
+	// orderCount is the number of orders that the engine has accepted.
+	orderCount uint64
+	// countKnown says that orderCount was reported by the engine, or follows from a
+	// report.
+	countKnown bool
+	// waitUntil is when the engine stops counting as loading if nothing else shows it.
+	waitUntil timer.Instant
+	loading   bool
+	// reported holds the versions that the engine itself reported.
+	reported map[string]uint64
 }
 
-// Named tells of a version that a trainer has named.
+// Named records a version of a model that a trainer has published.
 func (o *Orderer) Named(model string, version uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.named == nil {
-		o.named = make(map[string]uint64)
-		o.since = make(map[string]timer.Instant)
+	if o.latest == nil {
+		o.latest = make(map[string]uint64)
+		o.latestAt = make(map[string]timer.Instant)
 	}
-	if version > o.named[model] {
-		o.named[model] = version
-		o.since[model] = o.Timer.Now()
+	if version > o.latest[model] {
+		o.latest[model] = version
+		o.latestAt[model] = o.Timer.Now()
 	}
 	o.wake.Set()
 }
 
-// Run gives orders until t dies, while this instance has the right to.
+// Run gives orders while this instance holds the duty, until t dies.
 func (o *Orderer) Run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
 	o.mu.Lock()
-	o.last = make(map[string]*standing)
+	o.orderStates = make(map[string]*orderState)
 	o.mu.Unlock()
-	look := o.Timer.Every(lookEvery)
-	defer look.Close()
-	var plan *timer.Subscription
+	dutyTicker := o.Timer.Every(dutyCheckInterval)
+	defer dutyTicker.Close()
+	var planTicker *timer.Subscription
 	defer func() {
-		if plan != nil {
-			plan.Close()
+		if planTicker != nil {
+			planTicker.Close()
 		}
 	}()
 	for {
-		// Only the holder plans; the others would wake for nothing.
-		var due <-chan timer.Instant
-		if o.Holder.Holds() && plan == nil {
-			plan = o.Timer.Every(planEvery)
+		// Only the holder plans; on other instances the ticker would wake the loop
+		// for nothing.
+		var planDue <-chan timer.Instant
+		if o.Holder.Holds() && planTicker == nil {
+			planTicker = o.Timer.Every(planInterval)
 		}
-		if plan != nil {
-			due = plan.C
+		if planTicker != nil {
+			planDue = planTicker.C
 		}
 		select {
-		case <-look.C:
-		case <-due:
-			o.round(ctx)
+		case <-dutyTicker.C:
+		case <-planDue:
+			o.reconcile(ctx)
 		case <-o.wake.C():
-			o.round(ctx)
+			o.reconcile(ctx)
 		case <-t.Dying():
 			return nil
 		}
 	}
 }
 
-// round makes a plan and gives its orders.
-func (o *Orderer) round(ctx context.Context) {
+// reconcile plans and gives the orders for all services with engines.
+func (o *Orderer) reconcile(ctx context.Context) {
 	fence, ok := o.Holder.Fence()
 	cfg := o.Config.Current()
 	if !ok || cfg == nil {
@@ -187,15 +203,15 @@
 	}
 	for name, service := range cfg.Services {
 		if service.Engine != nil {
-			o.serve(ctx, fence, name, service.Engine.Models, switchOf(cfg, name))
+			o.reconcileService(ctx, fence, name, service.Engine.Models, switchFor(cfg, name))
 		}
 	}
 }
 
-// switchOf returns how the streams at a service's engines are treated. Where a
-// route wants each sample from one version alone they end first; elsewhere they
-// go on, so that a load costs no sample.
-func switchOf(cfg *catalog.Configuration, service string) Switch {
+// switchFor returns the Switch for the engines of a service. If a route to the
+// service requires that each sample comes from a single version, the streams end
+// first. Otherwise they continue, so that no sample is lost to a load.
+func switchFor(cfg *catalog.Configuration, service string) Switch {
 	for _, r := range cfg.Routes {
 		if !r.SingleVersion {
 			continue
@@ -209,8 +225,8 @@
 	return Continue
 }
 
-// serve gives the orders for the engines of one service.
-func (o *Orderer) serve(ctx context.Context, fence uint64, service string, models []string, how Switch) {
+// reconcileService plans and gives the orders for the engines of one service.
+func (o *Orderer) reconcileService(ctx context.Context, fence uint64, service string, models []string, mode Switch) {
 	o.mu.Lock()
 	now := o.Timer.Now()
 	var engines []Engine
@@ -220,49 +236,52 @@
 			continue
 		}
 		byID[u.ID] = u
-		engines = append(engines, o.view(u, now))
+		engines = append(engines, o.engineView(u, now))
 	}
-	sets := Assign(engines, models, o.named, o.demand)
-	fresh := make(map[string]bool)
-	for model, at := range o.since {
-		fresh[model] = now.Sub(at) < placeTime
+	assignment := Assign(engines, models, o.latest, o.demand)
+	recent := make(map[string]bool)
+	for model, at := range o.latestAt {
+		recent[model] = now.Sub(at) < placementTime
 	}
-	orders := Plan(engines, o.named, fresh, sets, AtOnce(len(engines)))
+	orders := Plan(engines, o.latest, recent, assignment, AtOnce(len(engines)))
 	for _, order := range orders {
 		u := byID[order.Engine]
-		s := o.standing(u)
+		s := o.orderState(u)
 		s.order = order
 		s.loading = true
-		s.until = now.Add(loadTimeout)
+		s.waitUntil = now.Add(loadTimeout)
 		c := Command{
 			Order:  order,
-			Switch: how,
+			Switch: mode,
 			Holder: o.Name,
 			Fence:  fence,
-			Seen:   s.seen,
+			Seen:   s.orderCount,
 		}
-		go o.give(ctx, u, s, c)
+		go o.sendOrder(ctx, u, s, c)
 	}
 	o.mu.Unlock()
 }
 
-func (o *Orderer) standing(u *catalog.Upstream) *standing {
-	s := o.last[u.ID]
-	if s == nil || s.u != u {
-		s = &standing{
-			u: u,
+// orderState returns the state of the orders to an engine, which it creates if the engine is
+// new. The caller holds o.mu.
+func (o *Orderer) orderState(u *catalog.Upstream) *orderState {
+	s := o.orderStates[u.ID]
+	if s == nil || s.upstream != u {
+		s = &orderState{
+			upstream: u,
 		}
-		o.last[u.ID] = s
+		o.orderStates[u.ID] = s
 	}
 	return s
 }
 
-// view is an engine as the plan sees it: the list, and what it said since.
-func (o *Orderer) view(u *catalog.Upstream, now timer.Instant) Engine {
-	s := o.standing(u)
+// engineView returns the input of Plan for an engine: its listed state, updated by what the
+// engine has reported since. The caller holds o.mu.
+func (o *Orderer) engineView(u *catalog.Upstream, now timer.Instant) Engine {
+	s := o.orderState(u)
 	l := u.Listed()
-	versions := newest(l.Versions, s.learnt)
-	if s.loading && (versions[s.order.Model] >= s.order.Version && s.order.Version > 0 || now >= s.until) {
+	versions := mergeVersions(l.Versions, s.reported)
+	if s.loading && (versions[s.order.Model] >= s.order.Version && s.order.Version > 0 || now >= s.waitUntil) {
 		s.loading = false
 	}
 	e := Engine{
@@ -276,66 +295,66 @@
 	return e
 }
 
-// newest merges what the list and the engine itself say; versions only go up
-// within the life of an engine.
-func newest(listed, learnt map[string]uint64) map[string]uint64 {
-	if len(learnt) == 0 {
+// mergeVersions returns the newer of the listed version and the version that the engine
+// reported, for each model. Versions only increase during the lifetime of an engine.
+func mergeVersions(listed, reported map[string]uint64) map[string]uint64 {
+	if len(reported) == 0 {
 		return listed
 	}
 	merged := make(map[string]uint64, len(listed))
 	maps.Copy(merged, listed)
-	for m, v := range learnt {
+	for m, v := range reported {
 		merged[m] = max(merged[m], v)
 	}
 	return merged
 }
 
-// acquaint asks an engine for its count of orders before this life's first one to
-// it. A holder that takes over, or starts again, would otherwise send each engine
-// an order with a wrong count: each is refused, and after a loss of power the
-// step that waits for new weights waits half a second longer. It reports false
-// if the engine has the version already.
-func (o *Orderer) acquaint(ctx context.Context, u *catalog.Upstream, s *standing, c *Command) bool {
+// ensureOrderCount queries an engine for its order count before the first order that this
+// process sends to it. Otherwise a holder that takes over or restarts would send each
+// engine an order with a wrong count. Each would be refused, and after a power loss the
+// step that waits for new weights would wait half a second longer. It reports false if the
+// engine has the version already.
+func (o *Orderer) ensureOrderCount(ctx context.Context, u *catalog.Upstream, s *orderState, c *Command) bool {
 	o.mu.Lock()
-	asked := s.asked
+	countKnown := s.countKnown
 	o.mu.Unlock()
-	if asked {
+	if countKnown {
 		return true
 	}
-	call, cancel := context.WithTimeout(ctx, orderTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	state, err := o.Engines.State(call, u)
+	state, err := o.Engines.State(callCtx, u)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err != nil {
-		// The order itself shows what is wrong.
+		// Send the order anyway: its outcome shows what is wrong.
 		return true
 	}
-	s.asked = true
-	s.seen = state.Orders
-	s.learnt = newest(s.learnt, state.Versions)
+	s.countKnown = true
+	s.orderCount = state.Orders
+	s.reported = mergeVersions(s.reported, state.Versions)
 	c.Seen = state.Orders
-	if s.learnt[c.Model] >= c.Version {
+	if s.reported[c.Model] >= c.Version {
 		s.loading = false
 		return false
 	}
 	return true
 }
 
-// give sends one order and notes its outcome.
-func (o *Orderer) give(ctx context.Context, u *catalog.Upstream, s *standing, c Command) {
-	sent := o.Timer.Now()
-	if !o.acquaint(ctx, u, s, &c) {
+// sendOrder sends one order and records its outcome.
+func (o *Orderer) sendOrder(ctx context.Context, u *catalog.Upstream, s *orderState, c Command) {
+	sentAt := o.Timer.Now()
+	if !o.ensureOrderCount(ctx, u, s, &c) {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, orderTimeout)
-	err := o.Engines.Order(call, u, c)
+	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
+	err := o.Engines.Order(callCtx, u, c)
 	cancel()
 	var state State
-	var asked error
+	var stateErr error
 	if errors.Is(err, ErrCount) {
-		call, cancel := context.WithTimeout(ctx, orderTimeout)
-		state, asked = o.Engines.State(call, u)
+		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
+		state, stateErr = o.Engines.State(callCtx, u)
 		cancel()
 	}
 	o.mu.Lock()
@@ -344,27 +363,27 @@
 	outcome := "begun"
 	switch {
 	case err == nil:
-		s.seen = c.Seen + 1
-		s.until = now.Add(loadTimeout)
+		s.orderCount = c.Seen + 1
+		s.waitUntil = now.Add(loadTimeout)
 	case errors.Is(err, ErrStanding):
 		outcome = "standing"
-		s.learnt = newest(s.learnt, map[string]uint64{c.Model: c.Version})
+		s.reported = mergeVersions(s.reported, map[string]uint64{c.Model: c.Version})
 		s.loading = false
 	case errors.Is(err, ErrCount):
 		outcome = "other_count"
-		s.until = now.Add(refusedPause)
-		if asked == nil {
-			s.learnt = state.Versions
-			s.seen = state.Orders
-			s.asked = true
+		s.waitUntil = now.Add(refusalBackoff)
+		if stateErr == nil {
+			s.reported = state.Versions
+			s.orderCount = state.Orders
+			s.countKnown = true
 			s.loading = state.Busy
 		}
 	case errors.Is(err, ErrRefused):
 		outcome = "refused"
-		s.until = now.Add(refusedPause)
+		s.waitUntil = now.Add(refusalBackoff)
 	default:
 		outcome = "unknown"
-		s.until = now.Add(lostTimeout)
+		s.waitUntil = now.Add(noAnswerTimeout)
 	}
 	fields := log.Fields{
 		"engine":  u.ID,
@@ -372,7 +391,7 @@
 		"version": c.Version,
 		"fencing": c.Fence,
 		"seen":    c.Seen,
-		"took_ms": now.Sub(sent).Milliseconds(),
+		"took_ms": now.Sub(sentAt).Milliseconds(),
 		"outcome": outcome,
 	}
 	if err != nil {
--- a/internal/fleet/weights/orderer_test.go
+++ b/internal/fleet/weights/orderer_test.go
@@ -12,8 +12,8 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// counting is an engine that has accepted some orders of an earlier holder.
-type counting struct {
+// fakeEngine is an engine that has already accepted orders from an earlier holder.
+type fakeEngine struct {
 	mu       sync.Mutex
 	orders   uint64
 	version  uint64
@@ -21,7 +21,7 @@
 }
 
 // Order implements Engines.
-func (e *counting) Order(_ context.Context, _ *catalog.Upstream, c Command) error {
+func (e *fakeEngine) Order(_ context.Context, _ *catalog.Upstream, c Command) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.commands = append(e.commands, c)
@@ -34,7 +34,7 @@
 }
 
 // State implements Engines.
-func (e *counting) State(context.Context, *catalog.Upstream) (State, error) {
+func (e *fakeEngine) State(context.Context, *catalog.Upstream) (State, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return State{
@@ -43,14 +43,14 @@
 	}, nil
 }
 
-// The holder of the order duty starts again, as all instances do after a loss of
-// power. Its first order to each engine bore a count of zero and was refused, and
-// the next one came half a second later; the trainers' next steps found engines
-// with old weights.
-func TestFirstOrderOfALifeBearsTheEnginesCount(t *testing.T) {
+// Guards against a holder that sends a wrong order count after it restarts, as all
+// instances do after a power loss. If its first order to each engine carried a count of
+// zero, it would be refused, the next one would follow half a second later, and the
+// trainers' next steps would find engines with old weights.
+func TestFirstOrderCarriesEngineOrderCount(t *testing.T) {
 	is := is.New(t)
 	clock := &timer.Manual{}
-	engine := &counting{
+	engine := &fakeEngine{
 		orders:  3,
 		version: 4,
 	}
@@ -59,19 +59,19 @@
 	}
 	book.Update([]catalog.Listed{{ID: "e", Service: "s", Address: "e", Slots: 8, Versions: map[string]uint64{"m": 4}}}, nil)
 	o := &Orderer{
-		Book:    book,
-		Engines: engine,
-		Timer:   clock,
-		named:   map[string]uint64{"m": 6},
-		since:   map[string]timer.Instant{},
-		last:    map[string]*standing{},
+		Book:        book,
+		Engines:     engine,
+		Timer:       clock,
+		latest:      map[string]uint64{"m": 6},
+		latestAt:    map[string]timer.Instant{},
+		orderStates: map[string]*orderState{},
 	}
 	settled := func() bool {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		return o.last["e"].seen == 4
+		return o.orderStates["e"].orderCount == 4
 	}
-	o.serve(context.Background(), 7, "s", []string{"m"}, Continue)
+	o.reconcileService(context.Background(), 7, "s", []string{"m"}, Continue)
 	is.True(timer.Until(timer.Real{}, time.Millisecond, 5*time.Second, nil, settled))
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
--- a/internal/fleet/weights/plan.go
+++ b/internal/fleet/weights/plan.go
@@ -4,136 +4,142 @@
 	"slices"
 )
 
-// Engine is what a plan knows of one engine.
+// Engine is the state of an engine as Plan and Assign see it.
 type Engine struct {
-	ID       string
+	ID string
+	// Versions holds the version of each model's weights on the engine.
 	Versions map[string]uint64
-	// Loading names the model whose weights the engine loads now, if any.
+	// Loading is the model whose weights the engine is loading, if any.
 	Loading string
-	// Load is the use of its slots; 1 means that all are taken.
+	// Load is the utilization of the engine's slots; 1 means that all are taken.
 	Load float64
 }
 
-// Order moves an engine to a version of a model.
+// Order makes an engine load a version of a model.
 type Order struct {
 	Engine  string
 	Model   string
 	Version uint64
 }
 
-// atOnceShare is how many engines share one load at a time: loads slow each
-// other down beyond about a fifth of the engines.
-const atOnceShare = 5
+// enginesPerLoad is the number of engines for each concurrent load: loads slow each
+// other down if more than about a fifth of the engines load.
+const enginesPerLoad = 5
 
-// AtOnce returns how many of n engines load at the same time.
-func AtOnce(n int) int { return max(1, (n+atOnceShare/2)/atOnceShare) }
+// AtOnce returns how many of n engines may load at the same time.
+func AtOnce(n int) int { return max(1, (n+enginesPerLoad/2)/enginesPerLoad) }
 
-// home returns the model whose newest version the engine is least behind, or
-// nothing if it never moved beyond the first version of any.
-func home(e Engine, models []string, named map[string]uint64) string {
+// closestModel returns the model whose latest version the engine is least behind, or ""
+// if the engine has no model beyond its first version.
+func closestModel(e Engine, models []string, latest map[string]uint64) string {
 	best, behind := "", uint64(0)
 	for _, m := range models {
 		v := e.Versions[m]
 		if v <= 1 {
 			continue
 		}
-		if gap := max(named[m], v) - v; best == "" || gap < behind {
+		if gap := max(latest[m], v) - v; best == "" || gap < behind {
 			best, behind = m, gap
 		}
 	}
 	return best
 }
 
-// want is an order that would be of use.
-type want struct {
+// candidate is an order to an engine that does not have the latest version of its model.
+type candidate struct {
 	Order
-	// urgent says that the engine can't serve the newest step of its model.
-	urgent bool
-	load   float64
+	// urgent says that the engine cannot serve the newest step of its model.
+	urgent      bool
+	utilization float64
 }
 
-// supply counts the engines of each model's set that serve its newest step, and
-// those that will serve the one after; engines that load count already.
-type supply struct {
-	now, next map[string]int
+// servingCounts holds, by model, the number of engines in the model's set that can serve
+// its newest step (current) and the one after (next). Engines that are loading count as
+// if they had loaded.
+type servingCounts struct {
+	current, next map[string]int
 }
 
-func (s supply) add(model string, behind uint64) {
+// add counts an engine of a model's set that is a number of versions behind the latest.
+func (s servingCounts) add(model string, behind uint64) {
 	if behind <= 1 {
-		s.now[model]++
+		s.current[model]++
 	}
 	if behind == 0 {
 		s.next[model]++
 	}
 }
 
-// before reports whether a is ordered before b: first what the newest steps wait
-// for, and of that the model with the fewest engines at work. A trainer that is
-// behind asks for two steps at almost the same time, and with its engines behind
-// those that others will need in some seconds its step stands still.
-func (s supply) before(a, b want) bool {
+// less reports whether a goes before b. Urgent candidates go first, and among equally
+// urgent ones the model with the fewest serving engines. A trainer that is behind
+// requests two steps at almost the same time. If its engines came after those that
+// other trainers need only some seconds later, its step would stall.
+func (s servingCounts) less(a, b candidate) bool {
 	if a.urgent != b.urgent {
 		return a.urgent
 	}
-	have := s.next
+	counts := s.next
 	if a.urgent {
-		have = s.now
+		counts = s.current
 	}
-	if x, y := have[a.Model], have[b.Model]; x != y {
+	if x, y := counts[a.Model], counts[b.Model]; x != y {
 		return x < y
 	}
-	if a.load != b.load {
-		return a.load < b.load
+	if a.utilization != b.utilization {
+		return a.utilization < b.utilization
 	}
 	return a.Engine < b.Engine
 }
 
-// Plan returns the orders to give now. Engines whose weights are too old for
-// the next step go first, then the idle ones, so that a step always finds
-// engines at work while others load. fresh are the models whose newest version
-// was named a moment ago: the items of that step are on their way, and an engine
-// that loads takes none, so those with the version before wait a little.
-func Plan(engines []Engine, named map[string]uint64, fresh map[string]bool, sets map[string]string, atOnce int) []Order {
-	has := supply{
-		now:  make(map[string]int),
-		next: make(map[string]int),
+// Plan returns the orders to give now, at most maxLoads less the loads under way.
+//
+// latest holds the latest published version of each model, assignment the model of each
+// engine. Engines whose weights are too old for the newest step go first, then the ones
+// with the lowest utilization, so that a step always finds serving engines while others
+// load. recent contains the models whose latest version was published a moment ago. The
+// items of that step are still being placed, and an engine that loads accepts none, so
+// engines that are one version behind don't load yet.
+func Plan(engines []Engine, latest map[string]uint64, recent map[string]bool, assignment map[string]string, maxLoads int) []Order {
+	serving := servingCounts{
+		current: make(map[string]int),
+		next:    make(map[string]int),
 	}
-	var wants []want
+	var candidates []candidate
 	for _, e := range engines {
-		model := sets[e.ID]
+		model := assignment[e.ID]
 		if e.Loading != "" {
-			atOnce--
+			maxLoads--
 			if e.Loading == model {
-				has.add(model, 0)
+				serving.add(model, 0)
 			}
 			continue
 		}
-		behind := named[model] - min(named[model], e.Versions[model])
-		has.add(model, behind)
-		if behind == 0 || behind == 1 && fresh[model] {
+		behind := latest[model] - min(latest[model], e.Versions[model])
+		serving.add(model, behind)
+		if behind == 0 || behind == 1 && recent[model] {
 			continue
 		}
-		wants = append(wants, want{
+		candidates = append(candidates, candidate{
 			Order: Order{
 				Engine:  e.ID,
 				Model:   model,
-				Version: named[model],
+				Version: latest[model],
 			},
-			urgent: behind > 1,
-			load:   e.Load,
+			urgent:      behind > 1,
+			utilization: e.Load,
 		})
 	}
 	var orders []Order
-	for len(orders) < atOnce && len(wants) > 0 {
+	for len(orders) < maxLoads && len(candidates) > 0 {
 		best := 0
-		for i := range wants {
-			if has.before(wants[i], wants[best]) {
+		for i := range candidates {
+			if serving.less(candidates[i], candidates[best]) {
 				best = i
 			}
 		}
-		orders = append(orders, wants[best].Order)
-		has.add(wants[best].Model, 0)
-		wants = slices.Delete(wants, best, best+1)
+		orders = append(orders, candidates[best].Order)
+		serving.add(candidates[best].Model, 0)
+		candidates = slices.Delete(candidates, best, best+1)
 	}
 	return orders
 }
--- a/internal/fleet/weights/plan_test.go
+++ b/internal/fleet/weights/plan_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func engineOf(id string, load float64, versions map[string]uint64) Engine {
+func newEngine(id string, load float64, versions map[string]uint64) Engine {
 	return Engine{
 		ID:       id,
 		Versions: versions,
@@ -15,131 +15,135 @@
 	}
 }
 
-// Three trainers share nine engines. If every engine loaded the weights of all
-// of them, two loads in three would serve nobody, and engines would hardly do
-// anything else. Engines stay with their model while versions move on, also
-// when orders are behind.
-func TestEnginesStayWithTheirModel(t *testing.T) {
+// Guards against engines that change their model. Three trainers share nine engines. If
+// every engine loaded the weights of all three models, two loads in three would serve no
+// request, and engines would do little but load. Engines have to stay with their model
+// while versions advance, also when orders are late.
+func TestEnginesKeepTheirModel(t *testing.T) {
 	is := is.New(t)
 	models := []string{"m0", "m1", "m2"}
 	var engines []Engine
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} {
-		engines = append(engines, engineOf(id, 0, map[string]uint64{"m0": 1, "m1": 1, "m2": 1}))
+		engines = append(engines, newEngine(id, 0, map[string]uint64{"m0": 1, "m1": 1, "m2": 1}))
 	}
-	named := map[string]uint64{"m0": 2, "m1": 2, "m2": 2}
-	sets := Assign(engines, models, named, nil)
-	size := map[string]int{}
+	latest := map[string]uint64{"m0": 2, "m1": 2, "m2": 2}
+	assignment := Assign(engines, models, latest, nil)
+	sizes := map[string]int{}
 	for i, e := range engines {
-		size[sets[e.ID]]++
-		engines[i].Versions = map[string]uint64{"m0": 1, "m1": 1, "m2": 1, sets[e.ID]: 2}
+		sizes[assignment[e.ID]]++
+		engines[i].Versions = map[string]uint64{"m0": 1, "m1": 1, "m2": 1, assignment[e.ID]: 2}
 	}
-	is.Equal(size, map[string]int{"m0": 3, "m1": 3, "m2": 3})
-	// Nobody gave orders for a while: all sets are three versions behind.
-	named = map[string]uint64{"m0": 5, "m1": 6, "m2": 5}
-	is.Equal(Assign(engines, models, named, nil), sets)
-	// An engine is lost: the others stay where they are.
-	after := Assign(engines[1:], models, named, nil)
+	is.Equal(sizes, map[string]int{"m0": 3, "m1": 3, "m2": 3})
+	// No orders were given for a while: all sets are three versions or more behind.
+	latest = map[string]uint64{"m0": 5, "m1": 6, "m2": 5}
+	is.Equal(Assign(engines, models, latest, nil), assignment)
+	// An engine is lost: the others keep their model.
+	after := Assign(engines[1:], models, latest, nil)
 	for id, model := range after {
-		is.Equal(sets[id], model)
+		is.Equal(assignment[id], model)
 	}
-	// A whole set is lost: the others share what is left.
-	var left []Engine
+	// All engines of a model are lost: the models share the remaining engines.
+	var remaining []Engine
 	for _, e := range engines {
-		if sets[e.ID] != "m1" {
-			left = append(left, e)
+		if assignment[e.ID] != "m1" {
+			remaining = append(remaining, e)
 		}
 	}
-	size = map[string]int{}
-	for _, model := range Assign(left, models, named, nil) {
-		size[model]++
+	sizes = map[string]int{}
+	for _, model := range Assign(remaining, models, latest, nil) {
+		sizes[model]++
 	}
-	is.Equal(size, map[string]int{"m0": 2, "m1": 2, "m2": 2})
+	is.Equal(sizes, map[string]int{"m0": 2, "m1": 2, "m2": 2})
 }
 
-// Three trainers share 48 engines; the steps of two have more than twice the work
-// of the third. With equal sets, steps of two trainers took longer than they may
-// as soon as some of their engines failed, while a third of the engines had little
-// to do. A small change of the work moves no engine.
-func TestSetsFollowTheWork(t *testing.T) {
+// Guards against sets of equal size for models with unequal work. Three trainers share 48
+// engines; the steps of two have more than twice the work of the third. With equal sets,
+// the steps of two trainers would take too long as soon as some of their engines failed,
+// while a third of the engines had little to do. A small change of the work must not move
+// any engine.
+func TestSetSizesFollowDemand(t *testing.T) {
 	is := is.New(t)
 	models := []string{"m0", "m1", "m2"}
 	var engines []Engine
 	for i := range 48 {
-		engines = append(engines, engineOf(fmt.Sprintf("e%02d", i), 0, map[string]uint64{"m0": 1, "m1": 1, "m2": 1}))
+		engines = append(engines, newEngine(fmt.Sprintf("e%02d", i), 0, map[string]uint64{"m0": 1, "m1": 1, "m2": 1}))
 	}
-	named := map[string]uint64{"m0": 2, "m1": 2, "m2": 2}
-	demand := Demand{}.with("m0", 140_000).with("m1", 330_000).with("m2", 300_000)
-	count := func(sets map[string]string) map[string]int {
-		size := map[string]int{}
-		for _, m := range sets {
-			size[m]++
+	latest := map[string]uint64{"m0": 2, "m1": 2, "m2": 2}
+	demand := Demand{}.withStep("m0", 140_000).withStep("m1", 330_000).withStep("m2", 300_000)
+	count := func(assignment map[string]string) map[string]int {
+		sizes := map[string]int{}
+		for _, m := range assignment {
+			sizes[m]++
 		}
-		return size
+		return sizes
 	}
-	is.Equal(count(Assign(engines, models, named, Demand{"m0": 1})), map[string]int{"m0": 16, "m1": 16, "m2": 16}) // not all are known
-	sets := Assign(engines, models, named, demand)
-	is.Equal(count(sets), map[string]int{"m0": 13, "m1": 18, "m2": 17})
+	is.Equal(count(Assign(engines, models, latest, Demand{"m0": 1})), map[string]int{"m0": 16, "m1": 16, "m2": 16}) // the work of some models is unknown
+	assignment := Assign(engines, models, latest, demand)
+	is.Equal(count(assignment), map[string]int{"m0": 13, "m1": 18, "m2": 17})
 	for i, e := range engines {
-		engines[i].Versions = map[string]uint64{"m0": 1, "m1": 1, "m2": 1, sets[e.ID]: 2}
+		engines[i].Versions = map[string]uint64{"m0": 1, "m1": 1, "m2": 1, assignment[e.ID]: 2}
 	}
-	is.Equal(Assign(engines, models, named, demand.with("m1", 300_000)), sets)
+	is.Equal(Assign(engines, models, latest, demand.withStep("m1", 300_000)), assignment)
 }
 
-// A version is named and its step is handed in at the same moment. Engines with
-// the version before can serve it, and one that loads takes no new item, so they
-// wait; those that are too old for the step load at once.
-func TestOldEnginesLoadFirst(t *testing.T) {
+// Guards against engines that load just when the items of a step are placed. A version is
+// published and its step submitted at the same moment. Engines with the previous version
+// can serve the step, and an engine that loads accepts no new items, so these engines have
+// to wait. Engines that are too old for the step load at once.
+func TestOutdatedEnginesLoadFirst(t *testing.T) {
 	is := is.New(t)
 	engines := []Engine{
-		engineOf("idle", 0, map[string]uint64{"m": 4}),
-		engineOf("old", 0.9, map[string]uint64{"m": 3}),
-		engineOf("busy", 0.5, map[string]uint64{"m": 4}),
+		newEngine("idle", 0, map[string]uint64{"m": 4}),
+		newEngine("old", 0.9, map[string]uint64{"m": 3}),
+		newEngine("busy", 0.5, map[string]uint64{"m": 4}),
 	}
-	named := map[string]uint64{"m": 5}
-	sets := map[string]string{"idle": "m", "old": "m", "busy": "m"}
-	fresh := Plan(engines, named, map[string]bool{"m": true}, sets, 2)
-	is.Equal(len(fresh), 1)
-	is.Equal(fresh[0].Engine, "old")
-	later := Plan(engines, named, nil, sets, 2)
-	is.Equal(len(later), 2)
-	is.Equal(later[0].Engine, "old")
-	is.Equal(later[1].Engine, "idle")
+	latest := map[string]uint64{"m": 5}
+	assignment := map[string]string{"idle": "m", "old": "m", "busy": "m"}
+	whilePlacing := Plan(engines, latest, map[string]bool{"m": true}, assignment, 2)
+	is.Equal(len(whilePlacing), 1)
+	is.Equal(whilePlacing[0].Engine, "old")
+	afterPlacing := Plan(engines, latest, nil, assignment, 2)
+	is.Equal(len(afterPlacing), 2)
+	is.Equal(afterPlacing[0].Engine, "old")
+	is.Equal(afterPlacing[1].Engine, "idle")
 	engines[1].Loading = "m"
-	is.Equal(len(Plan(engines, named, nil, sets, 1)), 0) // no more than may load at once
+	is.Equal(len(Plan(engines, latest, nil, assignment, 1)), 0) // the one allowed load is under way
 }
 
-// The trainer of m1 is behind and names two versions within a second. None of its
-// engines can serve the second step, while the others load ahead what they need in
-// some seconds. Ordered by load alone its engines came last, and its step stood
-// still for three seconds.
-func TestStepWithoutEnginesGoesFirst(t *testing.T) {
+// Guards against a step that stalls because the engines of its model load last. The
+// trainer of m1 is behind and publishes two versions within a second. None of its engines
+// can serve the second step, while other engines load versions that are needed only some
+// seconds later. If orders were sorted by utilization alone, the engines of m1 would come
+// last and its step would stall for three seconds.
+func TestModelWithoutServingEnginesGoesFirst(t *testing.T) {
 	is := is.New(t)
 	engines := []Engine{
-		engineOf("a", 0, map[string]uint64{"m0": 6}),
-		engineOf("b", 0.1, map[string]uint64{"m0": 8}),
-		engineOf("c", 0.9, map[string]uint64{"m1": 9}),
-		engineOf("d", 0.8, map[string]uint64{"m1": 9}),
-		engineOf("e", 0.2, map[string]uint64{"m0": 7}),
+		newEngine("a", 0, map[string]uint64{"m0": 6}),
+		newEngine("b", 0.1, map[string]uint64{"m0": 8}),
+		newEngine("c", 0.9, map[string]uint64{"m1": 9}),
+		newEngine("d", 0.8, map[string]uint64{"m1": 9}),
+		newEngine("e", 0.2, map[string]uint64{"m0": 7}),
 	}
-	named := map[string]uint64{"m0": 8, "m1": 11}
-	sets := map[string]string{"a": "m0", "b": "m0", "c": "m1", "d": "m1", "e": "m0"}
-	orders := Plan(engines, named, nil, sets, 3)
+	latest := map[string]uint64{"m0": 8, "m1": 11}
+	assignment := map[string]string{"a": "m0", "b": "m0", "c": "m1", "d": "m1", "e": "m0"}
+	orders := Plan(engines, latest, nil, assignment, 3)
 	is.Equal(len(orders), 3)
-	is.Equal(orders[0].Engine, "d") // no engine serves the newest step of m1
-	is.Equal(orders[1].Engine, "c") // one is on its way, two serve that of m0
+	is.Equal(orders[0].Engine, "d") // no engine can serve the newest step of m1
+	is.Equal(orders[1].Engine, "c") // one engine of m1 has an order, two can serve the newest step of m0
 	is.Equal(orders[2].Engine, "a")
-	// Once all have what their steps need, the model goes first that has the
-	// fewest engines for the step after.
+	// When engines can serve the newest steps of all models, the model with the
+	// fewest engines for the step after goes first.
 	engines[0].Versions["m0"] = 8
 	engines[2].Loading, engines[3].Versions["m1"] = "m1", 10
-	orders = Plan(engines, named, nil, sets, 3)
+	orders = Plan(engines, latest, nil, assignment, 3)
 	is.Equal(len(orders), 2)
 	is.Equal(orders[0].Engine, "d")
 	is.Equal(orders[1].Engine, "e")
 }
 
-// Loads slow each other down beyond a fifth of the engines.
-func TestAtOnce(t *testing.T) {
+// Guards against too many concurrent loads, which slow each other down beyond a fifth of
+// the engines.
+func TestAtOnceLimitsLoadsToFifth(t *testing.T) {
 	is := is.New(t)
 	for n, want := range map[int]int{1: 1, 9: 2, 11: 2, 44: 9, 48: 10} {
 		is.Equal(AtOnce(n), want)
