--- a/internal/fleet/capacity/doc.go
+++ b/internal/fleet/capacity/doc.go
@@ -1,8 +1,8 @@
 // Package capacity scales the engine groups: it decides how many engines each failure
 // domain should have, and orders them from the platform.
 //
-// Decide computes the targets from an observed Group. Demand keeps the sizes of recent
-// steps. Orderer observes the groups each second and orders engines to reach the targets:
+// Demand keeps the sizes of recent steps. Orderer observes the groups each second and
+// orders engines to reach the targets. The targets depend only on what is observed:
 //
 //	targets := capacity.Decide(capacity.Group{
 //		Slots: 8,
--- a/internal/fleet/capacity/orderer.go
+++ b/internal/fleet/capacity/orderer.go
@@ -73,11 +73,14 @@
 
 // domainState records the orders to a failure domain under the current fencing token.
 type domainState struct {
+	// ordered says that the last order was accepted and still counts, count is the
+	// number of engines it asked for, and orderedAt is its time.
 	ordered   bool
 	count     int
 	orderedAt timer.Instant
 	// peak is the largest number of engines seen since the last detected reclaim.
-	peak         int
+	peak int
+	// backoffUntil is the end of the backoff after a refused order.
 	backoffUntil timer.Instant
 }
 
--- a/internal/fleet/duty/holder.go
+++ b/internal/fleet/duty/holder.go
@@ -77,7 +77,8 @@
 	lease     uint64
 	callsFrom timer.Instant
 	holds     atomic.Bool
-	missing   missingHolder
+	// missing is the holder that was found to be missing, if any.
+	missing missingHolder
 	// waitOver says that the stored value no longer has the waiting mark.
 	waitOver bool
 }
--- a/internal/fleet/usage/doc.go
+++ b/internal/fleet/usage/doc.go
@@ -1,8 +1,7 @@
 // Package usage counts how many requests of each organisation began to run in each time
 // window, and reports each window once.
 //
-// Each instance counts with a Meter. Its Sender sends all recent counts to two collectors
-// in its failure domain each time:
+// Each instance counts with a Meter:
 //
 //	meter := &usage.Meter{
 //		Length: 5 * time.Second,
@@ -11,8 +10,9 @@
 //	undo := meter.Began("saddlers")
 //	undo() // the upstream did not run the request
 //
-// So the counts survive the loss of an instance, and the one instance that reports, the
-// holder of the duty, asks only the collectors. Its Reporter stores a report before it
-// sends it, so an instance that takes over either sends exactly the same report again or
-// continues with the next window.
+// A Sender sends the counts to two Collectors in the failure domain of the instance, each
+// time all recent ones. So the counts survive the loss of an instance, and the one instance
+// that reports, the holder of the duty, asks only the collectors. Its Reporter stores a
+// report before it sends it, so an instance that takes over either sends exactly the same
+// report again or continues with the next window.
 package usage
--- a/internal/fleet/weights/orderer.go
+++ b/internal/fleet/weights/orderer.go
@@ -138,7 +138,8 @@
 	countKnown bool
 	// waitUntil is when the engine stops counting as loading if nothing else shows it.
 	waitUntil timer.Instant
-	loading   bool
+	// loading says that the engine counts as still carrying out order.
+	loading bool
 	// reported holds the versions that the engine itself reported.
 	reported map[string]uint64
 }
