--- /dev/null
+++ b/internal/fleet/weights/assignment.go
@@ -0,0 +1,109 @@
+package weights
+
+import (
+	"maps"
+	"time"
+
+	"github.com/egretbend/egretbend/internal/kernel/timer"
+)
+
+const (
+	// activeWindow is how long a model counts as active after a step of it was
+	// requested. A running trainer requests the next step within that time.
+	activeWindow = 10 * time.Second
+	// assignmentTTL is how long a cached assignment is used.
+	assignmentTTL = 100 * time.Millisecond
+)
+
+// cachedAssignment is the assignment of the engines of one service to models.
+type cachedAssignment struct {
+	computedAt timer.Instant
+	// complete is the argument of Sets.
+	complete bool
+	// modelOf holds the model of each engine, by engine ID.
+	modelOf map[string]string
+}
+
+// Asked records that a step of a model was requested, and its work in tokens.
+func (o *Orderer) Asked(model string, tokens int64) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.demand = o.demand.withStep(model, float64(tokens))
+	if o.stepRequestedAt == nil {
+		o.stepRequestedAt = make(map[string]timer.Instant)
+	}
+	o.stepRequestedAt[model] = o.Timer.Now()
+}
+
+// Sets returns the model to which each engine of a service is assigned, by engine ID,
+// while several models are active. While at most one model is active it returns nil,
+// and all engines serve all models. The assignment depends only on the list of engines
+// and the requested steps, so all instances compute nearly the same one without
+// communication. complete says that all requested steps are known by now; if it is
+// false, all configured models count as active, because steps of several trainers may
+// begin at the same moment.
+func (o *Orderer) Sets(service string, complete bool) map[string]string {
+	cfg := o.Config.Current()
+	if cfg == nil || cfg.Services[service].Engine == nil {
+		return nil
+	}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	now := o.Timer.Now()
+	if d, ok := o.assignments[service]; ok && d.complete == complete && now.Sub(d.computedAt) < assignmentTTL {
+		return d.modelOf
+	}
+	models := cfg.Services[service].Engine.Models
+	if complete {
+		models = o.activeModels(models, now)
+	}
+	d := cachedAssignment{
+		computedAt: now,
+		complete:   complete,
+	}
+	if len(models) > 1 {
+		d.modelOf = o.assign(service, models)
+	}
+	if o.assignments == nil {
+		o.assignments = make(map[string]cachedAssignment)
+	}
+	o.assignments[service] = d
+	return d.modelOf
+}
+
+// activeModels returns the models with a step requested within activeWindow. The caller
+// holds o.mu.
+func (o *Orderer) activeModels(models []string, now timer.Instant) []string {
+	var active []string
+	for _, m := range models {
+		if at, ok := o.stepRequestedAt[m]; ok && now.Sub(at) < activeWindow {
+			active = append(active, m)
+		}
+	}
+	return active
+}
+
+// assign assigns the listed engines to models. The caller holds o.mu.
+func (o *Orderer) assign(service string, models []string) map[string]string {
+	var engines []Engine
+	// Only the instance that gives orders tracks the published versions. Others use
+	// the newest versions that engines have instead.
+	latest := maps.Clone(o.latest)
+	if latest == nil {
+		latest = make(map[string]uint64)
+	}
+	for _, u := range o.Book.Group(service).Upstreams {
+		if u.Leaving() {
+			continue
+		}
+		versions := u.Listed().Versions
+		for _, m := range models {
+			latest[m] = max(latest[m], versions[m])
+		}
+		engines = append(engines, Engine{
+			ID:       u.ID,
+			Versions: versions,
+		})
+	}
+	return Assign(engines, models, latest, o.demand)
+}
