--- a/internal/kernel/journal/doc.go
+++ b/internal/kernel/journal/doc.go
@@ -1,8 +1,16 @@
-// Package journal writes the log: one line of key=value pairs an event.
+// Package journal writes the structured log of an instance: each event is one
+// line of key=value pairs in logfmt.
 //
-//	j := journal.Open(os.Stderr, "info", "mechelen-a-1")
+//	j, err := journal.Open(os.Stderr, "info", "mechelen-a-1")
+//	if err != nil {
+//		return err
+//	}
 //	j.Decision("route", log.Fields{"chosen": "desk-3", "candidates": 8, "reason": "two_choices"})
 //
-// A decision line is written for every routing or placement decision and says
-// what was chosen, from how many, and why.
+// Every routing or placement decision is logged with what was chosen, from how
+// many candidates, and why. A Journal also keeps the latest decisions in memory;
+// Remembered finds those about a request or sample.
+//
+// Lines are buffered and written by Run. When the reader of the log is too slow,
+// lines are dropped, so that logging never blocks a request.
 package journal
--- a/internal/kernel/journal/journal.go
+++ b/internal/kernel/journal/journal.go
@@ -14,48 +14,49 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// FlushPeriod is how long a line may wait in the buffer before it is written.
+// FlushPeriod is the interval at which Run writes buffered lines.
 const FlushPeriod = 500 * time.Millisecond
 
-// bufferSize holds about a thousand decision lines.
-const bufferSize = 256 << 10
+// maxBufferSize is the capacity of the buffer in bytes, enough for about a thousand
+// decision lines.
+const maxBufferSize = 256 << 10
 
-// writeSize is the most bytes of one write. A larger one to a pipe may be split
-// anywhere, and its halves mixed with the lines of other instances.
-const writeSize = 4096
+// maxWriteSize is the largest write in bytes. The kernel may split a larger write
+// to a pipe anywhere and interleave the parts with lines of other instances.
+const maxWriteSize = 4096
 
-// Journal writes events. Its zero value drops them.
+// Journal writes log events. A nil or zero Journal discards them.
 type Journal struct {
-	log      *log.Entry
-	out      *buffer
-	instance string
-	memory   memory
-	forgets  bool
+	log             *log.Entry
+	out             *buffer
+	instance        string
+	history         history
+	historyDisabled bool
 }
 
-// Forget keeps the journal from remembering decisions, where nobody can ask for
-// them: they take some megabytes. It is called before the first one.
-func (j *Journal) Forget() { j.forgets = true }
+// Forget disables the in-memory history of decisions, which takes some megabytes,
+// for processes that offer no way to query it. Call it before the first decision.
+func (j *Journal) Forget() { j.historyDisabled = true }
 
-// buffer keeps lines together so that a request costs no write system call, and
-// drops lines when the reader of the log does not keep up: a full pipe would
-// otherwise hold every request that logs.
+// buffer collects lines so that a request makes no write system call. It drops
+// lines when the reader of the log does not keep up, since a full pipe would
+// otherwise block every request that logs.
 type buffer struct {
 	mu      sync.Mutex
 	lines   []byte
 	spare   []byte
 	dropped int
 
-	writing sync.Mutex
+	flushMu sync.Mutex
 	w       io.Writer
 }
 
-// Write implements io.Writer. It takes one whole line and never waits for the
-// reader.
+// Write implements io.Writer. It buffers one whole line, or drops it when the
+// buffer is full, and never waits for the reader of the log.
 func (b *buffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.lines)+len(p) > bufferSize {
+	if len(b.lines)+len(p) > maxBufferSize {
 		b.dropped++
 		return len(p), nil
 	}
@@ -63,10 +64,10 @@
 	return len(p), nil
 }
 
-// Flush writes what is buffered, and how many lines were dropped.
+// Flush writes the buffered lines, and a line with the number of dropped ones.
 func (b *buffer) Flush() error {
-	b.writing.Lock()
-	defer b.writing.Unlock()
+	b.flushMu.Lock()
+	defer b.flushMu.Unlock()
 	b.mu.Lock()
 	lines, dropped := b.lines, b.dropped
 	b.lines, b.spare, b.dropped = b.spare[:0], nil, 0
@@ -74,17 +75,18 @@
 	if dropped > 0 {
 		lines = fmt.Appendf(lines, "level=warn message=\"log lines dropped\" lines=%d\n", dropped)
 	}
-	err := b.writeWhole(lines)
+	err := b.writeLines(lines)
 	b.mu.Lock()
 	b.spare = lines
 	b.mu.Unlock()
 	return err
 }
 
-// writeWhole writes lines in pieces that end where a line ends.
-func (b *buffer) writeWhole(lines []byte) error {
+// writeLines writes lines in chunks of whole lines, each at most maxWriteSize
+// unless a single line is longer.
+func (b *buffer) writeLines(lines []byte) error {
 	for len(lines) > 0 {
-		n := wholeLines(lines, writeSize)
+		n := wholeLinesLen(lines, maxWriteSize)
 		if _, err := b.w.Write(lines[:n]); err != nil {
 			return err
 		}
@@ -93,13 +95,13 @@
 	return nil
 }
 
-// wholeLines returns the length of the lines that fit into some bytes, at least
-// that of the first one.
-func wholeLines(lines []byte, most int) int {
-	if len(lines) <= most {
+// wholeLinesLen returns the length of the leading whole lines that fit into limit
+// bytes, or the length of the first line when it alone is longer.
+func wholeLinesLen(lines []byte, limit int) int {
+	if len(lines) <= limit {
 		return len(lines)
 	}
-	if end := bytes.LastIndexByte(lines[:most], '\n'); end >= 0 {
+	if end := bytes.LastIndexByte(lines[:limit], '\n'); end >= 0 {
 		return end + 1
 	}
 	if end := bytes.IndexByte(lines, '\n'); end >= 0 {
@@ -108,8 +110,8 @@
 	return len(lines)
 }
 
-// Open returns a journal that writes to w from the named level up. Every line
-// carries the instance's name.
+// Open returns a journal that writes events of the given level and above to w.
+// Every line carries the name of the instance.
 func Open(w io.Writer, level, instance string) (*Journal, error) {
 	lv, err := log.ParseLevel(level)
 	if err != nil {
@@ -129,7 +131,7 @@
 	}, nil
 }
 
-// Run flushes the buffer until t dies, and once more then.
+// Run flushes the buffer every FlushPeriod, and a last time when t is dying.
 func (j *Journal) Run(t *tomb.Tomb, svc timer.Service) error {
 	sub := svc.Every(FlushPeriod)
 	defer sub.Close()
@@ -143,7 +145,7 @@
 	}
 }
 
-// Flush writes what is buffered.
+// Flush writes the buffered lines.
 func (j *Journal) Flush() error {
 	if j == nil || j.out == nil {
 		return nil
@@ -151,37 +153,39 @@
 	return j.out.Flush()
 }
 
-// Decision writes one routing or placement decision.
-func (j *Journal) Decision(what string, fields log.Fields) {
+// Decision logs a routing or placement decision at level info and adds it to the
+// in-memory history.
+func (j *Journal) Decision(kind string, fields log.Fields) {
 	if j == nil || j.log == nil {
 		return
 	}
-	if !j.forgets {
-		j.memory.add(what, fields)
+	if !j.historyDisabled {
+		j.history.add(kind, fields)
 	}
-	j.log.WithFields(fields).WithField("decision", what).Info("decision")
+	j.log.WithFields(fields).WithField("decision", kind).Info("decision")
 }
 
-// Event writes one event at level info.
-func (j *Journal) Event(what string, fields log.Fields) {
+// Event logs an event at level info.
+func (j *Journal) Event(message string, fields log.Fields) {
 	if j == nil || j.log == nil {
 		return
 	}
-	j.log.WithFields(fields).Info(what)
+	j.log.WithFields(fields).Info(message)
 }
 
-// Detail writes one event at level debug.
-func (j *Journal) Detail(what string, fields log.Fields) {
+// Detail logs an event at level debug.
+func (j *Journal) Detail(message string, fields log.Fields) {
 	if j == nil || j.log == nil || j.log.Logger.Level > log.DebugLevel {
 		return
 	}
-	j.log.WithFields(fields).Debug(what)
+	j.log.WithFields(fields).Debug(message)
 }
 
-// Trouble writes one event that an operator may want to read the next day.
-func (j *Journal) Trouble(what string, err error, fields log.Fields) {
+// Trouble logs an event with its error at level warn, for problems that an operator
+// may want to read about the next day.
+func (j *Journal) Trouble(message string, err error, fields log.Fields) {
 	if j == nil || j.log == nil {
 		return
 	}
-	j.log.WithFields(fields).WithError(err).Warn(what)
+	j.log.WithFields(fields).WithError(err).Warn(message)
 }
--- a/internal/kernel/journal/journal_test.go
+++ b/internal/kernel/journal/journal_test.go
@@ -12,24 +12,25 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// stuck is the reader of a log that does not keep up.
-type stuck struct {
+// blockedWriter blocks every write until release is closed, like a full pipe whose
+// reader does not keep up.
+type blockedWriter struct {
 	bytes.Buffer
-	goOn chan struct{}
+	release chan struct{}
 }
 
 // Write implements io.Writer.
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.goOn
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.release
 	return s.Buffer.Write(p)
 }
 
-// Whoever reads the log stops reading. Requests must go on: lines are dropped,
-// and the log says how many.
-func TestStuckReaderHoldsNobody(t *testing.T) {
+// Guards against requests that block on logging when the reader of the log stops
+// reading: lines must be dropped instead, and the log must say that they were.
+func TestBlockedWriterDoesNotBlockCallers(t *testing.T) {
 	is := is.New(t)
-	w := &stuck{
-		goOn: make(chan struct{}),
+	w := &blockedWriter{
+		release: make(chan struct{}),
 	}
 	j, err := Open(w, "info", "gent-a-1")
 	is.NoErr(err)
@@ -46,27 +47,28 @@
 		close(done)
 	}()
 	if timer.Wait(timer.Real{}, 20*time.Second, done) {
-		t.Fatal("a decision waits for the reader")
+		t.Fatal("Decision blocks while the reader of the log is stuck")
 	}
-	close(w.goOn)
+	close(w.release)
 	is.NoErr(<-flushed)
 	is.NoErr(j.Flush())
 	is.True(strings.Contains(w.String(), "log lines dropped"))
 }
 
-// pieces keeps each write by itself, as a pipe does.
-type pieces [][]byte
+// recordedWrites records each write separately, as the writes to a pipe arrive.
+type recordedWrites [][]byte
 
 // Write implements io.Writer.
-func (p *pieces) Write(data []byte) (int, error) {
+func (p *recordedWrites) Write(data []byte) (int, error) {
 	*p = append(*p, bytes.Clone(data))
 	return len(data), nil
 }
 
-// Guards against lines that are torn where a pipe splits a large write.
-func TestLinesAreWrittenWhole(t *testing.T) {
+// Guards against torn lines: a pipe may split a write above maxWriteSize in the
+// middle of a line.
+func TestWritesEndAtLineEnds(t *testing.T) {
 	is := is.New(t)
-	var w pieces
+	var w recordedWrites
 	j, err := Open(&w, "info", "gent-a-1")
 	is.NoErr(err)
 	for range 200 {
@@ -74,14 +76,14 @@
 			"request_id": "7c41e09b52d6a3f8",
 		})
 	}
-	long := strings.Repeat("x", 2*writeSize)
+	long := strings.Repeat("x", 2*maxWriteSize)
 	j.Event(long, log.Fields{})
 	is.NoErr(j.Flush())
 	lines := 0
 	for _, piece := range w {
 		is.Equal(piece[len(piece)-1], byte('\n'))
 		n := bytes.Count(piece, []byte{'\n'})
-		is.True(n == 1 || len(piece) <= writeSize)
+		is.True(n == 1 || len(piece) <= maxWriteSize)
 		lines += n
 	}
 	is.Equal(lines, 201)
--- a/internal/kernel/part/doc.go
+++ b/internal/kernel/part/doc.go
@@ -1,7 +1,8 @@
-// Package part is the kernel: parts register themselves, and a Host starts
-// them in order of their stage and stops them in reverse.
+// Package part manages the life cycle of an instance's components, called parts.
+// Parts register themselves, and a Host starts them in order of their Stage and
+// stops them in reverse order.
 //
-// A part's package registers a factory in its init function:
+// A part's package registers a Factory in its init function:
 //
 //	func init() {
 //		part.Register(part.Factory{
@@ -11,8 +12,8 @@
 //		})
 //	}
 //
-// A factory publishes what others need with Put and takes what it needs with
-// Get. Smaller families of plug-ins (routing policies, platform adapters) each
-// keep a Registry of their own. The registries are the program's only package
-// variables: an init function has nowhere else to write to.
+// A factory publishes values for parts of later stages with Put and obtains its
+// own dependencies with Get. Other kinds of plug-ins, such as routing policies and
+// platform adapters, each have a Registry of their own. The registries are the only
+// package variables that hold state: an init function has nowhere else to write to.
 package part
--- a/internal/kernel/part/host.go
+++ b/internal/kernel/part/host.go
@@ -15,12 +15,13 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// Stage orders the start of parts; they stop in reverse.
+// Stage determines when a part starts. Parts stop in reverse order.
 type Stage int
 
-// The stages, in order of start. Doors open last and close first, so that
-// requests in flight at the end still have all they need; peers are heard until
-// the doors are closed, so that the fleet learns that this instance leaves.
+// The stages, in order of start. The listener for clients starts last and stops
+// first, so that requests in flight at shutdown still have all they need. The
+// listener for other instances stops after it, so that the fleet learns that this
+// instance is leaving.
 const (
 	StagePlatform Stage = iota
 	StageMember
@@ -33,16 +34,16 @@
 	StageListen
 )
 
-// Part is a running piece of an instance.
+// Part is a component of an instance that can be started and stopped.
 type Part interface {
 	// Start begins the part's goroutines under t and returns.
 	Start(t *tomb.Tomb) error
-	// Stop begins a graceful end. It returns when nothing of the part's work
-	// is left that others wait for; t is killed after that.
+	// Stop shuts the part down gracefully. It returns when no work is left that
+	// others wait for; the tomb passed to Start is killed after that.
 	Stop()
 }
 
-// Factory makes one part.
+// Factory creates a part. Name must be unique among all parts.
 type Factory struct {
 	Name  string
 	Stage Stage
@@ -51,62 +52,62 @@
 
 var factories Registry[Factory]
 
-// Register adds a factory to those that every host starts.
+// Register adds a factory whose part every Host starts. It panics when the name is
+// taken.
 func Register(f Factory) { factories.Add(f.Name, f) }
 
-// Host carries what all parts share, and the parts.
+// Host runs the parts of an instance and holds what they share.
 type Host struct {
 	Settings setting.Instance
 	Timer    timer.Service
 	Journal  *journal.Journal
 	Metrics  *prometheus.Registry
 
-	shared  map[reflect.Type]any
-	running []running
-	leave   chan struct{}
-	once    sync.Once
+	published    map[reflect.Type]any
+	running      []runningPart
+	shutdown     chan struct{}
+	shutdownOnce sync.Once
 }
 
-// Leaving returns a channel that is closed by Leave. It must be called once
-// before the parts start.
+// Leaving returns a channel that Leave closes. Call it once, before Start.
 func (h *Host) Leaving() <-chan struct{} {
-	h.leave = make(chan struct{})
-	return h.leave
+	h.shutdown = make(chan struct{})
+	return h.shutdown
 }
 
-// Leave asks the program to stop this instance gracefully.
+// Leave asks the program to shut this instance down gracefully.
 func (h *Host) Leave() {
-	if h.leave != nil {
-		h.once.Do(func() { close(h.leave) })
+	if h.shutdown != nil {
+		h.shutdownOnce.Do(func() { close(h.shutdown) })
 	}
 }
 
-type running struct {
+type runningPart struct {
 	name string
 	part Part
 	tomb *tomb.Tomb
 }
 
-// Put publishes v to parts made later.
+// Put publishes v under its type T for parts that are created later.
 func Put[T any](h *Host, v T) {
-	if h.shared == nil {
-		h.shared = make(map[reflect.Type]any)
+	if h.published == nil {
+		h.published = make(map[reflect.Type]any)
 	}
-	h.shared[reflect.TypeFor[T]()] = v
+	h.published[reflect.TypeFor[T]()] = v
 }
 
-// Get returns what an earlier part published under type T. It panics when
-// there is none: the stages are then wrong, which can only be a mistake in the
-// program.
+// Get returns the value that an earlier part published under type T. It panics when
+// there is none, since that means that the order of stages in the program is wrong.
 func Get[T any](h *Host) T {
-	v, ok := h.shared[reflect.TypeFor[T]()]
+	v, ok := h.published[reflect.TypeFor[T]()]
 	if !ok {
-		panic(fmt.Sprintf("part: nothing published as %v", reflect.TypeFor[T]()))
+		panic(fmt.Sprintf("part: no value published under type %v", reflect.TypeFor[T]()))
 	}
 	return v.(T)
 }
 
-// Start makes and starts all registered parts in order.
+// Start creates and starts all registered parts in order of their stage. When one
+// fails, it stops those already started.
 func (h *Host) Start() error {
 	var list []Factory
 	for _, name := range factories.Names() {
@@ -131,8 +132,8 @@
 		return err
 	}
 	t := &tomb.Tomb{}
-	// A tomb that never ran a goroutine is never dead, and Stop would wait for
-	// it for ever.
+	// A tomb that never ran a goroutine never becomes dead, and Stop would wait
+	// for it forever.
 	t.Go(func() error {
 		<-t.Dying()
 		return nil
@@ -140,7 +141,7 @@
 	if err := p.Start(t); err != nil {
 		return err
 	}
-	h.running = append(h.running, running{
+	h.running = append(h.running, runningPart{
 		name: f.Name,
 		part: p,
 		tomb: t,
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// Stop ends all parts in reverse order and returns what went wrong.
+// Stop stops all parts in reverse order and returns their joined errors.
 func (h *Host) Stop() error {
 	var errs []error
 	for i := len(h.running) - 1; i >= 0; i-- {
@@ -163,7 +164,7 @@
 	return errors.Join(errs...)
 }
 
-// Idle is a Part without work of its own, for those that only publish state.
+// Idle is a Part that does nothing, for factories that only publish a value.
 type Idle struct{}
 
 // Start implements Part.
--- a/internal/kernel/part/registry.go
+++ b/internal/kernel/part/registry.go
@@ -7,14 +7,15 @@
 	"sync"
 )
 
-// Registry holds plug-ins of one family by name. Its zero value works.
+// Registry holds plug-ins of one kind by name. The zero value is ready to use, and
+// it is safe for concurrent use.
 type Registry[T any] struct {
 	mu sync.RWMutex
 	m  map[string]T
 }
 
-// Add registers v. It panics on a name that is taken, which can only be a
-// mistake in the program.
+// Add registers v under name. It panics when the name is taken, since that is a
+// programming error.
 func (r *Registry[T]) Add(name string, v T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -27,7 +28,8 @@
 	r.m[name] = v
 }
 
-// Find returns the plug-in called name.
+// Find returns the plug-in registered under name, or an error that lists the known
+// names.
 func (r *Registry[T]) Find(name string) (T, error) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -38,7 +40,7 @@
 	return v, nil
 }
 
-// Names returns all names in order.
+// Names returns all names in alphabetical order.
 func (r *Registry[T]) Names() []string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
