--- a/internal/kernel/problem/decode.go
+++ b/internal/kernel/problem/decode.go
@@ -7,7 +7,7 @@
 	"net/http"
 )
 
-// ReadBody reads a body of at most limit bytes.
+// ReadBody reads a request body of at most limit bytes.
 func ReadBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -20,7 +20,7 @@
 	return b, nil
 }
 
-// ReadJSON reads a JSON body of at most limit bytes into v and refuses
+// ReadJSON decodes a JSON request body of at most limit bytes into v and rejects
 // unknown fields.
 func ReadJSON(w http.ResponseWriter, r *http.Request, limit int64, v any) error {
 	r.Body = http.MaxBytesReader(w, r.Body, limit)
--- a/internal/kernel/problem/error.go
+++ b/internal/kernel/problem/error.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Error is a Kind with what happened this time. It is immutable.
+// Error is one occurrence of a Kind with its cause. It is immutable.
 type Error struct {
 	Kind       Kind
 	Cause      error
@@ -26,7 +26,7 @@
 	return k.With(fmt.Errorf(format, args...))
 }
 
-// Error implements error and names the remedy.
+// Error implements error. The text contains the code, the cause and the remedy.
 func (e *Error) Error() string {
 	if e.Cause == nil {
 		return fmt.Sprintf("%s: %s", e.Kind.Code, e.Kind.Remedy)
@@ -34,7 +34,8 @@
 	return fmt.Sprintf("%s: %v; remedy: %s", e.Kind.Code, e.Cause, e.Kind.Remedy)
 }
 
-// message is what happened this time; code and remedy stand beside it.
+// message returns the message for a response body, which carries the code and the
+// remedy in fields of their own.
 func (e *Error) message() string {
 	if e.Cause == nil {
 		return e.Kind.Code
@@ -45,7 +46,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// WithRetryAfter returns a copy that tells when to come back.
+// WithRetryAfter returns a copy that tells the client how long to wait before it
+// retries.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
@@ -59,7 +61,7 @@
 	return &c
 }
 
-// From returns err as an *Error; an untyped error becomes Internal.
+// From returns the *Error in the chain of err, or Internal with err as its cause.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -68,7 +70,7 @@
 	return Internal.With(err)
 }
 
-// Is reports whether err is of kind k.
+// Is reports whether the chain of err contains an *Error of kind k.
 func Is(err error, k Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind.Code == k.Code
--- a/internal/kernel/problem/http.go
+++ b/internal/kernel/problem/http.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Body is the JSON form of an Error on every door.
+// Body is the JSON body of every error response.
 type Body struct {
 	Code         string  `json:"code"`
 	Message      string  `json:"message"`
@@ -16,10 +16,11 @@
 	RetryAfterMS int64   `json:"retry_after_ms,omitempty"`
 }
 
-// HeaderOutcome carries the outcome of a failed request.
+// HeaderOutcome is the response header with the Outcome of a failed request.
 const HeaderOutcome = "Egretbend-Outcome"
 
-// Write answers a request with err as JSON.
+// Write sends err as a JSON error response, with Retry-After rounded up to whole
+// seconds.
 func Write(w http.ResponseWriter, err error) {
 	e := From(err)
 	body := Body{
@@ -37,7 +38,7 @@
 	WriteJSON(w, e.Kind.Status, body)
 }
 
-// WriteJSON answers a request with v as JSON.
+// WriteJSON sends v as a JSON response with the given status.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/kernel/problem/kind.go
+++ b/internal/kernel/problem/kind.go
@@ -12,7 +12,7 @@
 	Unknown Outcome = "unknown"
 )
 
-// Kind is one sort of failure.
+// Kind is a class of failures with a stable code.
 type Kind struct {
 	Code    string
 	Status  int
@@ -20,7 +20,7 @@
 	Outcome Outcome
 }
 
-func kind(code string, status int, outcome Outcome, remedy string) Kind {
+func newKind(code string, status int, outcome Outcome, remedy string) Kind {
 	return Kind{
 		Code:    code,
 		Status:  status,
@@ -29,66 +29,66 @@
 	}
 }
 
-// The kinds of failure, by code.
+// The kinds of failure. Each has a code of its own.
 var (
-	BadRequest = kind("bad_request", http.StatusBadRequest, NotRun,
+	BadRequest = newKind("bad_request", http.StatusBadRequest, NotRun,
 		"correct the named field and send the request again")
-	MissingHeader = kind("missing_header", http.StatusBadRequest, NotRun,
+	MissingHeader = newKind("missing_header", http.StatusBadRequest, NotRun,
 		"add the named header and send the request again")
-	TooLarge = kind("too_large", http.StatusRequestEntityTooLarge, NotRun,
+	TooLarge = newKind("too_large", http.StatusRequestEntityTooLarge, NotRun,
 		"send a body below the named limit")
-	Unauthorized = kind("unauthorized", http.StatusUnauthorized, NotRun,
+	Unauthorized = newKind("unauthorized", http.StatusUnauthorized, NotRun,
 		"send the key for this door as a bearer token")
-	NotFound = kind("not_found", http.StatusNotFound, NotRun,
+	NotFound = newKind("not_found", http.StatusNotFound, NotRun,
 		"check the path against docs/API.md")
-	UnknownDeployment = kind("unknown_deployment", http.StatusNotFound, NotRun,
+	UnknownDeployment = newKind("unknown_deployment", http.StatusNotFound, NotRun,
 		"list deployments with `egretbend config get` and use one of their names")
-	TicketRequired = kind("ticket_required", http.StatusPreconditionRequired, NotRun,
+	TicketRequired = newKind("ticket_required", http.StatusPreconditionRequired, NotRun,
 		"get a ticket with POST /v1/tickets and send it as Egretbend-Ticket")
-	TicketExpired = kind("ticket_expired", http.StatusGone, Unknown,
+	TicketExpired = newKind("ticket_expired", http.StatusGone, Unknown,
 		"check at the service whether the first try ran before asking with a new ticket")
-	TicketMismatch = kind("ticket_mismatch", http.StatusConflict, NotRun,
+	TicketMismatch = newKind("ticket_mismatch", http.StatusConflict, NotRun,
 		"use one ticket for one request only")
-	TicketHolderGone = kind("ticket_holder_gone", http.StatusBadGateway, Unknown,
+	TicketHolderGone = newKind("ticket_holder_gone", http.StatusBadGateway, Unknown,
 		"check at the service whether the first try ran before asking with a new ticket")
-	Overloaded = kind("overloaded", http.StatusTooManyRequests, NotRun,
+	Overloaded = newKind("overloaded", http.StatusTooManyRequests, NotRun,
 		"ask again after the time in Retry-After")
-	NoUpstream = kind("no_upstream", http.StatusServiceUnavailable, NotRun,
+	NoUpstream = newKind("no_upstream", http.StatusServiceUnavailable, NotRun,
 		"ask again after the time in Retry-After; operators look at the instance list")
-	Leaving = kind("leaving", http.StatusServiceUnavailable, NotRun,
+	Leaving = newKind("leaving", http.StatusServiceUnavailable, NotRun,
 		"ask any other instance for addresses")
-	NotReady = kind("not_ready", http.StatusServiceUnavailable, NotRun,
+	NotReady = newKind("not_ready", http.StatusServiceUnavailable, NotRun,
 		"ask another instance; this one has no configuration yet")
-	Unconfirmed = kind("unconfirmed", http.StatusServiceUnavailable, NotRun,
+	Unconfirmed = newKind("unconfirmed", http.StatusServiceUnavailable, NotRun,
 		"ask another instance; this one can't tell at the moment which keys still hold")
-	DeadlineBeforeRun = kind("deadline_before_run", http.StatusGatewayTimeout, NotRun,
+	DeadlineBeforeRun = newKind("deadline_before_run", http.StatusGatewayTimeout, NotRun,
 		"ask again with a longer Egretbend-Deadline-Ms")
-	UpstreamRefused = kind("upstream_refused", http.StatusServiceUnavailable, NotRun,
+	UpstreamRefused = newKind("upstream_refused", http.StatusServiceUnavailable, NotRun,
 		"ask again after the time in Retry-After")
-	Quarantined = kind("request_quarantined", http.StatusServiceUnavailable, NotRun,
+	Quarantined = newKind("request_quarantined", http.StatusServiceUnavailable, NotRun,
 		"send another request, or the same after the time in Retry-After")
-	UpstreamFailed = kind("upstream_failed", http.StatusBadGateway, Unknown,
+	UpstreamFailed = newKind("upstream_failed", http.StatusBadGateway, Unknown,
 		"repeat an idempotent request; for others check at the service first")
-	UpstreamTimeout = kind("upstream_timeout", http.StatusGatewayTimeout, Unknown,
+	UpstreamTimeout = newKind("upstream_timeout", http.StatusGatewayTimeout, Unknown,
 		"repeat an idempotent request; for others check at the service first")
-	AnswerRejected = kind("answer_rejected", http.StatusBadGateway, Unknown,
+	AnswerRejected = newKind("answer_rejected", http.StatusBadGateway, Unknown,
 		"repeat an idempotent request; the upstream's answer was cut short or not for this request")
-	Conflict = kind("conflict", http.StatusConflict, NotRun,
+	Conflict = newKind("conflict", http.StatusConflict, NotRun,
 		"read the current revision, apply the change to it and put it again")
-	ChangeUnknown = kind("change_unknown", http.StatusServiceUnavailable, Unknown,
+	ChangeUnknown = newKind("change_unknown", http.StatusServiceUnavailable, Unknown,
 		"ask GET /v1/configuration/changes/ID later; don't put another change before that")
-	PlatformDown = kind("platform_down", http.StatusServiceUnavailable, NotRun,
+	PlatformDown = newKind("platform_down", http.StatusServiceUnavailable, NotRun,
 		"wait until the key-value service answers; requests and samples go on meanwhile")
-	SessionFenced = kind("session_fenced", http.StatusConflict, NotRun,
+	SessionFenced = newKind("session_fenced", http.StatusConflict, NotRun,
 		"open a session with a higher number")
-	SessionUnknown = kind("session_unknown", http.StatusNotFound, NotRun,
+	SessionUnknown = newKind("session_unknown", http.StatusNotFound, NotRun,
 		"open a session with a higher number at any instance and submit open steps again")
-	CursorUnknown = kind("cursor_unknown", http.StatusConflict, NotRun,
+	CursorUnknown = newKind("cursor_unknown", http.StatusConflict, NotRun,
 		"read with the cursor of the last answer taken in this session")
-	StepConflict = kind("step_conflict", http.StatusConflict, NotRun,
+	StepConflict = newKind("step_conflict", http.StatusConflict, NotRun,
 		"submit a step number once with the same groups")
-	VersionBehind = kind("version_behind", http.StatusConflict, NotRun,
+	VersionBehind = newKind("version_behind", http.StatusConflict, NotRun,
 		"publish a version above the newest one")
-	Internal = kind("internal", http.StatusInternalServerError, Unknown,
+	Internal = newKind("internal", http.StatusInternalServerError, Unknown,
 		"report it with the request id and the log lines of this instance")
 )
--- a/internal/kernel/setting/decode.go
+++ b/internal/kernel/setting/decode.go
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// Fault is one wrong field.
+// Fault describes one invalid field of a file.
 type Fault struct {
 	Path     string
 	Expected string
@@ -24,10 +24,10 @@
 	return fmt.Sprintf("%s: expected %s, got %s; %s", f.Path, f.Expected, f.Got, f.Remedy)
 }
 
-// Faults are all that is wrong with a file.
+// Faults lists all invalid fields of a file.
 type Faults []Fault
 
-// Error implements error with one line a fault.
+// Error implements error. Each fault is one line of the text.
 func (f Faults) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, fault := range f {
@@ -36,13 +36,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// Checker is implemented by types with rules beyond their tags.
+// Checker is implemented by types with validation rules that tags can't express.
 type Checker interface {
-	// Check returns what is wrong, with paths below path.
+	// Check validates the receiver, whose path in the file is path, and returns a
+	// fault for each violated rule.
 	Check(path string) []Fault
 }
 
-// Decode reads data into v, a pointer to a struct, and returns Faults.
+// Decode decodes JSON data into v, a pointer to a struct. Its error is of type
+// Faults, sorted by path. Checkers run only when all fields are valid by their tags.
 func Decode(data []byte, v any) error {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
@@ -52,12 +54,12 @@
 			Path:     "(file)",
 			Expected: "JSON",
 			Got:      err.Error(),
-			Remedy:   "mend the syntax at that place",
+			Remedy:   "fix the syntax error at that position",
 		}}
 	}
 	var faults Faults
 	rv := reflect.ValueOf(v).Elem()
-	fill(rv, raw, "", &faults)
+	decodeValue(rv, raw, "", &faults)
 	if len(faults) == 0 {
 		runChecks(rv, "", &faults)
 	}
@@ -68,23 +70,25 @@
 	return nil
 }
 
-func fill(rv reflect.Value, raw any, path string, faults *Faults) {
+// decodeValue sets rv to raw, a value decoded from JSON, and adds a fault for each
+// part that doesn't fit the type.
+func decodeValue(rv reflect.Value, raw any, path string, faults *Faults) {
 	switch rv.Kind() {
 	case reflect.Pointer:
 		rv.Set(reflect.New(rv.Type().Elem()))
-		fill(rv.Elem(), raw, path, faults)
+		decodeValue(rv.Elem(), raw, path, faults)
 	case reflect.Struct:
-		fillStruct(rv, raw, path, faults)
+		decodeStruct(rv, raw, path, faults)
 	case reflect.Slice:
-		fillSlice(rv, raw, path, faults)
+		decodeSlice(rv, raw, path, faults)
 	case reflect.Map:
-		fillMap(rv, raw, path, faults)
+		decodeMap(rv, raw, path, faults)
 	default:
-		fillScalar(rv, raw, path, faults)
+		decodeScalar(rv, raw, path, faults)
 	}
 }
 
-func fillStruct(rv reflect.Value, raw any, path string, faults *Faults) {
+func decodeStruct(rv reflect.Value, raw any, path string, faults *Faults) {
 	m, ok := raw.(map[string]any)
 	if !ok {
 		faults.add(path, "an object", raw, "write {...}")
@@ -98,27 +102,29 @@
 			continue
 		}
 		known[name] = true
-		fillField(rv.Field(i), field, m, join(path, name), faults)
+		decodeField(rv.Field(i), field, m, joinPath(path, name), faults)
 	}
 	for name, got := range m {
 		if !known[name] {
-			faults.add(join(path, name), "no such field", got, "remove it or use one of "+strings.Join(sortedKeys(known), ", "))
+			faults.add(joinPath(path, name), "no such field", got, "remove it or use one of "+strings.Join(sortedKeys(known), ", "))
 		}
 	}
 }
 
-func fillField(fv reflect.Value, field reflect.StructField, m map[string]any, path string, faults *Faults) {
+// decodeField sets one struct field from the object m. An absent or null field gets
+// its default; an absent struct without a default gets those of its fields.
+func decodeField(fv reflect.Value, field reflect.StructField, m map[string]any, path string, faults *Faults) {
 	got, present := m[jsonName(field)]
 	if present && got != nil {
 		before := len(*faults)
-		fill(fv, got, path, faults)
+		decodeValue(fv, got, path, faults)
 		if len(*faults) == before {
 			checkTags(fv, field.Tag, got, path, faults)
 		}
 		return
 	}
 	if field.Tag.Get("need") == "true" {
-		faults.add(path, describe(field.Type), nil, "add the field")
+		faults.add(path, describeType(field.Type), nil, "add the field")
 		return
 	}
 	if d, ok := field.Tag.Lookup("default"); ok {
@@ -126,11 +132,11 @@
 		return
 	}
 	if field.Type.Kind() == reflect.Struct {
-		fill(fv, map[string]any{}, path, faults)
+		decodeValue(fv, map[string]any{}, path, faults)
 	}
 }
 
-func fillSlice(rv reflect.Value, raw any, path string, faults *Faults) {
+func decodeSlice(rv reflect.Value, raw any, path string, faults *Faults) {
 	list, ok := raw.([]any)
 	if !ok {
 		faults.add(path, "a list", raw, "write [...]")
@@ -138,11 +144,11 @@
 	}
 	rv.Set(reflect.MakeSlice(rv.Type(), len(list), len(list)))
 	for i, item := range list {
-		fill(rv.Index(i), item, fmt.Sprintf("%s[%d]", path, i), faults)
+		decodeValue(rv.Index(i), item, fmt.Sprintf("%s[%d]", path, i), faults)
 	}
 }
 
-func fillMap(rv reflect.Value, raw any, path string, faults *Faults) {
+func decodeMap(rv reflect.Value, raw any, path string, faults *Faults) {
 	m, ok := raw.(map[string]any)
 	if !ok {
 		faults.add(path, "an object", raw, "write {...}")
@@ -151,13 +157,13 @@
 	rv.Set(reflect.MakeMap(rv.Type()))
 	for key, item := range m {
 		elem := reflect.New(rv.Type().Elem()).Elem()
-		fill(elem, item, join(path, key), faults)
+		decodeValue(elem, item, joinPath(path, key), faults)
 		rv.SetMapIndex(reflect.ValueOf(key), elem)
 	}
 }
 
-func fillScalar(rv reflect.Value, raw any, path string, faults *Faults) {
-	expected := describe(rv.Type())
+func decodeScalar(rv reflect.Value, raw any, path string, faults *Faults) {
+	expected := describeType(rv.Type())
 	switch rv.Kind() {
 	case reflect.String:
 		if s, ok := raw.(string); ok {
@@ -194,14 +200,15 @@
 	faults.add(path, expected, raw, "write "+expected)
 }
 
+// checkTags checks a decoded field against its oneof, min and max tags.
 func checkTags(fv reflect.Value, tag reflect.StructTag, got any, path string, faults *Faults) {
-	if words := tag.Get("oneof"); words != "" && fv.Kind() == reflect.String {
-		if slices.Contains(strings.Split(words, ","), fv.String()) {
+	if allowed := tag.Get("oneof"); allowed != "" && fv.Kind() == reflect.String {
+		if slices.Contains(strings.Split(allowed, ","), fv.String()) {
 			return
 		}
-		faults.add(path, "one of "+words, got, "choose one of them")
+		faults.add(path, "one of "+allowed, got, "choose one of them")
 	}
-	n, isNumber := number(fv)
+	n, isNumber := numericValue(fv)
 	if !isNumber {
 		return
 	}
@@ -213,6 +220,7 @@
 	}
 }
 
+// runChecks calls every Checker in rv and in its struct fields and list items.
 func runChecks(rv reflect.Value, path string, faults *Faults) {
 	if rv.CanAddr() {
 		if c, ok := rv.Addr().Interface().(Checker); ok {
@@ -223,7 +231,7 @@
 	case reflect.Struct:
 		for i := range rv.NumField() {
 			if name := jsonName(rv.Type().Field(i)); name != "" {
-				runChecks(rv.Field(i), join(path, name), faults)
+				runChecks(rv.Field(i), joinPath(path, name), faults)
 			}
 		}
 	case reflect.Slice:
@@ -233,7 +241,7 @@
 	}
 }
 
-func number(fv reflect.Value) (float64, bool) {
+func numericValue(fv reflect.Value) (float64, bool) {
 	switch fv.Kind() {
 	case reflect.Int, reflect.Int64:
 		return float64(fv.Int()), true
@@ -245,6 +253,8 @@
 	return 0, false
 }
 
+// setDefault sets fv to the value of a default tag: the text itself for a string,
+// JSON for other types.
 func setDefault(fv reflect.Value, d string) {
 	var raw any
 	dec := json.NewDecoder(strings.NewReader(d))
@@ -253,7 +263,7 @@
 		raw = d
 	}
 	var ignored Faults
-	fill(fv, raw, "", &ignored)
+	decodeValue(fv, raw, "", &ignored)
 }
 
 func (f *Faults) add(path, expected string, got any, remedy string) {
@@ -270,7 +280,8 @@
 	})
 }
 
-func describe(t reflect.Type) string {
+// describeType returns the expected JSON type for the text of a fault.
+func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
 		return "a string"
@@ -289,16 +300,18 @@
 	}
 }
 
-// FieldPath returns the name of a field in its file, and its path below path.
-// Both are empty for a field that is not part of the file.
-func FieldPath(field reflect.StructField, path string) (name, at string) {
+// FieldPath returns the JSON name of a field, and its full path, where path is that
+// of the struct. Both are empty for a field that is not part of the file.
+func FieldPath(field reflect.StructField, path string) (name, fieldPath string) {
 	name = jsonName(field)
 	if name == "" {
 		return "", ""
 	}
-	return name, join(path, name)
+	return name, joinPath(path, name)
 }
 
+// jsonName returns the name in the json tag, or an empty string for a field that is
+// not part of the file.
 func jsonName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 	if name == "-" || !field.IsExported() {
@@ -307,7 +320,7 @@
 	return name
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/internal/kernel/setting/instance.go
+++ b/internal/kernel/setting/instance.go
@@ -22,21 +22,21 @@
 	Security      Security `json:"security" doc:"keys and certificates"`
 }
 
-// Adapter names a platform adapter and where it connects to.
+// Adapter selects a platform adapter plug-in and the address that it connects to.
 type Adapter struct {
 	Adapter string `json:"adapter" default:"http" doc:"name of the adapter plug-in"`
 	Address string `json:"address" need:"true" doc:"host:port"`
 }
 
-// Security settings. Without a certificate an instance listens on loopback
-// only, unless PlainText says otherwise.
+// Security holds keys and certificates. Without a certificate an instance listens
+// on loopback only, unless PlainText is set.
 type Security struct {
 	PlainText   bool   `json:"plain_text" default:"false" doc:"allow listening beyond loopback without TLS"`
 	OperatorKey string `json:"operator_key" default:"" doc:"bearer token for the operators' doors; empty leaves them open"`
 	TrainerKey  string `json:"trainer_key" default:"" doc:"bearer token for the trainers' doors; empty leaves them open"`
 	Certificate string `json:"certificate" default:"" doc:"PEM file of the doors' certificate; reloaded when it changes"`
 	PrivateKey  string `json:"private_key" default:"" doc:"PEM file of the certificate's key"`
-	// Peer files let instances check each other.
+	// The peer files are for mutual TLS between instances.
 	PeerCertificate string `json:"peer_certificate" default:"" doc:"PEM file of the certificate shown to other instances; reloaded when it changes"`
 	PeerPrivateKey  string `json:"peer_private_key" default:"" doc:"PEM file of the peer certificate's key"`
 	PeerAuthority   string `json:"peer_authority" default:"" doc:"PEM file of the authority that signs the peer certificates; read at each handshake"`
@@ -56,31 +56,32 @@
 	return faults
 }
 
-// checkExposure refuses to serve an open network without TLS: anyone on it
-// could read prompts and change the configuration, and nothing would show it.
+// checkExposure rejects listening beyond loopback without TLS, unless PlainText is
+// set: anyone on the network could read prompts and change the configuration
+// unnoticed. It also checks that certificate settings are complete.
 func (s *Instance) checkExposure(faults *Faults) {
 	if (s.Security.Certificate == "") != (s.Security.PrivateKey == "") {
 		faults.add("security.certificate", "certificate and private_key together", s.Security.Certificate, "set both or neither")
 	}
-	peers := s.Security.PeerCertificate != ""
-	if peers != (s.Security.PeerPrivateKey != "") || peers != (s.Security.PeerAuthority != "") {
+	peerTLS := s.Security.PeerCertificate != ""
+	if peerTLS != (s.Security.PeerPrivateKey != "") || peerTLS != (s.Security.PeerAuthority != "") {
 		faults.add("security.peer_certificate", "peer_certificate, peer_private_key and peer_authority together",
 			s.Security.PeerCertificate, "set all three or none")
 	}
 	if s.Security.PlainText {
 		return
 	}
-	if s.Security.Certificate == "" && !loopback(s.Listen) {
+	if s.Security.Certificate == "" && !isLoopback(s.Listen) {
 		faults.add("listen", "a loopback address, as no certificate is set", s.Listen,
 			"set security.certificate and private_key, or security.plain_text to true")
 	}
-	if !peers && !loopback(s.PeerListen) {
+	if !peerTLS && !isLoopback(s.PeerListen) {
 		faults.add("peer_listen", "a loopback address, as peers talk in plain text", s.PeerListen,
 			"set security.peer_certificate, or security.plain_text to true on a network that only instances share")
 	}
 }
 
-func loopback(address string) bool {
+func isLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return false
@@ -89,6 +90,7 @@
 	return ip != nil && ip.IsLoopback()
 }
 
+// checkAddress adds a fault unless address is an IP address with a port.
 func checkAddress(faults *Faults, path, address string) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil {
--- a/internal/kernel/setting/schema.go
+++ b/internal/kernel/setting/schema.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Schema returns the JSON schema of v's type, indented.
+// Schema returns the indented JSON schema for files that decode into v's type.
 func Schema(title string, v any) ([]byte, error) {
 	s := schemaOf(reflect.TypeOf(v))
 	s["$schema"] = "https://json-schema.org/draft/2020-12/schema"
@@ -67,8 +67,8 @@
 	if doc := field.Tag.Get("doc"); doc != "" {
 		s["description"] = doc
 	}
-	if words := field.Tag.Get("oneof"); words != "" {
-		s["enum"] = strings.Split(words, ",")
+	if allowed := field.Tag.Get("oneof"); allowed != "" {
+		s["enum"] = strings.Split(allowed, ",")
 	}
 	if low, err := strconv.ParseFloat(field.Tag.Get("min"), 64); err == nil {
 		s["minimum"] = low
