--- a/internal/kernel/certificate/doc.go
+++ b/internal/kernel/certificate/doc.go
@@ -1,7 +1,7 @@
-// Package certificate keeps certificates in files, and loads them again when they
-// are renewed.
+// Package certificate makes TLS configurations from certificate files and reloads
+// the files when they are renewed.
 //
 //	pair := &certificate.Pair{Certificate: "cert.pem", PrivateKey: "key.pem"}
-//	door := certificate.Door(pair)           // callers check who answers
-//	fleet := certificate.Fleet(pair, "ca.pem") // both sides check each other
+//	server := certificate.Door(pair)          // clients verify the server
+//	peer := certificate.Fleet(pair, "ca.pem") // mutual TLS between instances
 package certificate
--- a/internal/kernel/certificate/pair.go
+++ b/internal/kernel/certificate/pair.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Pair is a certificate with its key in files. It is loaded again when its file
-// changes, so that one can be renewed without a restart.
+// Pair is a certificate and its private key, each in a PEM file. It is reloaded when
+// the certificate file changes, so that it can be renewed without a restart.
 type Pair struct {
 	Certificate string
 	PrivateKey  string
@@ -19,9 +19,9 @@
 	modified time.Time
 }
 
-// Get returns the certificate. When the new files can't be
-// read, for example because only one of them is written yet, the old
-// certificate stays in use.
+// Get returns the current certificate. When changed files can't be loaded, for
+// example because only one of them has been written yet, the old certificate stays
+// in use.
 func (c *Pair) Get() (*tls.Certificate, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/kernel/certificate/pair_test.go
+++ b/internal/kernel/certificate/pair_test.go
@@ -16,8 +16,9 @@
 	"github.com/matryer/is"
 )
 
-// issue writes a self-signed certificate with a serial number.
-func issue(t *testing.T, cert, key string, serial int64, modified time.Time) {
+// writeCertificate writes a self-signed certificate with the given serial number and
+// modification time, and its key.
+func writeCertificate(t *testing.T, cert, key string, serial int64, modified time.Time) {
 	t.Helper()
 	is := is.New(t)
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -44,9 +45,9 @@
 	is.NoErr(os.Chtimes(cert, modified, modified))
 }
 
-// A certificate is renewed while the instance runs, and for a moment only half
-// of it is written. Callers would notice handshakes that fail, or an expired
-// certificate although a new one lies there.
+// Guards against failed handshakes while a certificate is being renewed and only one
+// of its two files has been written, and against an expired certificate that stays in
+// use after it was renewed.
 func TestCertificateIsReloaded(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
@@ -55,18 +56,18 @@
 		PrivateKey:  filepath.Join(folder, "key.pem"),
 	}
 	_, err := c.Get()
-	is.True(err != nil) // there is none yet
+	is.True(err != nil) // no files yet
 	serial := func() int64 {
 		cert, err := c.Get()
 		is.NoErr(err)
 		return cert.Leaf.SerialNumber.Int64()
 	}
-	begin := time.Now().Add(-time.Hour)
-	issue(t, c.Certificate, c.PrivateKey, 1, begin)
+	issued := time.Now().Add(-time.Hour)
+	writeCertificate(t, c.Certificate, c.PrivateKey, 1, issued)
 	is.Equal(serial(), int64(1))
 	is.NoErr(os.WriteFile(c.PrivateKey, []byte("half"), 0o600))
-	is.NoErr(os.Chtimes(c.Certificate, begin.Add(time.Minute), begin.Add(time.Minute)))
-	is.Equal(serial(), int64(1)) // the old one stays in use
-	issue(t, c.Certificate, c.PrivateKey, 2, begin.Add(2*time.Minute))
+	is.NoErr(os.Chtimes(c.Certificate, issued.Add(time.Minute), issued.Add(time.Minute)))
+	is.Equal(serial(), int64(1)) // the old certificate stays in use
+	writeCertificate(t, c.Certificate, c.PrivateKey, 2, issued.Add(2*time.Minute))
 	is.Equal(serial(), int64(2))
 }
--- a/internal/kernel/certificate/tls.go
+++ b/internal/kernel/certificate/tls.go
@@ -8,7 +8,7 @@
 	"os"
 )
 
-// Door returns how a door that anyone may come to is served.
+// Door returns the TLS configuration of a server that accepts any client.
 func Door(pair *Pair) *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
@@ -16,31 +16,34 @@
 	}
 }
 
-var errStranger = errors.New("no certificate of this fleet's authority")
+var errUntrustedPeer = errors.New("the peer has no certificate signed by the fleet's authority")
 
-// Fleet returns how instances talk to each other, as either side: each shows its
-// certificate and accepts only those that the authority in a PEM file has signed.
-// Instances call each other by address, so names are not compared. Both files are
-// read at each handshake: an authority that is replaced by one file with the old
-// and the new one lets a fleet change without a break.
+// Fleet returns the TLS configuration of connections between instances, for client
+// and server: each presents its certificate and accepts only certificates signed by
+// the authority in a PEM file. Instances call each other by address, so host names
+// are not compared. The authority file is read at each handshake, and the certificate
+// is reloaded when it changes, so a fleet can replace its authority without downtime
+// by way of a file that holds both the old and the new one.
 func Fleet(pair *Pair, authority string) *tls.Config {
 	return &tls.Config{
 		MinVersion:           tls.VersionTLS13,
 		GetCertificate:       func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return pair.Get() },
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return pair.Get() },
 		ClientAuth:           tls.RequireAnyClientCert,
-		// The standard check compares names; VerifyConnection does the rest.
+		// The standard verification also compares host names, so it is replaced by
+		// VerifyConnection.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
-			return verify(s.PeerCertificates, authority)
+			return verifyPeer(s.PeerCertificates, authority)
 		},
 	}
 }
 
-// verify checks a chain of certificates against the authority in a file.
-func verify(chain []*x509.Certificate, authority string) error {
+// verifyPeer verifies the peer's certificate chain against the authority in a PEM
+// file.
+func verifyPeer(chain []*x509.Certificate, authority string) error {
 	if len(chain) == 0 {
-		return errStranger
+		return errUntrustedPeer
 	}
 	pem, err := os.ReadFile(authority)
 	if err != nil {
@@ -50,17 +53,17 @@
 	if !roots.AppendCertsFromPEM(pem) {
 		return fmt.Errorf("authority of the fleet: %s holds no certificate; check security.peer_authority", authority)
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range chain[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err = chain[0].Verify(x509.VerifyOptions{
 		Roots:         roots,
-		Intermediates: between,
+		Intermediates: intermediates,
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
 	if err != nil {
-		return fmt.Errorf("%w: %w", errStranger, err)
+		return fmt.Errorf("%w: %w", errUntrustedPeer, err)
 	}
 	return nil
 }
--- a/internal/kernel/timer/doc.go
+++ b/internal/kernel/timer/doc.go
@@ -1,6 +1,7 @@
-// Package timer is the one place where the program waits for time to pass.
+// Package timer provides the program's clock and timers. All code that waits for
+// time to pass uses it, so that tests can control the time.
 //
-// A part subscribes to a Service and polls the subscription's channel:
+// Callers subscribe to a Service and receive from the subscription's channel:
 //
 //	sub := svc.Every(500 * time.Millisecond)
 //	defer sub.Close()
@@ -13,6 +14,6 @@
 //		}
 //	}
 //
-// Real follows the machine's clock, time spent suspended included. Manual
-// moves only when a test advances it, so tests never sleep.
+// Real follows the machine's clock, including time that the machine is suspended.
+// Manual moves only when a test advances it, so tests never sleep.
 package timer
--- a/internal/kernel/timer/manual.go
+++ b/internal/kernel/timer/manual.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Manual is a Service whose clock moves only by Advance. Its zero value
-// stands at instant zero.
+// Manual is a Service whose clock moves only by Advance, for tests. The zero value
+// starts at instant zero.
 type Manual struct {
 	mu   sync.Mutex
 	now  Instant
-	subs map[*manualSub]struct{}
+	subs map[*manualSubscription]struct{}
 }
 
-type manualSub struct {
+type manualSubscription struct {
 	c      chan Instant
 	next   Instant
-	period time.Duration
+	period time.Duration // zero for a subscription that fires once
 }
 
 // Now implements Service.
@@ -27,18 +27,18 @@
 }
 
 // Every implements Service.
-func (m *Manual) Every(period time.Duration) *Subscription { return m.add(period, period) }
+func (m *Manual) Every(period time.Duration) *Subscription { return m.subscribe(period, period) }
 
 // Once implements Service.
-func (m *Manual) Once(d time.Duration) *Subscription { return m.add(d, 0) }
+func (m *Manual) Once(d time.Duration) *Subscription { return m.subscribe(d, 0) }
 
-func (m *Manual) add(first, period time.Duration) *Subscription {
+func (m *Manual) subscribe(first, period time.Duration) *Subscription {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.subs == nil {
-		m.subs = make(map[*manualSub]struct{})
+		m.subs = make(map[*manualSubscription]struct{})
 	}
-	s := &manualSub{
+	s := &manualSubscription{
 		c:      make(chan Instant, 1),
 		next:   m.now.Add(first),
 		period: period,
@@ -54,7 +54,8 @@
 	}
 }
 
-// Advance moves the clock by d and fires every subscription that came due.
+// Advance moves the clock by d and fires each subscription that became due, once
+// even if several of its periods passed.
 func (m *Manual) Advance(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,7 +64,7 @@
 		if s.next > m.now {
 			continue
 		}
-		offer(s.c, m.now)
+		trySend(s.c, m.now)
 		if s.period == 0 {
 			delete(m.subs, s)
 			continue
@@ -74,12 +75,12 @@
 	}
 }
 
-// Run moves the clock by step once in every period of real time, until stop is
-// called.
-func (m *Manual) Run(step, every time.Duration) (stop func()) {
+// Run advances the clock by step in every interval of real time, in a goroutine of
+// its own, until stop is called.
+func (m *Manual) Run(step, interval time.Duration) (stop func()) {
 	done := make(chan struct{})
 	go func() {
-		for Wait(Real{}, every, done) {
+		for Wait(Real{}, interval, done) {
 			m.Advance(step)
 		}
 	}()
--- a/internal/kernel/timer/real.go
+++ b/internal/kernel/timer/real.go
@@ -10,9 +10,10 @@
 // Real is a Service on the machine's clock. Its zero value works.
 type Real struct{}
 
-// Now reads the boot clock. The ordinary monotonic clock stands still while
-// the machine is suspended: a lease holder that slept through its lease would
-// then believe that it still holds it. The boot clock counts the pause.
+// Now reads the boot clock (CLOCK_BOOTTIME), which counts time that the machine is
+// suspended. The ordinary monotonic clock stops during that time, so a lease holder
+// that was suspended beyond the end of its lease would believe that it still holds
+// it.
 func (Real) Now() Instant {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -21,6 +22,7 @@
 	return Instant(ts.Nano())
 }
 
+// processStart is the origin of instants when the boot clock can't be read.
 var processStart = time.Now()
 
 // Every implements Service.
@@ -33,26 +35,26 @@
 		for {
 			select {
 			case <-ticker.C:
-				offer(c, r.Now())
+				trySend(c, r.Now())
 			case <-done:
 				return
 			}
 		}
 	}()
-	return subscription(c, done)
+	return newSubscription(c, done)
 }
 
 // Once implements Service.
 func (r Real) Once(d time.Duration) *Subscription {
 	c := make(chan Instant, 1)
-	t := time.AfterFunc(d, func() { offer(c, r.Now()) })
+	t := time.AfterFunc(d, func() { trySend(c, r.Now()) })
 	return &Subscription{
 		C:     c,
 		close: func() { t.Stop() },
 	}
 }
 
-func subscription(c chan Instant, done chan struct{}) *Subscription {
+func newSubscription(c chan Instant, done chan struct{}) *Subscription {
 	var once sync.Once
 	return &Subscription{
 		C:     c,
@@ -60,7 +62,9 @@
 	}
 }
 
-func offer(c chan Instant, now Instant) {
+// trySend sends now on c without blocking. It drops the tick when the receiver has
+// not taken the one before.
+func trySend(c chan Instant, now Instant) {
 	select {
 	case c <- now:
 	default:
--- a/internal/kernel/timer/service.go
+++ b/internal/kernel/timer/service.go
@@ -12,7 +12,7 @@
 // Sub returns the time from j to i.
 func (i Instant) Sub(j Instant) time.Duration { return time.Duration(i - j) }
 
-// Service tells the time and wakes subscribers.
+// Service is a clock with timers.
 type Service interface {
 	// Now returns the current instant.
 	Now() Instant
@@ -22,8 +22,8 @@
 	Once(d time.Duration) *Subscription
 }
 
-// Subscription delivers instants on C until it is closed. A subscriber that
-// falls behind misses ticks instead of queueing them.
+// Subscription delivers instants on C until it is closed. At most one tick is
+// buffered: a subscriber that falls behind misses the others.
 type Subscription struct {
 	C     <-chan Instant
 	close func()
@@ -44,17 +44,17 @@
 	}
 }
 
-// Until looks every so often whether something holds, for most at the longest or
-// until done is closed, and reports whether it holds. It is for what has no
-// channel that tells of it.
-func Until(svc Service, every, most time.Duration, done <-chan struct{}, holds func() bool) bool {
-	for waited := time.Duration(0); waited < most; waited += every {
-		if holds() {
+// Until polls condition at the given interval until it holds, timeout has passed or
+// done is closed, and reports whether it holds. Use it for conditions that no channel
+// signals.
+func Until(svc Service, interval, timeout time.Duration, done <-chan struct{}, condition func() bool) bool {
+	for waited := time.Duration(0); waited < timeout; waited += interval {
+		if condition() {
 			return true
 		}
-		if !Wait(svc, every, done) {
+		if !Wait(svc, interval, done) {
 			break
 		}
 	}
-	return holds()
+	return condition()
 }
--- a/internal/kernel/wake/doc.go
+++ b/internal/kernel/wake/doc.go
@@ -1,4 +1,4 @@
-// Package wake wakes a goroutine that waits for something to do.
+// Package wake provides a signal that wakes a goroutine waiting for work.
 //
 //	var todo wake.Signal
 //	go func() {
--- a/internal/kernel/wake/wake.go
+++ b/internal/kernel/wake/wake.go
@@ -2,13 +2,14 @@
 
 import "sync"
 
-// Signal wakes one waiter. Its zero value works; it must not be copied after use.
+// Signal wakes one waiting goroutine. The zero value is ready to use; a Signal must
+// not be copied after first use.
 type Signal struct {
 	once sync.Once
 	c    chan struct{}
 }
 
-// C returns the channel to wait on.
+// C returns the channel that the waiter receives from.
 func (s *Signal) C() <-chan struct{} { return s.channel() }
 
 func (s *Signal) channel() chan struct{} {
@@ -16,8 +17,8 @@
 	return s.c
 }
 
-// Set wakes the waiter, or the next one that comes. It never waits itself, and several
-// before the waiter runs are one.
+// Set wakes the waiter or, when none is waiting, the next one to wait. It never
+// blocks, and several calls before the waiter runs wake it only once.
 func (s *Signal) Set() {
 	select {
 	case s.channel() <- struct{}{}:
--- a/internal/kernel/wake/wake_test.go
+++ b/internal/kernel/wake/wake_test.go
@@ -6,7 +6,9 @@
 	"github.com/matryer/is"
 )
 
-func TestSetBeforeTheWaiterComesIsKeptOnce(t *testing.T) {
+// Guards against a signal that is lost when nobody waits yet, and against one wake-up
+// for each of several signals.
+func TestSignalsBeforeWaitAreCoalesced(t *testing.T) {
 	is := is.New(t)
 	var s Signal
 	s.Set()
