--- a/internal/kernel/journal/history.go
+++ b/internal/kernel/journal/history.go
@@ -72,7 +72,7 @@
 }
 
 // isAbout reports whether one of the decision's ID fields equals id, or contains it
-// between dots, as the request of a sample names the sample.
+// between dots, as the request ID of a sample contains the sample's ID.
 func (e decision) isAbout(id string) bool {
 	for _, name := range idFields {
 		v, _ := e.fields[name].(string)
--- a/internal/outside/engine/adapter.go
+++ b/internal/outside/engine/adapter.go
@@ -10,7 +10,7 @@
 	"github.com/egretbend/egretbend/internal/kernel/part"
 )
 
-// Request is one generation.
+// Request describes one generation.
 type Request struct {
 	ID        string
 	Attempt   string
@@ -20,7 +20,7 @@
 	Seed      uint64
 	// Priority is higher for more urgent work.
 	Priority int
-	// Resume holds the tokens of earlier attempts; generation goes on after
+	// Resume holds the tokens of earlier attempts; generation continues after
 	// them.
 	Resume []string
 }
@@ -32,27 +32,29 @@
 	Version version.Version
 }
 
-// Finish says how a generation ended.
+// Finish describes how a generation ended.
 type Finish struct {
 	Reason string
-	// Report is the load that the engine told with the end; nil if none.
+	// Report is the last load report that the engine sent in the stream, or nil
+	// if there was none.
 	Report *Report
 }
 
-// Report is the load and state of an engine or service, in its own words. It
-// may be late.
+// Report is the load and state of an engine or service as reported by itself. It may
+// be out of date.
 type Report struct {
 	Running int             `json:"running"`
 	Waiting int             `json:"waiting"`
 	Slots   int             `json:"slots"`
 	Version version.Version `json:"version"`
-	// Fetched is the newest version whose weights the engine has at hand.
+	// Fetched is the newest version whose weights the engine has fetched.
 	Fetched     version.Version `json:"fetched"`
 	Incarnation uint64          `json:"incarnation"`
 	Leaving     bool            `json:"leaving"`
 }
 
-// Order tells an engine what state is wanted.
+// Order is a command to an engine to fetch the weights of a version or to switch to
+// it.
 type Order struct {
 	Action  Action          `json:"action"`
 	Version version.Version `json:"version"`
@@ -60,49 +62,51 @@
 	Fencing uint64          `json:"fencing"`
 }
 
-// Action is what an order asks for.
+// Action is the kind of an Order.
 type Action string
 
-// The actions.
+// The actions of orders.
 const (
 	ActionFetch  Action = "fetch"
 	ActionSwitch Action = "switch"
 )
 
-// Adapter talks to engines of one protocol.
+// Adapter is a client for engines of one protocol.
 type Adapter interface {
-	// Generate runs req and emits each token in order.
+	// Generate runs req and calls emit for each token in order.
 	Generate(ctx context.Context, address string, req Request, emit func(Token) error) (Finish, error)
-	// Report asks for the load.
+	// Report queries the engine's load and state.
 	Report(ctx context.Context, address string) (Report, error)
-	// Order gives an order and returns when it is carried out or refused.
-	Order(ctx context.Context, address string, o Order) error
+	// Order sends an order and returns when it has been carried out or refused.
+	Order(ctx context.Context, address string, order Order) error
 }
 
-// The ways in which a generation or an order can fail.
+// Errors of generations and orders.
 var (
-	// ErrNotSent means that no byte of the request left.
+	// ErrNotSent means that no byte of the request was sent.
 	ErrNotSent = errors.New("the request was not sent")
-	// ErrBroken means that the stream ended before its end.
+	// ErrBroken means that the request was sent, but that no complete and valid
+	// response arrived. The upstream may have run it.
 	ErrBroken = errors.New("the stream ended early")
-	// ErrCut is an ErrBroken of a connection that was closed or reset before an
-	// answer began.
-	ErrCut = fmt.Errorf("%w, before an answer", ErrBroken)
-	// ErrCrossed means that the answer belongs to another attempt.
-	ErrCrossed = errors.New("the answer is for another attempt")
-	// ErrMisdirected means that another upstream has the address now, or the
-	// upstream has other weights than were expected. It did not run.
-	ErrMisdirected = errors.New("the address belongs to another upstream")
-	// ErrAttemptFailed means that the upstream ran the request and says that
+	// ErrCut is an ErrBroken whose connection was closed or reset before the
+	// response began.
+	ErrCut = fmt.Errorf("%w, before a response", ErrBroken)
+	// ErrCrossed means that the response belongs to another attempt.
+	ErrCrossed = errors.New("the response is for another attempt")
+	// ErrMisdirected means that the address now belongs to another upstream, or
+	// that the upstream has other weights than expected. The request was not run.
+	ErrMisdirected = errors.New("the address belongs to another upstream, or the upstream has other weights than expected")
+	// ErrAttemptFailed means that the upstream ran the request and reported that
 	// it failed.
 	ErrAttemptFailed = errors.New("the upstream ran the request and failed")
-	// ErrImpossible means that no upstream will ever be able to run it.
-	ErrImpossible = errors.New("the upstream says that the request can never be done")
-	// ErrFenced means that the engine saw a higher fencing number.
-	ErrFenced = errors.New("the order's fencing number is old")
+	// ErrImpossible means that no upstream will ever be able to run the request.
+	ErrImpossible = errors.New("the upstream reports that the request can never be run")
+	// ErrFenced means that the engine has seen a higher fencing token.
+	ErrFenced = errors.New("the order has a stale fencing token")
 )
 
-// RefusedError means that the engine says it did not run the request.
+// RefusedError means that the upstream refused the request and guarantees that it did
+// not run it. RetryAfter is zero when the upstream gave no time.
 type RefusedError struct {
 	RetryAfter time.Duration
 }
@@ -110,5 +114,5 @@
 // Error implements error.
 func (e *RefusedError) Error() string { return "the upstream refused the request before running it" }
 
-// Adapters holds the known engine protocols.
+// Adapters holds the adapters by the name of their protocol.
 var Adapters part.Registry[Adapter]
--- a/internal/outside/engine/completions.go
+++ b/internal/outside/engine/completions.go
@@ -15,17 +15,19 @@
 	"github.com/egretbend/egretbend/internal/route/wire"
 )
 
-// The paths and headers of the completions protocol.
+// The paths, headers and limits of the completions protocol.
 const (
 	PathCompletions = "/v1/completions"
 	PathLoad        = "/load"
 	PathOrders      = "/orders"
 	HeaderAttempt   = "Egretbend-Attempt"
-	// HeaderNotRun is set on a refusal by an upstream that vouches that it did
-	// not run the request. A bare 503 proves nothing.
+	// HeaderNotRun is set on an error response by an upstream that guarantees
+	// that it did not run the request. A 503 without it proves nothing.
 	HeaderNotRun = "X-Not-Run"
-	doneMark     = "[DONE]"
+	doneMarker   = "[DONE]"
 	dataPrefix   = "data: "
+	// maxEventSize is the largest event in bytes, and the most bytes that are read
+	// of other response bodies.
 	maxEventSize = 1 << 20
 )
 
@@ -41,7 +43,7 @@
 	Resume    []string `json:"resume,omitempty"`
 }
 
-// Event is the JSON of one server-sent event.
+// Event is the JSON data of one server-sent event.
 type Event struct {
 	Attempt string          `json:"attempt"`
 	Choices []Choice        `json:"choices"`
@@ -49,7 +51,8 @@
 	Load    *Report         `json:"load,omitempty"`
 }
 
-// Choice is the only choice of an event.
+// Choice is the only choice of an event: a token, or the finish reason after the last
+// token.
 type Choice struct {
 	Text   string `json:"text"`
 	Index  int    `json:"token_index"`
@@ -60,15 +63,16 @@
 	Adapters.Add("completions", &Completions{})
 }
 
-// Completions speaks the completions protocol with server-sent events.
+// Completions is the Adapter for the completions protocol, which streams tokens as
+// server-sent events.
 type Completions struct {
 	Client wire.Client
 }
 
 // Generate implements Adapter.
 func (c *Completions) Generate(ctx context.Context, address string, req Request, emit func(Token) error) (Finish, error) {
-	// Ending the context on every way out closes the connection of a stream
-	// that was given up; it is never used for another request.
+	// Cancelling the context on every return closes the connection of a stream
+	// that was abandoned, so that it is never reused for another request.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	res, err := c.post(ctx, address, PathCompletions, req.Attempt, Body{
@@ -86,11 +90,13 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return Finish{}, refusal(res)
+		return Finish{}, statusError(res)
 	}
 	return readStream(res.Body, req, emit)
 }
 
+// readStream reads the events of a generation, calls emit for each token, and checks
+// that all tokens belong to this attempt and arrive without gaps.
 func readStream(r io.Reader, req Request, emit func(Token) error) (Finish, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 4096), maxEventSize)
@@ -101,7 +107,7 @@
 		if !ok {
 			continue
 		}
-		if string(data) == doneMark {
+		if string(data) == doneMarker {
 			if finish.Reason == "" {
 				return finish, fmt.Errorf("%w: no finish reason before the end", ErrBroken)
 			}
@@ -123,7 +129,7 @@
 				continue
 			}
 			if choice.Index != next {
-				return finish, fmt.Errorf("%w: token %d came in place of %d", ErrBroken, choice.Index, next)
+				return finish, fmt.Errorf("%w: got token %d, expected token %d", ErrBroken, choice.Index, next)
 			}
 			next++
 			if err := emit(Token{
@@ -161,8 +167,8 @@
 }
 
 // Order implements Adapter.
-func (c *Completions) Order(ctx context.Context, address string, o Order) error {
-	res, err := c.post(ctx, address, PathOrders, "", o)
+func (c *Completions) Order(ctx context.Context, address string, order Order) error {
+	res, err := c.post(ctx, address, PathOrders, "", order)
 	if err != nil {
 		return err
 	}
@@ -174,9 +180,11 @@
 	case http.StatusConflict:
 		return ErrFenced
 	}
-	return fmt.Errorf("order %s: status %d", o.Action, res.StatusCode)
+	return fmt.Errorf("order %s: status %d", order.Action, res.StatusCode)
 }
 
+// post sends v as JSON. Its errors are ErrNotSent when no byte of the request was
+// sent, and ErrBroken otherwise.
 func (c *Completions) post(ctx context.Context, address, path, attempt string, v any) (*http.Response, error) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -200,7 +208,9 @@
 	return res, nil
 }
 
-func refusal(res *http.Response) error {
+// statusError returns the error for a response other than 200 OK: a RefusedError if
+// the upstream guarantees that it did not run the request, otherwise ErrBroken.
+func statusError(res *http.Response) error {
 	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxEventSize))
 	if res.Header.Get(HeaderNotRun) == "" {
 		return fmt.Errorf("%w: status %d", ErrBroken, res.StatusCode)
@@ -210,7 +220,8 @@
 	}
 }
 
-// RetryAfter returns the Retry-After header in seconds as a duration.
+// RetryAfter returns the duration in the Retry-After header, given in whole seconds,
+// or zero if the header is absent or invalid.
 func RetryAfter(h http.Header) time.Duration {
 	secs, err := strconv.Atoi(h.Get("Retry-After"))
 	if err != nil || secs < 0 {
--- a/internal/outside/engine/completions_bench_test.go
+++ b/internal/outside/engine/completions_bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// BenchmarkReadStream measures the reading of a stream, for each token.
+// BenchmarkReadStream measures the time per token of reading a stream.
 func BenchmarkReadStream(b *testing.B) {
 	const tokens = 1000
 	var stream bytes.Buffer
--- a/internal/outside/engine/doc.go
+++ b/internal/outside/engine/doc.go
@@ -1,13 +1,16 @@
-// Package engine is the program's view of a model engine.
+// Package engine defines the interface to model engines and implements it for the
+// completions protocol.
 //
-// Adapter is the small interface that parts use; adapters register themselves
-// in Adapters. What an engine says in a stream is the truth about that stream:
-// each token names the weight version that made it.
+// Adapter is the interface that the rest of the program uses; implementations
+// register themselves in Adapters. The stream of a generation is authoritative about
+// weight versions: each token carries the version that generated it.
 //
 //	finish, err := adapter.Generate(ctx, address, request, func(t engine.Token) error {
 //		return record.Add(t)
 //	})
 //
-// Errors say what is known of the run: ErrNotSent and ErrRefused mean that the
-// engine did not begin; ErrBroken means that the stream ended early.
+// Errors tell what is known about the run. ErrNotSent, ErrMisdirected and
+// *RefusedError mean that the engine did not begin. ErrBroken means that the request
+// was sent, but no complete and valid response arrived, for example since the stream
+// ended early; the engine may have run it.
 package engine
--- a/internal/outside/keyvalue/doc.go
+++ b/internal/outside/keyvalue/doc.go
@@ -1,15 +1,16 @@
-// Package keyvalue is the program's view of the platform's key-value service.
+// Package keyvalue defines the interfaces to the platform's key-value service.
 //
-// Store is the small interface that parts use; adapters register themselves in
-// Adapters under the name that the settings give. Revisions are those of the
-// whole service: they only go up, and a write returns its own.
+// Store has operations on single keys; Space adds prefixes and transactions.
+// Implementations of Store register themselves in Adapters under the name that the
+// settings use. Revisions are numbered across the whole service: they only increase,
+// and a write returns the revision that it created.
 //
 //	rev, err := store.Put(ctx, key, value, item.Revision, 0)
 //	switch {
-//	case errors.Is(err, keyvalue.ErrConflict): // someone else was first
-//	case errors.Is(err, keyvalue.ErrLost):     // it may have taken effect
+//	case errors.Is(err, keyvalue.ErrConflict): // another client wrote first
+//	case errors.Is(err, keyvalue.ErrLost):     // the write may have taken effect
 //	}
 //
-// The service counts every call, a waiting watch as one. Nothing on the path
-// of a request or a sample calls it.
+// The service counts every call, and a watch that waits counts as one. Code on the
+// path of a request or a sample must not call it.
 package keyvalue
--- a/internal/outside/keyvalue/http.go
+++ b/internal/outside/keyvalue/http.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// The paths of the HTTP protocol. Every call is a POST with a JSON Call and a
-// JSON Answer.
+// The paths of the HTTP protocol. Every call is a POST with a Call as JSON request
+// body and an Answer as JSON response body.
 const (
 	PathGet       = "/kv/get"
 	PathPut       = "/kv/put"
@@ -23,7 +23,7 @@
 	PathRevoke    = "/kv/revoke"
 )
 
-// Call is the body of every HTTP call; each path uses some of its fields.
+// Call is the request body of all paths; each path uses some of its fields.
 type Call struct {
 	Key    string `json:"key,omitempty"`
 	Value  []byte `json:"value,omitempty"`
@@ -32,16 +32,16 @@
 	TTLMS  int64  `json:"ttl_ms,omitempty"`
 }
 
-// Answer is the body of every HTTP answer.
+// Answer is the response body of all paths.
 type Answer struct {
 	Item  Item  `json:"item"`
 	Error Fault `json:"error,omitempty"`
 }
 
-// Fault is the wire name of an error.
+// Fault is the code of an error in an Answer.
 type Fault string
 
-// The faults that the service answers with.
+// The error codes of the service.
 const (
 	FaultNone      Fault = ""
 	FaultNotFound  Fault = "not_found"
@@ -50,7 +50,7 @@
 	FaultNoChange  Fault = "no_change"
 )
 
-var faultErrors = map[Fault]error{
+var errorsByFault = map[Fault]error{
 	FaultNotFound:  ErrNotFound,
 	FaultConflict:  ErrConflict,
 	FaultLeaseGone: ErrLeaseGone,
@@ -65,7 +65,7 @@
 	})
 }
 
-// HTTP is a Store over JSON and HTTP.
+// HTTP is a Store that calls the service over HTTP with JSON bodies.
 type HTTP struct {
 	Address string
 	Client  http.Client
@@ -132,7 +132,7 @@
 	}
 	res, err := h.Client.Do(req)
 	if err != nil {
-		return Item{}, fmt.Errorf("%w: %w", reach(err), err)
+		return Item{}, fmt.Errorf("%w: %w", classifyError(err), err)
 	}
 	defer res.Body.Close()
 	data, err := io.ReadAll(res.Body)
@@ -147,14 +147,14 @@
 		return Item{}, fmt.Errorf("%w: %w", ErrLost, err)
 	}
 	if a.Error != FaultNone {
-		return a.Item, faultErrors[a.Error]
+		return a.Item, errorsByFault[a.Error]
 	}
 	return a.Item, nil
 }
 
-// reach tells a call that never left from one whose answer is missing. Only a
-// failed dial proves that the service did nothing.
-func reach(err error) error {
+// classifyError returns ErrDown for a call that was never sent, and ErrLost for one
+// whose response is missing. Only a failed dial proves that the service did nothing.
+func classifyError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return ErrDown
--- a/internal/outside/keyvalue/part.go
+++ b/internal/outside/keyvalue/part.go
@@ -11,10 +11,10 @@
 }
 
 func makePart(h *part.Host) (part.Part, error) {
-	open, err := Adapters.Find(h.Settings.KeyValue.Adapter)
+	newStore, err := Adapters.Find(h.Settings.KeyValue.Adapter)
 	if err != nil {
 		return nil, err
 	}
-	part.Put(h, open(h.Settings.KeyValue.Address))
+	part.Put(h, newStore(h.Settings.KeyValue.Address))
 	return part.Idle{}, nil
 }
--- a/internal/outside/keyvalue/space.go
+++ b/internal/outside/keyvalue/space.go
@@ -7,95 +7,101 @@
 	"time"
 )
 
-// Change is one change of a watched prefix.
+// Change is a write or removal of one key below a watched prefix.
 type Change struct {
 	Item
 	Removed bool
 }
 
-// Freshness says how old a listing may be.
+// Freshness selects how up to date a listing must be.
 type Freshness bool
 
-// The kinds of listings. A stale one costs a tenth and may be seconds old.
+// The freshness of listings. A stale listing costs a tenth of a fresh one and may be
+// seconds old.
 const (
 	Fresh Freshness = false
 	Stale Freshness = true
 )
 
-// Listing is the items below a prefix. Its pages are no snapshot; every change
-// after Revision shows in a watch that begins there.
+// Listing is the result of Range. It is read in pages and is not a snapshot, but a
+// watch that begins at Revision delivers every later change.
 type Listing struct {
 	Items    []Item
 	Revision uint64
 }
 
-// Expect is a condition on one key. Revision zero means that it doesn't exist.
+// Expect is the condition that a key has a revision. Revision zero means that the key
+// doesn't exist.
 type Expect struct {
 	Key      string
 	Revision uint64
 }
 
-// Write is one new value. A non-zero lease removes it when that lease ends.
+// Write is a new value for a key. With a non-zero lease, the item is removed when
+// that lease ends.
 type Write struct {
 	Key   string
 	Value []byte
 	Lease uint64
 }
 
-// Transaction is carried out whole if all its conditions hold, or not at all.
+// Transaction is applied atomically: completely if all its conditions hold, otherwise
+// not at all. Removes lists the keys to remove.
 type Transaction struct {
 	Expects []Expect
 	Writes  []Write
 	Removes []string
 }
 
-// MaxEntries is the most entries of one transaction, from the service's limits.
+// MaxEntries is the service's limit on the entries of one transaction.
 const MaxEntries = 32
 
-// Space is a key-value service with prefixes and transactions. Errors of all
-// calls: ErrDown (nothing was done), ErrLost (it may have been done, or may be
-// done later), ErrBusy (refused for the rate of calls; nothing was done).
+// Space is a key-value service with prefixes and transactions. Every call can return
+// ErrDown (the call did nothing), ErrLost (it may have taken effect, or may do so
+// later) or ErrBusy (rejected by the rate limit; it did nothing).
 type Space interface {
 	// Get returns the item at key, or ErrNotFound.
 	Get(ctx context.Context, key string) (Item, error)
 	// Range returns all items whose key begins with prefix.
 	Range(ctx context.Context, prefix string, f Freshness) (Listing, error)
-	// Watch waits for changes below prefix after a revision, for as long as
-	// wait, and returns them with the revision to go on from. It returns
-	// ErrCompacted when the history does not reach back that far.
+	// Watch waits up to wait for changes below prefix after the given revision,
+	// and returns them with the revision to continue from. It returns
+	// ErrCompacted when the service's history does not reach back that far.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Change, uint64, error)
-	// Commit carries out a transaction and returns its revision. It returns a
-	// *ConflictError when a condition does not hold, ErrLeaseGone when a lease
-	// of a write has ended.
+	// Commit applies a transaction and returns its revision. It returns a
+	// *ConflictError when a condition does not hold, and ErrLeaseGone when the
+	// lease of a write has ended.
 	Commit(ctx context.Context, tx Transaction) (uint64, error)
-	// Grant makes a lease of the given length and returns its number.
+	// Grant creates a lease with the given time to live and returns its number.
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
 	// KeepAlive renews a lease, or returns ErrLeaseGone.
 	KeepAlive(ctx context.Context, lease uint64) error
-	// Revoke ends a lease at once.
+	// Revoke ends a lease immediately.
 	Revoke(ctx context.Context, lease uint64) error
 }
 
-// The further ways in which a call can fail.
+// Errors of a Space in addition to those of a Store.
 var (
-	ErrCompacted = errors.New("the history no longer reaches back that far")
-	ErrBusy      = errors.New("the key-value service refuses calls for now")
+	ErrCompacted = errors.New("the history of the key-value service no longer reaches back to that revision")
+	ErrBusy      = errors.New("the key-value service refuses calls at the moment because of its rate limit")
 )
 
-// ConflictError says how the conditions of a transaction stand.
+// ConflictError reports that a condition of a transaction does not hold. Items are the
+// compared items as they are now.
 type ConflictError struct {
 	Items []Item
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("%v: %d conditions compared; read them again and decide anew", ErrConflict, len(e.Items))
+	return fmt.Sprintf("%v: %d conditions compared; read the items again and retry", ErrConflict, len(e.Items))
 }
 
-// Unwrap makes it an ErrConflict.
+// Unwrap returns ErrConflict.
 func (e *ConflictError) Unwrap() error { return ErrConflict }
 
-// Item returns the compared item at key; one without a revision doesn't exist.
+// Item returns the compared item at key. Its revision is zero if the key doesn't
+// exist.
 func (e *ConflictError) Item(key string) Item {
 	for _, item := range e.Items {
 		if item.Key == key {
--- a/internal/outside/roster/doc.go
+++ b/internal/outside/roster/doc.go
@@ -1,7 +1,8 @@
-// Package roster is the program's view of the platform's instance list.
+// Package roster defines the interface to the platform's list of instances and
+// implements it over HTTP.
 //
-// The list lags: an instance may have left before the list says so, and one
-// that it names may not be up yet. Whoever uses it treats it as a hint.
+// The list lags behind: an instance may have left before the list shows it, and a
+// listed instance may not be up yet. Callers must treat it as a hint.
 //
 //	list, err := source.List(ctx)
 //	for _, in := range list {
--- a/internal/outside/roster/part.go
+++ b/internal/outside/roster/part.go
@@ -11,10 +11,10 @@
 }
 
 func makePart(h *part.Host) (part.Part, error) {
-	open, err := Adapters.Find(h.Settings.Roster.Adapter)
+	newSource, err := Adapters.Find(h.Settings.Roster.Adapter)
 	if err != nil {
 		return nil, err
 	}
-	part.Put(h, open(h.Settings.Roster.Address))
+	part.Put(h, newSource(h.Settings.Roster.Address))
 	return part.Idle{}, nil
 }
--- a/internal/outside/roster/source.go
+++ b/internal/outside/roster/source.go
@@ -9,7 +9,7 @@
 	"github.com/egretbend/egretbend/internal/kernel/part"
 )
 
-// Instance is one upstream in the list.
+// Instance is an upstream in the list.
 type Instance struct {
 	ID            string `json:"id"`
 	Group         string `json:"group"`
@@ -19,16 +19,17 @@
 	Leaving       bool   `json:"leaving"`
 }
 
-// Source is the platform's instance list.
+// Source provides the platform's list of instances.
 type Source interface {
-	// List returns the live and leaving instances as the platform sees them.
+	// List returns the live and leaving instances known to the platform.
 	List(ctx context.Context) ([]Instance, error)
 }
 
-// Adapters holds the known ways to reach an instance list.
+// Adapters holds the constructors of Source implementations by adapter name. Each
+// takes the address of the service.
 var Adapters part.Registry[func(address string) Source]
 
-// PathList is where the HTTP protocol serves the list as JSON.
+// PathList is the path at which the HTTP protocol serves the list as JSON.
 const PathList = "/instances"
 
 func init() {
@@ -39,7 +40,7 @@
 	})
 }
 
-// HTTP is a Source over JSON and HTTP.
+// HTTP is a Source that fetches the list as JSON over HTTP.
 type HTTP struct {
 	Address string
 	Client  http.Client
