--- a/internal/kernel/setting/decode.go
+++ b/internal/kernel/setting/decode.go
@@ -71,7 +71,7 @@
 }
 
 // decodeValue sets rv to raw, a value decoded from JSON, and adds a fault for each
-// part that doesn't fit the type.
+// value that doesn't fit its type.
 func decodeValue(rv reflect.Value, raw any, path string, faults *Faults) {
 	switch rv.Kind() {
 	case reflect.Pointer:
@@ -111,8 +111,9 @@
 	}
 }
 
-// decodeField sets one struct field from the object m. An absent or null field gets
-// its default; an absent struct without a default gets those of its fields.
+// decodeField sets one struct field from the object m. An absent or null field is a
+// fault if it is required, and otherwise gets its default; a struct without a default
+// gets those of its fields.
 func decodeField(fv reflect.Value, field reflect.StructField, m map[string]any, path string, faults *Faults) {
 	got, present := m[jsonName(field)]
 	if present && got != nil {
