--- a/internal/kernel/journal/journal_test.go
+++ b/internal/kernel/journal/journal_test.go
@@ -26,7 +26,7 @@
 }
 
 // Guards against requests that block on logging when the reader of the log stops
-// reading: lines must be dropped instead, and the log must say that they were.
+// reading: lines must be dropped instead, and the log must say how many.
 func TestBlockedWriterDoesNotBlockCallers(t *testing.T) {
 	is := is.New(t)
 	w := &blockedWriter{
