--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -2,22 +2,24 @@
 
 import "slices"
 
-// cache remembers the last prompts.
+// cache is an LRU set of prompt hashes; it simulates the engine's prefix cache.
 type cache struct {
-	most  int
-	order []uint64
+	capacity int
+	// keys holds the prompt hashes, the least recently used first.
+	keys []uint64
 }
 
-// touch reports whether a prompt was in the cache and puts it there.
+// touch reports whether key was cached and makes it the most recently used
+// entry. The least recently used entry is evicted if the cache is over capacity.
 func (c *cache) touch(key uint64) bool {
-	i := slices.Index(c.order, key)
+	i := slices.Index(c.keys, key)
 	if i >= 0 {
-		c.order = append(slices.Delete(c.order, i, i+1), key)
+		c.keys = append(slices.Delete(c.keys, i, i+1), key)
 		return true
 	}
-	c.order = append(c.order, key)
-	if len(c.order) > c.most {
-		c.order = c.order[1:]
+	c.keys = append(c.keys, key)
+	if len(c.keys) > c.capacity {
+		c.keys = c.keys[1:]
 	}
 	return false
 }
--- a/internal/standin/engine/completions.go
+++ b/internal/standin/engine/completions.go
@@ -14,69 +14,81 @@
 )
 
 const (
-	maxBody = 8 << 20
-	// hitShare is what reading a cached prompt costs of reading a new one.
-	hitShare = 0.1
-	// crowding is how much longer a token takes on a full engine.
-	crowding = 0.5
+	// maxBodyBytes is the largest request body that the engine reads.
+	maxBodyBytes = 8 << 20
+	// cachedPrefillFactor scales the prefill time of a prompt that is in the cache.
+	cachedPrefillFactor = 0.1
+	// fullLoadSlowdown is the relative increase of the time per token when all
+	// slots are in use; it grows linearly with the slots in use.
+	fullLoadSlowdown = 0.5
 )
 
+// completions streams a generation as server-sent events. A request that finds
+// all slots and the queue full, or the engine draining, is answered with status
+// 503 and engine.HeaderNotRun.
 func (s *Server) completions(w http.ResponseWriter, r *http.Request) {
 	var body engine.Body
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&body); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&body); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
-	slot := s.queue.enter(body.Priority)
-	cut := s.cut
+	slot := s.queue.acquire(body.Priority)
+	crashed := s.crashed
 	leaving := s.leaving
 	s.mu.Unlock()
 	if slot == nil || leaving {
 		if slot != nil {
-			s.release(slot)
+			s.releaseSlot(slot)
 		}
 		w.Header().Set(engine.HeaderNotRun, "1")
 		w.Header().Set("Retry-After", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer s.release(slot)
+	defer s.releaseSlot(slot)
 	select {
 	case <-slot.ready:
 	case <-r.Context().Done():
 		return
-	case <-cut:
+	case <-crashed:
 		panic(http.ErrAbortHandler)
 	}
 	g := &generation{
-		s:    s,
-		w:    w,
-		r:    r,
-		body: body,
-		cut:  cut,
+		s:       s,
+		w:       w,
+		r:       r,
+		body:    body,
+		crashed: crashed,
 	}
 	g.run(r.Header.Get(engine.HeaderAttempt))
 }
 
-func (s *Server) release(slot *waiter) {
+// releaseSlot returns the slot or queue position of a request.
+func (s *Server) releaseSlot(slot *waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.queue.leave(slot)
+	s.queue.release(slot)
 }
 
-// generation is one stream.
+// generation is the state of one completion stream.
 type generation struct {
-	s       *Server
-	w       http.ResponseWriter
-	r       *http.Request
-	body    engine.Body
-	cut     chan struct{}
+	s    *Server
+	w    http.ResponseWriter
+	r    *http.Request
+	body engine.Body
+	// crashed is closed when the engine crashes.
+	crashed chan struct{}
+	// attempt is the attempt ID that the stream reports.
 	attempt string
-	slow    float64
-	breakAt int
+	// slowFactor scales the time per token.
+	slowFactor float64
+	// breakIndex is the index of the token before which the connection is cut; 0
+	// never cuts it.
+	breakIndex int
 }
 
+// run waits for the prefill and then sends the tokens after the resumed ones.
 func (g *generation) run(attempt string) {
 	g.attempt = attempt
 	g.chooseFaults()
@@ -90,42 +102,44 @@
 		if !g.wait(g.tokenTime()) {
 			return
 		}
-		if g.breakAt > 0 && i >= g.breakAt {
+		if g.breakIndex > 0 && i >= g.breakIndex {
 			panic(http.ErrAbortHandler)
 		}
-		if g.token(i) != nil {
+		if g.sendToken(i) != nil {
 			return
 		}
 		_ = flusher.Flush()
 	}
-	g.end()
+	g.sendFinish()
 }
 
-// chooseFaults decides from the attempt's name what goes wrong with it, so
-// that a run can be repeated.
+// chooseFaults selects the faults of the stream. The choice depends only on the
+// attempt ID, the engine ID, the request and the current faults, so that a run
+// can be repeated.
 func (g *generation) chooseFaults() {
 	f := g.s.Faults.Get()
 	g.s.streams.Add(1)
-	dice := xxhash.Sum64String(g.attempt + g.s.Settings.ID)
-	draw := func() float64 {
-		dice = dice*6364136223846793005 + 1442695040888963407
-		return float64(dice>>11) / (1 << 53)
+	state := xxhash.Sum64String(g.attempt + g.s.Settings.ID)
+	random := func() float64 {
+		state = state*6364136223846793005 + 1442695040888963407
+		return float64(state>>11) / (1 << 53)
 	}
-	g.slow = 1
+	g.slowFactor = 1
 	if f.SlowFactor > 0 {
-		g.slow = f.SlowFactor
+		g.slowFactor = f.SlowFactor
 	}
-	if draw() < f.StraggleShare {
-		g.slow *= max(1, f.StraggleFactor)
+	if random() < f.StraggleShare {
+		g.slowFactor *= max(1, f.StraggleFactor)
 	}
-	if draw() < f.BreakShare {
-		g.breakAt = len(g.body.Resume) + 1 + int(draw()*float64(max(1, g.body.MaxTokens-len(g.body.Resume))))
+	if random() < f.BreakShare {
+		g.breakIndex = len(g.body.Resume) + 1 + int(random()*float64(max(1, g.body.MaxTokens-len(g.body.Resume))))
 	}
-	if draw() < f.CrossShare {
+	if random() < f.CrossShare {
 		g.attempt += "x"
 	}
 }
 
+// prefill adds the prompt to the cache and returns the time to read it.
 func (g *generation) prefill() time.Duration {
 	s := g.s
 	s.mu.Lock()
@@ -134,25 +148,28 @@
 	s.prefills.Add(1)
 	if s.cache.touch(xxhash.Sum64String(g.body.Prompt)) {
 		s.hits.Add(1)
-		cost *= hitShare
+		cost *= cachedPrefillFactor
 	}
 	return time.Duration(cost * float64(time.Millisecond))
 }
 
+// tokenTime returns the time until the next token: the time per token at the
+// present load, and the rest of a stall by a weight switch.
 func (g *generation) tokenTime() time.Duration {
 	s := g.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	full := float64(s.queue.running) / float64(max(1, s.Settings.Slots))
-	cost := s.Settings.TokenMS * (1 + crowding*full) * g.slow
+	occupancy := float64(s.queue.running) / float64(max(1, s.Settings.Slots))
+	cost := s.Settings.TokenMS * (1 + fullLoadSlowdown*occupancy) * g.slowFactor
 	stall := max(0, s.stallUntil.Sub(s.Timer.Now()))
 	return stall + time.Duration(cost*float64(time.Millisecond))
 }
 
-// wait passes time and reports whether the stream goes on.
+// wait waits for d and reports whether the request is still open. It aborts the
+// connection if the engine has crashed.
 func (g *generation) wait(d time.Duration) bool {
 	select {
-	case <-g.cut:
+	case <-g.crashed:
 		panic(http.ErrAbortHandler)
 	default:
 	}
@@ -162,7 +179,8 @@
 	return timer.Wait(g.s.Timer, d, g.r.Context().Done())
 }
 
-func (g *generation) token(i int) error {
+// sendToken sends the token at index i, generated with the current weights.
+func (g *generation) sendToken(i int) error {
 	g.s.mu.Lock()
 	v := g.s.version
 	g.s.mu.Unlock()
@@ -178,12 +196,13 @@
 	if g.s.Faults.Get().NoVersion {
 		e.Version = version.Version{}
 	}
-	return g.event(e)
+	return g.writeEvent(e)
 }
 
-func (g *generation) end() {
+// sendFinish sends the finish reason with a load report, and the end marker.
+func (g *generation) sendFinish() {
 	report := g.s.report()
-	_ = g.event(engine.Event{
+	_ = g.writeEvent(engine.Event{
 		Attempt: g.attempt,
 		Choices: []engine.Choice{{
 			Finish: "length",
@@ -194,7 +213,8 @@
 	_, _ = g.w.Write([]byte("data: [DONE]\n\n"))
 }
 
-func (g *generation) event(e engine.Event) error {
+// writeEvent writes e as one server-sent event.
+func (g *generation) writeEvent(e engine.Event) error {
 	data, err := json.Marshal(e)
 	if err != nil {
 		return err
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -11,16 +11,19 @@
 	"github.com/egretbend/egretbend/internal/standin/weights"
 )
 
-// fetchPause is the time between two tries at a store that is at its rate.
-const fetchPause = 100 * time.Millisecond
+// fetchRetryDelay is the time between two fetches from a weight store that
+// refuses them because of its rate limit.
+const fetchRetryDelay = 100 * time.Millisecond
 
+// order executes an order to fetch or switch weights and answers with its
+// status.
 func (s *Server) order(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&o); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !s.admit(o.Fencing) {
+	if !s.checkFencing(o.Fencing) {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
@@ -29,31 +32,35 @@
 	case engine.ActionFetch:
 		status = s.fetch(r.Context(), o)
 	case engine.ActionSwitch:
-		status = s.swap(r.Context(), o)
+		status = s.switchVersion(r.Context(), o)
 	default:
 		status = http.StatusBadRequest
 	}
 	w.WriteHeader(status)
 }
 
-// admit checks the fencing number, if this engine checks it.
-func (s *Server) admit(number uint64) bool {
+// checkFencing reports whether an order with this fencing number is accepted,
+// and records the highest number. An engine without ChecksFencing accepts every
+// number.
+func (s *Server) checkFencing(number uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.Settings.ChecksFencing && number < s.fence {
+	if s.Settings.ChecksFencing && number < s.highestFencing {
 		return false
 	}
-	s.fence = max(s.fence, number)
+	s.highestFencing = max(s.highestFencing, number)
 	return true
 }
 
+// fetch downloads the weights of an order, and retries while the store limits
+// the rate. It returns the HTTP status of the order.
 func (s *Server) fetch(ctx context.Context, o engine.Order) int {
 	for s.Settings.Weights != "" {
 		status := s.fetchOnce(ctx, o.Source)
 		if status == http.StatusOK {
 			break
 		}
-		if status != http.StatusTooManyRequests || !timer.Wait(s.Timer, fetchPause, ctx.Done()) {
+		if status != http.StatusTooManyRequests || !timer.Wait(s.Timer, fetchRetryDelay, ctx.Done()) {
 			return http.StatusBadGateway
 		}
 	}
@@ -65,6 +72,7 @@
 	return http.StatusOK
 }
 
+// fetchOnce sends one request to the weight store and returns its status.
 func (s *Server) fetchOnce(ctx context.Context, source string) int {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Settings.Weights+weights.PathWeights+source, nil)
 	if err != nil {
@@ -78,9 +86,11 @@
 	return res.StatusCode
 }
 
-// swap switches all streams to the fetched weights, in mid-stream. An engine
-// that doesn't check fencing does as it is told, also to an older version.
-func (s *Server) swap(ctx context.Context, o engine.Order) int {
+// switchVersion switches all streams to the version of the order while they
+// run, and stalls them for the time of the switch. The version must not be newer
+// than the fetched one; a switch to an older version is allowed. It returns the
+// HTTP status of the order.
+func (s *Server) switchVersion(ctx context.Context, o engine.Order) int {
 	stall := time.Duration(s.Settings.SwitchMS) * time.Millisecond
 	s.mu.Lock()
 	ready := !s.fetched.Less(o.Version)
--- a/internal/standin/engine/queue.go
+++ b/internal/standin/engine/queue.go
@@ -2,22 +2,26 @@
 
 import "slices"
 
-// queue gives slots to requests, the highest priority first.
+// queue assigns slots to requests by priority, and in the order of arrival
+// within a priority.
 type queue struct {
-	slots   int
-	most    int
-	running int
-	heap    []*waiter
+	slots      int
+	maxWaiting int
+	running    int
+	// waiters are the requests without a slot, the next one first.
+	waiters []*waiter
 }
 
+// waiter is a request that has a slot or waits for one.
 type waiter struct {
 	priority int
-	ready    chan struct{}
+	// ready is closed when the request has a slot.
+	ready chan struct{}
 }
 
-// enter takes a slot or a place in the queue. It returns nil when both are
-// full.
-func (q *queue) enter(priority int) *waiter {
+// acquire takes a slot, or a queue position if all slots are in use. It returns
+// nil if the queue is full as well.
+func (q *queue) acquire(priority int) *waiter {
 	w := &waiter{
 		priority: priority,
 		ready:    make(chan struct{}),
@@ -27,30 +31,30 @@
 		close(w.ready)
 		return w
 	}
-	if len(q.heap) >= q.most {
+	if len(q.waiters) >= q.maxWaiting {
 		return nil
 	}
-	at := len(q.heap)
-	for at > 0 && q.heap[at-1].priority < priority {
+	at := len(q.waiters)
+	for at > 0 && q.waiters[at-1].priority < priority {
 		at--
 	}
-	q.heap = slices.Insert(q.heap, at, w)
+	q.waiters = slices.Insert(q.waiters, at, w)
 	return w
 }
 
-// leave gives a waiter's slot or place back.
-func (q *queue) leave(w *waiter) {
-	if i := slices.Index(q.heap, w); i >= 0 {
-		q.heap = slices.Delete(q.heap, i, i+1)
+// release removes w from the queue, or passes its slot on to the next waiter.
+func (q *queue) release(w *waiter) {
+	if i := slices.Index(q.waiters, w); i >= 0 {
+		q.waiters = slices.Delete(q.waiters, i, i+1)
 		return
 	}
-	if len(q.heap) == 0 {
+	if len(q.waiters) == 0 {
 		q.running--
 		return
 	}
-	next := q.heap[0]
-	q.heap = q.heap[1:]
+	next := q.waiters[0]
+	q.waiters = q.waiters[1:]
 	close(next.ready)
 }
 
-func (q *queue) waiting() int { return len(q.heap) }
+func (q *queue) waiting() int { return len(q.waiters) }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -14,38 +14,40 @@
 	"github.com/egretbend/egretbend/internal/standin/fault"
 )
 
-// Server is the stand-in. Its zero value needs a Timer and Settings.
+// Server is a simulated model engine. It needs a Timer and Settings.
 type Server struct {
 	Timer    timer.Service
 	Settings Settings
-	Address  string
-	Faults   fault.Door[Faults]
+	// Address is the address that Instance reports.
+	Address string
+	Faults  fault.Door[Faults]
 
-	mu          sync.Mutex
-	queue       queue
-	version     version.Version
-	fetched     version.Version
-	fence       uint64
-	incarnation uint64
-	leaving     bool
-	cut         chan struct{}
-	downUntil   timer.Instant
-	stallUntil  timer.Instant
-	reports     []late
-	cache       cache
-	streams     atomic.Uint64
-	tokens      atomic.Int64
-	prefills    atomic.Int64
-	hits        atomic.Int64
+	mu             sync.Mutex
+	queue          queue
+	version        version.Version
+	fetched        version.Version
+	highestFencing uint64
+	incarnation    uint64
+	leaving        bool
+	// crashed is closed and replaced at each crash.
+	crashed      chan struct{}
+	crashedUntil timer.Instant
+	stallUntil   timer.Instant
+	reports      []delayedReport
+	cache        cache
+	streams      atomic.Uint64
+	tokens       atomic.Int64
+	prefills     atomic.Int64
+	hits         atomic.Int64
 }
 
-// late is a report that is told later.
-type late struct {
+// delayedReport is a load report and the time at which it was made.
+type delayedReport struct {
 	at     timer.Instant
 	report engine.Report
 }
 
-// Handler returns the doors of the engine.
+// Handler initialises the engine and returns the handler of its HTTP endpoints.
 func (s *Server) Handler() http.Handler {
 	s.mu.Lock()
 	if s.Settings.Initial.Zero() {
@@ -54,24 +56,24 @@
 	s.version = s.Settings.Initial
 	s.fetched = s.Settings.Initial
 	s.incarnation = uint64(time.Now().UnixMilli())
-	s.cut = make(chan struct{})
+	s.crashed = make(chan struct{})
 	s.queue.slots = s.Settings.Slots
-	s.queue.most = s.Settings.Queue
-	s.cache.most = s.Settings.CacheEntries
+	s.queue.maxWaiting = s.Settings.Queue
+	s.cache.capacity = s.Settings.CacheEntries
 	s.mu.Unlock()
 	s.Faults.Changed = s.crash
 	mux := http.NewServeMux()
 	mux.Handle(fault.Path, &s.Faults)
-	mux.HandleFunc(engine.PathCompletions, s.up(s.completions))
-	mux.HandleFunc(engine.PathLoad, s.up(s.load))
-	mux.HandleFunc(engine.PathOrders, s.up(s.order))
+	mux.HandleFunc(engine.PathCompletions, s.unlessCrashed(s.completions))
+	mux.HandleFunc(engine.PathLoad, s.unlessCrashed(s.load))
+	mux.HandleFunc(engine.PathOrders, s.unlessCrashed(s.order))
 	mux.HandleFunc("/leave", s.leave)
 	mux.HandleFunc("/stats", s.stats)
 	return mux
 }
 
-// Instance returns the engine as the instance list names it, and whether it is
-// up.
+// Instance returns the entry of the engine for the instance list, and whether
+// the engine is up.
 func (s *Server) Instance() (roster.Instance, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,14 +84,15 @@
 		FailureDomain: s.Settings.FailureDomain,
 		Incarnation:   s.incarnation,
 		Leaving:       s.leaving,
-	}, s.Timer.Now() >= s.downUntil
+	}, s.Timer.Now() >= s.crashedUntil
 }
 
-// up cuts connections while the engine is crashed.
-func (s *Server) up(next http.HandlerFunc) http.HandlerFunc {
+// unlessCrashed wraps next so that connections are aborted while the engine is
+// down after a crash.
+func (s *Server) unlessCrashed(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		down := s.Timer.Now() < s.downUntil
+		down := s.Timer.Now() < s.crashedUntil
 		s.mu.Unlock()
 		if down {
 			panic(http.ErrAbortHandler)
@@ -98,24 +101,27 @@
 	}
 }
 
-// crash cuts all streams and brings the engine back with its initial weights.
+// crash cuts all streams, clears the cache and restores the initial weights. The
+// engine is down for f.CrashMS and has a new incarnation afterwards; without
+// CrashMS nothing happens.
 func (s *Server) crash(f Faults) {
 	if f.CrashMS == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.cut)
-	s.cut = make(chan struct{})
-	s.downUntil = s.Timer.Now().Add(time.Duration(f.CrashMS) * time.Millisecond)
+	close(s.crashed)
+	s.crashed = make(chan struct{})
+	s.crashedUntil = s.Timer.Now().Add(time.Duration(f.CrashMS) * time.Millisecond)
 	s.version = s.Settings.Initial
 	s.fetched = s.Settings.Initial
 	s.incarnation++
 	s.cache = cache{
-		most: s.Settings.CacheEntries,
+		capacity: s.Settings.CacheEntries,
 	}
 }
 
+// leave marks the engine as draining; it refuses further requests.
 func (s *Server) leave(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	s.leaving = true
@@ -127,8 +133,8 @@
 	_ = json.NewEncoder(w).Encode(s.report())
 }
 
-// report returns the load as it was a while ago. Versions and leaving are told
-// as they are.
+// report returns the load of Settings.ReportLagMS ago. All other values, such as
+// the versions and whether the engine is draining, are current.
 func (s *Server) report() engine.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,21 +152,21 @@
 	if lag == 0 {
 		return current
 	}
-	s.reports = append(s.reports, late{
+	s.reports = append(s.reports, delayedReport{
 		at:     now,
 		report: current,
 	})
-	told := s.reports[0]
+	delayed := s.reports[0]
 	for len(s.reports) > 1 && s.reports[1].at <= now.Add(-lag) {
 		s.reports = s.reports[1:]
-		told = s.reports[0]
+		delayed = s.reports[0]
 	}
-	current.Running = told.report.Running
-	current.Waiting = told.report.Waiting
+	current.Running = delayed.report.Running
+	current.Waiting = delayed.report.Waiting
 	return current
 }
 
-// Stats counts what an engine did.
+// Stats holds the counters of an engine.
 type Stats struct {
 	Streams  uint64 `json:"streams"`
 	Tokens   int64  `json:"tokens"`
@@ -172,7 +178,7 @@
 	_ = json.NewEncoder(w).Encode(s.Stats())
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (s *Server) Stats() Stats {
 	return Stats{
 		Streams:  s.streams.Load(),
