--- a/internal/standin/fault/doc.go
+++ b/internal/standin/fault/doc.go
@@ -1,10 +1,11 @@
-// Package fault is the one door of each stand-in that brings about failures.
+// Package fault provides the HTTP endpoint through which failures are injected
+// into a stand-in.
 //
-// A stand-in keeps its faults in a struct and serves it:
+// A stand-in defines its faults as a struct and serves it through a Door:
 //
 //	var door fault.Door[Faults]
 //	mux.Handle("/fault", &door)
 //	if door.Get().Down { ... }
 //
-// POST /fault replaces the struct by the JSON in the body; {} ends all faults.
+// POST /fault replaces the struct by the JSON in the body; {} clears all faults.
 package fault
--- a/internal/standin/fault/door.go
+++ b/internal/standin/fault/door.go
@@ -6,17 +6,18 @@
 	"sync/atomic"
 )
 
-// Path is where each stand-in serves its door.
+// Path is the path at which each stand-in serves its Door.
 const Path = "/fault"
 
-// Door holds the faults of a stand-in. Its zero value has none.
+// Door holds the current faults of a stand-in, and replaces them by those in the
+// JSON body of a request. The zero value has no faults.
 type Door[T any] struct {
 	current atomic.Pointer[T]
-	// Changed is called with the new faults; nil calls nothing.
+	// Changed is called with the new faults after each change, unless it is nil.
 	Changed func(T)
 }
 
-// Get returns the faults in force.
+// Get returns the current faults.
 func (d *Door[T]) Get() T {
 	if p := d.current.Load(); p != nil {
 		return *p
@@ -25,7 +26,7 @@
 	return none
 }
 
-// Set puts faults in force.
+// Set replaces the current faults by v.
 func (d *Door[T]) Set(v T) {
 	d.current.Store(&v)
 	if d.Changed != nil {
