--- a/internal/standin/keyvalue/doc.go
+++ b/internal/standin/keyvalue/doc.go
@@ -1,8 +1,8 @@
-// Package keyvalue is a small stand-in for the platform's key-value service.
+// Package keyvalue simulates the platform's key-value service over HTTP.
 //
-// It keeps items in memory, counts every call and waiting watch, and can be
-// down, slow, lose answers of writes that took effect, or answer with an older
-// revision:
+// Server keeps items and leases in memory, and counts its calls, writes and
+// waiting watches. Faults makes it refuse calls, delay them, lose the answers of
+// writes that took effect, or answer reads with an older revision:
 //
 //	s := &keyvalue.Server{Timer: timer.Real{}}
 //	s.Faults.Set(keyvalue.Faults{Down: true})
--- a/internal/standin/keyvalue/server.go
+++ b/internal/standin/keyvalue/server.go
@@ -11,46 +11,49 @@
 	"github.com/egretbend/egretbend/internal/standin/fault"
 )
 
-// Faults are what can be wrong with the service.
+// Faults holds the failures that can be injected into the service.
 type Faults struct {
 	// Down refuses all calls by closing their connections.
 	Down bool `json:"down"`
 	// SlowMS delays every call, in milliseconds.
 	SlowMS int64 `json:"slow_ms"`
-	// LoseAnswers is how many of the next writes take effect without an answer.
+	// LoseAnswers is the number of the next puts whose answers are lost although
+	// they take effect.
 	LoseAnswers int64 `json:"lose_answers"`
-	// Stale answers reads with the revision before the last one.
+	// Stale answers reads and watches with the revision before the last one of an
+	// item, if there is one.
 	Stale bool `json:"stale"`
 }
 
-// Stats counts what the platform counts.
+// Stats holds the counters that the platform's service keeps as well.
 type Stats struct {
 	Calls   int64 `json:"calls"`
 	Writes  int64 `json:"writes"`
 	Waiting int64 `json:"waiting"`
 }
 
-// watchTime is the longest wait of a watch.
-const watchTime = 30 * time.Second
+// maxWatchTime is the time after which a watch without a change is answered.
+const maxWatchTime = 30 * time.Second
 
-// Server is the stand-in. Its zero value needs a Timer.
+// Server is a simulated key-value service. It needs a Timer.
 type Server struct {
 	Timer  timer.Service
 	Faults fault.Door[Faults]
 
-	store   store
-	lost    atomic.Int64
-	calls   atomic.Int64
-	writes  atomic.Int64
-	waiting atomic.Int64
+	store store
+	// answersToLose is the number of answers still to lose; 0 and below is none.
+	answersToLose atomic.Int64
+	calls         atomic.Int64
+	writes        atomic.Int64
+	waiting       atomic.Int64
 }
 
-// Handler returns the doors of the service.
+// Handler returns the handler of the HTTP endpoints of the service.
 func (s *Server) Handler() http.Handler {
 	s.store.mu.Lock()
 	s.store.prepare()
 	s.store.mu.Unlock()
-	s.Faults.Changed = func(f Faults) { s.lost.Store(f.LoseAnswers) }
+	s.Faults.Changed = func(f Faults) { s.answersToLose.Store(f.LoseAnswers) }
 	mux := http.NewServeMux()
 	mux.Handle(fault.Path, &s.Faults)
 	mux.HandleFunc("/stats", func(w http.ResponseWriter, _ *http.Request) {
@@ -64,12 +67,12 @@
 		keyvalue.PathKeepAlive: s.keepAlive,
 		keyvalue.PathRevoke:    s.revoke,
 	} {
-		mux.HandleFunc(path, s.serve(f))
+		mux.HandleFunc(path, s.withFaults(f))
 	}
 	return mux
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (s *Server) Stats() Stats {
 	return Stats{
 		Calls:   s.calls.Load(),
@@ -78,9 +81,12 @@
 	}
 }
 
+// operation executes one call to the service.
 type operation func(r *http.Request, c keyvalue.Call) (keyvalue.Item, keyvalue.Fault)
 
-func (s *Server) serve(f operation) http.HandlerFunc {
+// withFaults returns the handler of f: it counts the call, applies the faults and
+// encodes the answer.
+func (s *Server) withFaults(f operation) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.calls.Add(1)
 		faults := s.Faults.Get()
@@ -91,14 +97,14 @@
 			return
 		}
 		var c keyvalue.Call
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 2*maxValue)).Decode(&c); err != nil {
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 2*maxValueBytes)).Decode(&c); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		item, fault := f(r, c)
 		if r.URL.Path == keyvalue.PathPut {
 			s.writes.Add(1)
-			if s.lost.Add(-1) >= 0 {
+			if s.answersToLose.Add(-1) >= 0 {
 				panic(http.ErrAbortHandler)
 			}
 		}
@@ -112,9 +118,11 @@
 	}
 }
 
+// lock locks the store, ends expired leases and returns the function that unlocks
+// the store.
 func (s *Server) lock() func() {
 	s.store.mu.Lock()
-	s.store.expire(s.Timer.Now())
+	s.store.endExpiredLeases(s.Timer.Now())
 	return s.store.mu.Unlock
 }
 
@@ -145,14 +153,16 @@
 func (s *Server) revoke(_ *http.Request, c keyvalue.Call) (keyvalue.Item, keyvalue.Fault) {
 	defer s.lock()()
 	s.writes.Add(1)
-	s.store.end(c.Lease)
+	s.store.endLease(c.Lease)
 	return keyvalue.Item{}, keyvalue.FaultNone
 }
 
+// watch waits until the key has a revision above c.Expect, for up to
+// maxWatchTime.
 func (s *Server) watch(r *http.Request, c keyvalue.Call) (keyvalue.Item, keyvalue.Fault) {
 	s.waiting.Add(1)
 	defer s.waiting.Add(-1)
-	end := s.Timer.Once(watchTime)
+	end := s.Timer.Once(maxWatchTime)
 	defer end.Close()
 	for {
 		unlock := s.lock()
--- a/internal/standin/keyvalue/store.go
+++ b/internal/standin/keyvalue/store.go
@@ -8,56 +8,63 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// maxValue is the largest value that the platform's service holds.
-const maxValue = 1 << 20
+// maxValueBytes is the largest value that the platform's service accepts.
+const maxValueBytes = 1 << 20
 
-// store is the state of the service.
+// store holds the items and leases of the service. Its methods are called with mu
+// held.
 type store struct {
 	mu       sync.Mutex
 	revision uint64
 	items    map[string]keyvalue.Item
-	older    map[string]keyvalue.Item
-	leases   map[uint64]*granted
-	nextID   uint64
-	changed  chan struct{}
+	// previous holds the item before the last put of each key.
+	previous    map[string]keyvalue.Item
+	leases      map[uint64]*lease
+	lastLeaseID uint64
+	// changed is closed and replaced at each put.
+	changed chan struct{}
 }
 
-type granted struct {
-	ttl   time.Duration
-	until timer.Instant
+// lease ends at expires unless it is extended by ttl.
+type lease struct {
+	ttl     time.Duration
+	expires timer.Instant
 }
 
+// prepare creates the maps at the first call.
 func (s *store) prepare() {
 	if s.items != nil {
 		return
 	}
 	s.items = make(map[string]keyvalue.Item)
-	s.older = make(map[string]keyvalue.Item)
-	s.leases = make(map[uint64]*granted)
+	s.previous = make(map[string]keyvalue.Item)
+	s.leases = make(map[uint64]*lease)
 	s.changed = make(chan struct{})
 }
 
-// expire ends leases that ran out, with their items.
-func (s *store) expire(now timer.Instant) {
+// endExpiredLeases ends the leases that have expired, and deletes their items.
+func (s *store) endExpiredLeases(now timer.Instant) {
 	for id, l := range s.leases {
-		if now >= l.until {
-			s.end(id)
+		if now >= l.expires {
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *store) end(lease uint64) {
-	delete(s.leases, lease)
+// endLease removes a lease and deletes its items.
+func (s *store) endLease(id uint64) {
+	delete(s.leases, id)
 	for key, item := range s.items {
-		if item.Lease == lease {
+		if item.Lease == id {
 			s.revision++
 			delete(s.items, key)
 		}
 	}
 }
 
+// get returns the item of key, or the one before its last put if stale is set.
 func (s *store) get(key string, stale bool) (keyvalue.Item, keyvalue.Fault) {
-	if old, ok := s.older[key]; stale && ok {
+	if old, ok := s.previous[key]; stale && ok {
 		return old, keyvalue.FaultNone
 	}
 	item, ok := s.items[key]
@@ -69,9 +76,11 @@
 	return item, keyvalue.FaultNone
 }
 
+// put writes an item if its present revision is c.Expect and its lease exists.
+// A value above maxValueBytes is refused as a conflict.
 func (s *store) put(c keyvalue.Call) (keyvalue.Item, keyvalue.Fault) {
 	old := s.items[c.Key]
-	if old.Revision != c.Expect || len(c.Value) > maxValue {
+	if old.Revision != c.Expect || len(c.Value) > maxValueBytes {
 		return old, keyvalue.FaultConflict
 	}
 	if _, ok := s.leases[c.Lease]; c.Lease != 0 && !ok {
@@ -85,7 +94,7 @@
 		Lease:    c.Lease,
 	}
 	if old.Revision != 0 {
-		s.older[c.Key] = old
+		s.previous[c.Key] = old
 	}
 	s.items[c.Key] = item
 	close(s.changed)
@@ -93,20 +102,22 @@
 	return item, keyvalue.FaultNone
 }
 
+// grant creates a lease and returns its ID.
 func (s *store) grant(ttl time.Duration, now timer.Instant) uint64 {
-	s.nextID++
-	s.leases[s.nextID] = &granted{
-		ttl:   ttl,
-		until: now.Add(ttl),
+	s.lastLeaseID++
+	s.leases[s.lastLeaseID] = &lease{
+		ttl:     ttl,
+		expires: now.Add(ttl),
 	}
-	return s.nextID
+	return s.lastLeaseID
 }
 
-func (s *store) keepAlive(lease uint64, now timer.Instant) keyvalue.Fault {
-	l, ok := s.leases[lease]
+// keepAlive extends a lease by its TTL from now.
+func (s *store) keepAlive(id uint64, now timer.Instant) keyvalue.Fault {
+	l, ok := s.leases[id]
 	if !ok {
 		return keyvalue.FaultLeaseGone
 	}
-	l.until = now.Add(l.ttl)
+	l.expires = now.Add(l.ttl)
 	return keyvalue.FaultNone
 }
