--- a/internal/standin/proof/doc.go
+++ b/internal/standin/proof/doc.go
@@ -1,9 +1,10 @@
-// Package proof runs properties for the tests of other packages.
+// Package proof runs property-based tests for other packages.
 //
-// Check holds a property with fixed seeds, so that CI gives the same verdict
-// each time; with the environment variable FUZZTIME set it takes fresh seeds
-// for that long. Refute expects a property to fail: a proof is worth something
-// only if it fails once its mechanism is switched off.
+// Check verifies a property with a fixed seed, so that CI gives the same result
+// each time. If the environment variable FUZZTIME is set to a duration, Check
+// uses fresh seeds for that long. Refute expects a property to fail: it shows
+// that the property detects the fault when the mechanism that prevents it is
+// switched off.
 //
 //	proof.Check(t, func(rt *rapid.T) { world(rt, allOn) })
 //	proof.Refute(t, func(rt *rapid.T) { world(rt, noFence) })
--- a/internal/standin/proof/proof.go
+++ b/internal/standin/proof/proof.go
@@ -13,48 +13,52 @@
 	"pgregory.net/rapid"
 )
 
-// fixedSeed is the seed of every run without FUZZTIME.
+// fixedSeed is the seed of every run that FUZZTIME does not prolong.
 const fixedSeed = 20261203
 
-// EnvFuzzTime names the environment variable that asks for fresh seeds.
+// EnvFuzzTime is the environment variable with the duration for which Check uses
+// fresh seeds.
 const EnvFuzzTime = "FUZZTIME"
 
-// The size of a run: histories, and the mean number of actions in each.
 const (
-	checks = 1000
-	steps  = 60
+	// defaultChecks is the number of histories that Check generates.
+	defaultChecks = 1000
+	// steps is the mean number of actions in a history.
+	steps = 60
 )
 
-// Check holds a property.
+// Check verifies that a property holds.
 func Check(t *testing.T, prop func(*rapid.T)) {
 	t.Helper()
-	CheckN(t, checks, prop)
+	CheckN(t, defaultChecks, prop)
 }
 
-// CheckN holds a property over n histories, for those that take long.
+// CheckN verifies that a property holds over n histories. It is for properties
+// that are slow to check.
 func CheckN(t *testing.T, n int, prop func(*rapid.T)) {
 	t.Helper()
-	size(n)
-	most, err := time.ParseDuration(os.Getenv(EnvFuzzTime))
+	setRunSize(n)
+	duration, err := time.ParseDuration(os.Getenv(EnvFuzzTime))
 	if err != nil {
-		set("rapid.seed", strconv.Itoa(fixedSeed))
+		setFlag("rapid.seed", strconv.Itoa(fixedSeed))
 		rapid.Check(t, prop)
 		return
 	}
-	for end := time.Now().Add(most); time.Now().Before(end) && !t.Failed(); {
+	for end := time.Now().Add(duration); time.Now().Before(end) && !t.Failed(); {
 		seed := rand.Uint64() | 1
 		t.Logf("seed %d", seed)
-		set("rapid.seed", strconv.FormatUint(seed, 10))
+		setFlag("rapid.seed", strconv.FormatUint(seed, 10))
 		rapid.Check(t, prop)
 	}
 }
 
-// Refute expects a property to fail, and logs how it did.
+// Refute verifies that a property fails, and logs its first error. It tries up to
+// ten times as many histories as Check.
 func Refute(t *testing.T, prop func(*rapid.T)) {
 	t.Helper()
-	size(10 * checks)
-	set("rapid.seed", strconv.Itoa(fixedSeed))
-	p := &probe{
+	setRunSize(10 * defaultChecks)
+	setFlag("rapid.seed", strconv.Itoa(fixedSeed))
+	p := &recordingTB{
 		name: t.Name(),
 	}
 	done := make(chan struct{})
@@ -64,85 +68,88 @@
 	}()
 	<-done
 	if !p.failed {
-		t.Fatal("the property held although its mechanism was switched off")
+		t.Fatal("the property holds although its mechanism is switched off")
 	}
-	t.Logf("failed as it should: %s", p.first)
+	t.Logf("failed as expected: %s", p.firstError)
 }
 
-func size(n int) {
-	set("rapid.nofailfile", "true")
-	set("rapid.checks", strconv.Itoa(n))
-	set("rapid.steps", strconv.Itoa(steps))
-	set("rapid.shrinktime", "2s")
+// setRunSize sets rapid to n histories, without files of failures and with at
+// most 2 s for shrinking one.
+func setRunSize(n int) {
+	setFlag("rapid.nofailfile", "true")
+	setFlag("rapid.checks", strconv.Itoa(n))
+	setFlag("rapid.steps", strconv.Itoa(steps))
+	setFlag("rapid.shrinktime", "2s")
 }
 
-func set(name, value string) {
+func setFlag(name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		panic(err)
 	}
 }
 
-// probe is a test that may fail without harm.
-type probe struct {
-	name   string
-	failed bool
-	first  string
+// recordingTB is a rapid.TB that records a failure and its first error instead of
+// failing the test.
+type recordingTB struct {
+	name       string
+	failed     bool
+	firstError string
 }
 
 // Helper implements rapid.TB.
-func (p *probe) Helper() {}
+func (p *recordingTB) Helper() {}
 
 // Name implements rapid.TB.
-func (p *probe) Name() string { return p.name }
+func (p *recordingTB) Name() string { return p.name }
 
 // Logf implements rapid.TB.
-func (p *probe) Logf(string, ...any) {}
+func (p *recordingTB) Logf(string, ...any) {}
 
 // Log implements rapid.TB.
-func (p *probe) Log(...any) {}
+func (p *recordingTB) Log(...any) {}
 
 // Skipf implements rapid.TB.
-func (p *probe) Skipf(string, ...any) { p.SkipNow() }
+func (p *recordingTB) Skipf(string, ...any) { p.SkipNow() }
 
 // Skip implements rapid.TB.
-func (p *probe) Skip(...any) { p.SkipNow() }
+func (p *recordingTB) Skip(...any) { p.SkipNow() }
 
 // SkipNow implements rapid.TB.
-func (p *probe) SkipNow() { runtime.Goexit() }
+func (p *recordingTB) SkipNow() { runtime.Goexit() }
 
 // Errorf implements rapid.TB.
-func (p *probe) Errorf(format string, args ...any) { p.note(fmt.Sprintf(format, args...)) }
+func (p *recordingTB) Errorf(format string, args ...any) { p.recordError(fmt.Sprintf(format, args...)) }
 
 // Error implements rapid.TB.
-func (p *probe) Error(args ...any) { p.note(fmt.Sprint(args...)) }
+func (p *recordingTB) Error(args ...any) { p.recordError(fmt.Sprint(args...)) }
 
 // Fatalf implements rapid.TB.
-func (p *probe) Fatalf(format string, args ...any) {
+func (p *recordingTB) Fatalf(format string, args ...any) {
 	p.Errorf(format, args...)
 	p.FailNow()
 }
 
 // Fatal implements rapid.TB.
-func (p *probe) Fatal(args ...any) {
+func (p *recordingTB) Fatal(args ...any) {
 	p.Error(args...)
 	p.FailNow()
 }
 
 // FailNow implements rapid.TB.
-func (p *probe) FailNow() {
+func (p *recordingTB) FailNow() {
 	p.failed = true
 	runtime.Goexit()
 }
 
 // Fail implements rapid.TB.
-func (p *probe) Fail() { p.failed = true }
+func (p *recordingTB) Fail() { p.failed = true }
 
 // Failed implements rapid.TB.
-func (p *probe) Failed() bool { return p.failed }
+func (p *recordingTB) Failed() bool { return p.failed }
 
-func (p *probe) note(what string) {
+func (p *recordingTB) recordError(what string) {
 	p.failed = true
-	if p.first == "" {
-		p.first = what
+	if p.firstError == "" {
+		p.firstError = what
 	}
 }
