--- a/internal/standin/roster/announcer.go
+++ b/internal/standin/roster/announcer.go
@@ -13,17 +13,20 @@
 	"github.com/egretbend/egretbend/internal/outside/roster"
 )
 
+// announcePeriod is the time between two announcements, and the timeout of each.
 const announcePeriod = time.Second
 
-// Announcer tells a list about an upstream again and again.
+// Announcer periodically announces an upstream to a Server.
 type Announcer struct {
+	// Roster is the address of the Server.
 	Roster string
 	Timer  timer.Service
-	// Current returns the upstream as it is now, and whether it is up.
+	// Current returns the present state of the upstream, and whether it is up.
+	// An upstream that is down is not announced.
 	Current func() (roster.Instance, bool)
 }
 
-// Run announces until t dies.
+// Run announces the upstream until t is dying.
 func (a *Announcer) Run(t *tomb.Tomb) error {
 	tick := a.Timer.Every(announcePeriod)
 	defer tick.Close()
@@ -39,6 +42,8 @@
 	}
 }
 
+// announce sends one announcement. Errors are ignored; the next one follows
+// after announcePeriod.
 func (a *Announcer) announce(ctx context.Context, in roster.Instance) {
 	body, err := json.Marshal(in)
 	if err != nil {
--- a/internal/standin/roster/doc.go
+++ b/internal/standin/roster/doc.go
@@ -1,9 +1,10 @@
-// Package roster is a small stand-in for the platform's instance list.
+// Package roster simulates the platform's instance list over HTTP.
 //
-// Upstream stand-ins announce themselves to it; it lists them with a lag:
+// Each simulated upstream announces itself to Server by an Announcer. Server
+// lists the upstreams that it heard of lately:
 //
 //	s := &roster.Server{Timer: timer.Real{}}
 //	http.Serve(ln, s.Handler())
 //
-// Its faults are to be down and to lag.
+// Faults makes it refuse reads or answer with an older list.
 package roster
--- a/internal/standin/roster/server.go
+++ b/internal/standin/roster/server.go
@@ -12,47 +12,52 @@
 	"github.com/egretbend/egretbend/internal/standin/fault"
 )
 
-// Faults are what can be wrong with the list.
+// Faults holds the failures that can be injected into the list.
 type Faults struct {
 	// Down refuses all reads by closing their connections.
 	Down bool `json:"down"`
-	// LagMS is by how much the list is behind, in milliseconds.
+	// LagMS is the age of the list that is returned, in milliseconds.
 	LagMS int64 `json:"lag_ms"`
 }
 
-// Times of the list.
 const (
-	// silence is how long an instance stays listed without a word.
-	silence = 4 * time.Second
-	// snapshots is how many past lists are kept for the lag.
-	snapshots      = 120
+	// announceTimeout is how long an instance stays listed after its last
+	// announcement.
+	announceTimeout = 4 * time.Second
+	// maxSnapshots is the number of past lists that are kept for LagMS.
+	maxSnapshots = 120
+	// snapshotPeriod is the minimum time between two snapshots.
 	snapshotPeriod = 250 * time.Millisecond
 )
 
-// PathAnnounce is where upstreams announce themselves.
+// PathAnnounce is the path at which upstreams announce themselves.
 const PathAnnounce = "/announce"
 
-// Server is the stand-in. Its zero value needs a Timer.
+// Server is a simulated instance list. It needs a Timer.
 type Server struct {
 	Timer  timer.Service
 	Faults fault.Door[Faults]
 
-	mu    sync.Mutex
-	known map[string]announced
-	past  []snapshot
+	mu sync.Mutex
+	// announcements holds the last announcement of each instance by its ID.
+	announcements map[string]announcement
+	// snapshots holds the past lists, the oldest first.
+	snapshots []snapshot
 }
 
-type announced struct {
+// announcement is the last state that an upstream announced.
+type announcement struct {
 	instance roster.Instance
 	at       timer.Instant
 }
 
+// snapshot is the list at one time.
 type snapshot struct {
 	at   timer.Instant
 	list []roster.Instance
 }
 
-// Handler returns the doors of the list.
+// Handler returns the handler of the HTTP endpoints of the list.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(fault.Path, &s.Faults)
@@ -71,14 +76,14 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Announce takes the word of an upstream.
+// Announce records the state of an upstream.
 func (s *Server) Announce(in roster.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.known == nil {
-		s.known = make(map[string]announced)
+	if s.announcements == nil {
+		s.announcements = make(map[string]announcement)
 	}
-	s.known[in.ID] = announced{
+	s.announcements[in.ID] = announcement{
 		instance: in,
 		at:       s.Timer.Now(),
 	}
@@ -89,18 +94,19 @@
 	if faults.Down {
 		panic(http.ErrAbortHandler)
 	}
-	list := s.at(s.Timer.Now(), time.Duration(faults.LagMS)*time.Millisecond)
+	list := s.listAt(s.Timer.Now(), time.Duration(faults.LagMS)*time.Millisecond)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(list)
 }
 
-// at returns the list as it was lag before now.
-func (s *Server) at(now timer.Instant, lag time.Duration) []roster.Instance {
+// listAt returns the newest list that is at least lag old, or the oldest one
+// kept.
+func (s *Server) listAt(now timer.Instant, lag time.Duration) []roster.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.remember(now)
-	best := s.past[0].list
-	for _, p := range s.past {
+	s.takeSnapshot(now)
+	best := s.snapshots[0].list
+	for _, p := range s.snapshots {
 		if p.at <= now.Add(-lag) {
 			best = p.list
 		}
@@ -108,22 +114,24 @@
 	return best
 }
 
-func (s *Server) remember(now timer.Instant) {
-	if n := len(s.past); n > 0 && now.Sub(s.past[n-1].at) < snapshotPeriod {
+// takeSnapshot appends the present list to the snapshots, unless the last one is
+// younger than snapshotPeriod.
+func (s *Server) takeSnapshot(now timer.Instant) {
+	if n := len(s.snapshots); n > 0 && now.Sub(s.snapshots[n-1].at) < snapshotPeriod {
 		return
 	}
 	list := []roster.Instance{}
-	for _, a := range s.known {
-		if now.Sub(a.at) < silence {
+	for _, a := range s.announcements {
+		if now.Sub(a.at) < announceTimeout {
 			list = append(list, a.instance)
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
-	s.past = append(s.past, snapshot{
+	s.snapshots = append(s.snapshots, snapshot{
 		at:   now,
 		list: list,
 	})
-	if len(s.past) > snapshots {
-		s.past = s.past[1:]
+	if len(s.snapshots) > maxSnapshots {
+		s.snapshots = s.snapshots[1:]
 	}
 }
