--- a/internal/standin/proof/doc.go
+++ b/internal/standin/proof/doc.go
@@ -6,6 +6,6 @@
 // that the property detects the fault when the mechanism that prevents it is
 // switched off.
 //
-//	proof.Check(t, func(rt *rapid.T) { world(rt, allOn) })
-//	proof.Refute(t, func(rt *rapid.T) { world(rt, noFence) })
+//	proof.Check(t, func(rt *rapid.T) { runHistory(rt, withFencing) })
+//	proof.Refute(t, func(rt *rapid.T) { runHistory(rt, withoutFencing) })
 package proof
