--- a/internal/standin/service/doc.go
+++ b/internal/standin/service/doc.go
@@ -1,7 +1,9 @@
-// Package service is a small stand-in for a plain service, such as an order
-// desk or a panel application.
+// Package service simulates a plain service, such as an order desk or a panel
+// application.
 //
-// It keeps a record of each run of an order, so that a second run shows:
+// Server executes orders over HTTP, with a limited number of slots, a queue and
+// injected Faults. It counts the runs of each order, so that tests detect an order
+// that ran twice:
 //
 //	s := &service.Server{Timer: timer.Real{}, Settings: service.Settings{ID: "desk-1", Slots: 8, WorkMS: 20}}
 //	http.Serve(ln, s.Handler())
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -20,76 +20,91 @@
 	"github.com/egretbend/egretbend/internal/standin/fault"
 )
 
-// Settings are the properties of a service instance.
+// Settings holds the properties of a service instance.
 type Settings struct {
 	ID            string `json:"id"`
 	Group         string `json:"group" need:"true"`
 	FailureDomain string `json:"failure_domain"`
-	Slots         int    `json:"slots" default:"8" min:"1"`
-	Queue         int    `json:"queue" default:"8" min:"0"`
-	// WorkMS is the mean time of a request, in milliseconds.
+	// Slots is the number of requests that run at the same time.
+	Slots int `json:"slots" default:"8" min:"1"`
+	// Queue is the number of requests that may wait for a slot.
+	Queue int `json:"queue" default:"8" min:"0"`
+	// WorkMS is the mean of the exponentially distributed time of a request, in
+	// milliseconds.
 	WorkMS float64 `json:"work_ms" default:"20" min:"0"`
 }
 
-// Faults are what can be wrong with a service. Shares are of requests.
+// Faults holds the failures that can be injected into a service. Each share is a
+// fraction of the requests.
 type Faults struct {
+	// SlowFactor scales the time of every request; 0 leaves it unchanged.
 	SlowFactor float64 `json:"slow_factor"`
-	// RefuseShare is refused with the word that it was not run.
+	// RefuseShare is refused with status 503 and engine.HeaderNotRun.
 	RefuseShare float64 `json:"refuse_share"`
-	// BareShare is run and then answered with a bare 503.
+	// BareShare is run and then answered with status 503, without the headers
+	// that tell whether it was run.
 	BareShare float64 `json:"bare_share"`
-	// ResetShare is run and its connection then reset.
+	// ResetShare is run, and then its connection is reset.
 	ResetShare float64 `json:"reset_share"`
-	// CutShare is run and its answer cut short.
+	// CutShare is run, and its connection is reset after half of the answer.
 	CutShare float64 `json:"cut_share"`
-	// CrossShare is run and answered with the answer to another request.
+	// CrossShare is run and answered with the answer and attempt ID of another
+	// request.
 	CrossShare float64 `json:"cross_share"`
 }
 
-// Order is the body of a request.
+// Order is the JSON body of a request.
 type Order struct {
 	OrderID string `json:"order_id"`
 	Detail  string `json:"detail"`
 }
 
-// Answer is the body of an answer.
+// Answer is the JSON body of the answer to an Order.
 type Answer struct {
 	OrderID string `json:"order_id"`
 	Detail  string `json:"detail"`
-	By      string `json:"by"`
-	// Check is a hash over the order, so that a mixed up answer shows.
+	// By is the ID of the service instance that ran the order.
+	By string `json:"by"`
+	// Check is a hash of the order; it reveals the answer to another order.
 	Check string `json:"check"`
 }
 
-// RecordPrefix begins the line of a run in the record.
+// RecordPrefix is the prefix of each line that is written to Server.Record; the
+// order ID follows.
 const RecordPrefix = "run="
 
-// Check returns the check of an order's answer.
+// Check returns the value of Answer.Check for an order.
 func Check(o Order) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64String(o.OrderID+"|"+o.Detail))
 }
 
-// Server is the stand-in. Its zero value needs a Timer and Settings.
+// Server is a simulated plain service. It needs a Timer and Settings.
 type Server struct {
 	Timer    timer.Service
 	Settings Settings
-	Address  string
-	Faults   fault.Door[Faults]
-	// Record gets a line for each run, so that the runs of a process that is
-	// killed are known as well; nil records nothing.
+	// Address is the address that Instance reports.
+	Address string
+	Faults  fault.Door[Faults]
+	// Record receives a line for each run, so that the runs of a process that is
+	// killed are known as well; nil writes nothing.
 	Record io.Writer
 
-	mu          sync.Mutex
-	running     int
+	mu      sync.Mutex
+	running int
+	// waiting holds a channel for each queued request, which is closed when the
+	// request gets a slot.
 	waiting     []chan struct{}
 	leaving     bool
 	incarnation uint64
-	runs        map[string]int
-	last        Answer
-	turn        uint64
+	// runs holds the number of runs by order ID.
+	runs       map[string]int
+	lastAnswer Answer
+	// randomSources is the number of calls of newRandom.
+	randomSources uint64
 }
 
-// Handler returns the doors of the service.
+// Handler returns the handler of the HTTP endpoints of the service. Every path
+// without an endpoint of its own accepts orders.
 func (s *Server) Handler() http.Handler {
 	s.mu.Lock()
 	s.incarnation = uint64(time.Now().UnixMilli())
@@ -113,14 +128,15 @@
 	return mux
 }
 
-// Runs returns how often each order was run.
+// Runs returns the number of runs by order ID.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.runs)
 }
 
-// Instance returns the service as the instance list names it.
+// Instance returns the entry of the service for the instance list, and true, as
+// the service is always up.
 func (s *Server) Instance() (roster.Instance, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,41 +162,45 @@
 	}
 }
 
+// order runs an order and answers it, subject to the faults.
 func (s *Server) order(w http.ResponseWriter, r *http.Request) {
 	var o Order
 	body, err := io.ReadAll(r.Body)
 	if err != nil || json.Unmarshal(body, &o) != nil {
-		http.Error(w, "not an order", http.StatusBadRequest)
+		http.Error(w, "the body is not a valid order", http.StatusBadRequest)
 		return
 	}
 	attempt := r.Header.Get(relay.HeaderAttempt)
-	draw := s.dice(attempt)
+	random := s.newRandom(attempt)
 	f := s.Faults.Get()
-	if draw() < f.RefuseShare || !s.enter(r) {
+	if random() < f.RefuseShare || !s.acquire(r) {
 		w.Header().Set(relay.HeaderAttempt, attempt)
 		w.Header().Set(engine.HeaderNotRun, "1")
 		w.Header().Set("Retry-After", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer s.leave()
-	answer := s.run(o, f, draw)
-	s.answer(w, r, answer, f, draw)
+	defer s.release()
+	answer := s.run(o, f, random)
+	s.writeAnswer(w, r, answer, f, random)
 }
 
-func (s *Server) dice(seed string) func() float64 {
+// newRandom returns a generator of numbers in [0, 1). Its state derives from seed,
+// the ID of the service and the number of calls so far.
+func (s *Server) newRandom(seed string) func() float64 {
 	s.mu.Lock()
-	s.turn++
-	dice := xxhash.Sum64String(fmt.Sprint(seed, s.Settings.ID, s.turn))
+	s.randomSources++
+	state := xxhash.Sum64String(fmt.Sprint(seed, s.Settings.ID, s.randomSources))
 	s.mu.Unlock()
 	return func() float64 {
-		dice = dice*6364136223846793005 + 1442695040888963407
-		return float64(dice>>11) / (1 << 53)
+		state = state*6364136223846793005 + 1442695040888963407
+		return float64(state>>11) / (1 << 53)
 	}
 }
 
-// enter takes a slot, or waits for one in the queue.
-func (s *Server) enter(r *http.Request) bool {
+// acquire takes a slot, or waits for one in the queue. It reports false if the
+// service is draining, the queue is full or the request is cancelled.
+func (s *Server) acquire(r *http.Request) bool {
 	s.mu.Lock()
 	if s.leaving || (s.running >= s.Settings.Slots && len(s.waiting) >= s.Settings.Queue) {
 		s.mu.Unlock()
@@ -191,24 +211,24 @@
 		s.mu.Unlock()
 		return true
 	}
-	turn := make(chan struct{})
-	s.waiting = append(s.waiting, turn)
+	ready := make(chan struct{})
+	s.waiting = append(s.waiting, ready)
 	s.mu.Unlock()
 	select {
-	case <-turn:
+	case <-ready:
 		return true
 	case <-r.Context().Done():
-		return s.abandon(turn)
+		return s.stopWaiting(ready)
 	}
 }
 
-// abandon gives up a place in the queue. It reports true if the slot came in
-// the same moment, and then must be used.
-func (s *Server) abandon(turn chan struct{}) bool {
+// stopWaiting removes a request from the queue. It reports true if the request
+// got a slot before it was removed; the caller then holds the slot.
+func (s *Server) stopWaiting(ready chan struct{}) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, t := range s.waiting {
-		if t == turn {
+		if t == ready {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
 			return false
 		}
@@ -216,7 +236,8 @@
 	return true
 }
 
-func (s *Server) leave() {
+// release passes the slot on to the next request in the queue, or frees it.
+func (s *Server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.waiting) == 0 {
@@ -227,8 +248,10 @@
 	s.waiting = s.waiting[1:]
 }
 
-func (s *Server) run(o Order, f Faults, draw func() float64) Answer {
-	work := s.Settings.WorkMS * -math.Log(1-draw())
+// run waits for the time that the order takes, records the run and returns its
+// answer.
+func (s *Server) run(o Order, f Faults, random func() float64) Answer {
+	work := s.Settings.WorkMS * -math.Log(1-random())
 	if f.SlowFactor > 0 {
 		work *= f.SlowFactor
 	}
@@ -248,19 +271,20 @@
 	return answer
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, answer Answer, f Faults, draw func() float64) {
+// writeAnswer writes the answer of an order that was run, subject to the faults.
+func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, answer Answer, f Faults, random func() float64) {
 	attempt := r.Header.Get(relay.HeaderAttempt)
 	s.mu.Lock()
-	last := s.last
-	s.last = answer
+	last := s.lastAnswer
+	s.lastAnswer = answer
 	s.mu.Unlock()
 	switch {
-	case draw() < f.BareShare:
+	case random() < f.BareShare:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case draw() < f.ResetShare:
+	case random() < f.ResetShare:
 		panic(http.ErrAbortHandler)
-	case draw() < f.CrossShare:
+	case random() < f.CrossShare:
 		answer = last
 		attempt = strings.ToUpper(attempt) + "x"
 	}
@@ -274,7 +298,7 @@
 	w.Header().Set(relay.HeaderAttempt, attempt)
 	w.Header().Set(relay.HeaderLoad, fmt.Sprintf("%d,%d,%d", report.Running, report.Waiting, report.Slots))
 	w.Header().Set("Content-Length", fmt.Sprint(len(body)))
-	if draw() < f.CutShare {
+	if random() < f.CutShare {
 		_, _ = w.Write(body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
