--- a/internal/standin/space/doc.go
+++ b/internal/standin/space/doc.go
@@ -1,9 +1,10 @@
-// Package space is a stand-in of a key-value service with prefixes,
-// transactions, leases and watches, in memory.
+// Package space implements keyvalue.Space in memory, for tests: a key-value
+// service with prefixes, transactions, leases and watches.
 //
 //	s := &space.Space{Timer: clock}
 //	s.Fault = func(call space.Call) space.Fault { return space.LostAfter }
 //
-// Its answers are those of one copy: a revision counter, conditions compared and
-// changes made under one lock. Fault decides for each call what goes wrong.
+// A Space behaves like a service with a single replica: it has one revision
+// counter, and compares the conditions of a transaction and applies its writes
+// under one lock. The function Space.Fault selects the failure of each Call.
 package space
--- a/internal/standin/space/space.go
+++ b/internal/standin/space/space.go
@@ -12,10 +12,10 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// Call names an operation for Fault.
+// Call is the name of an operation.
 type Call string
 
-// The operations.
+// The operations of a Space.
 const (
 	Get       Call = "get"
 	Range     Call = "range"
@@ -26,49 +26,56 @@
 	Revoke    Call = "revoke"
 )
 
-// Fault is what goes wrong with one call.
+// Fault is the failure of one call.
 type Fault int
 
-// The faults.
+// The faults of a call.
 const (
+	// None is a call without a failure.
 	None Fault = iota
-	// Down refuses the call; nothing is done.
+	// Down refuses the call; it has no effect.
 	Down
-	// LostBefore gives no answer, and nothing is done.
+	// LostBefore loses the call; it has no effect and no answer.
 	LostBefore
-	// LostAfter does the call and loses its answer.
+	// LostAfter executes a Commit and loses its answer. Other operations have no
+	// effect.
 	LostAfter
-	// Late gives no answer, and does the call when Settle is called.
+	// Late loses the answer of a Commit, and executes it when Settle is called.
+	// Other operations have no effect.
 	Late
 )
 
+// lease ends at expires unless it is extended by ttl.
 type lease struct {
-	ttl  time.Duration
-	ends timer.Instant
+	ttl     time.Duration
+	expires timer.Instant
 }
 
-// Space is the stand-in. Its zero value with a Timer works.
+// Space is an in-memory keyvalue.Space. It needs a Timer.
 type Space struct {
 	Timer timer.Service
-	// Fault decides what goes wrong with a call; nil is no fault ever. It is
-	// called under the lock.
+	// Fault selects the fault of a call; nil means no faults. It is called with
+	// the lock of the Space held, so it must not call the Space.
 	Fault func(c Call) Fault
 
-	mu        sync.Mutex
-	revision  uint64
-	items     map[string]keyvalue.Item
-	history   []keyvalue.Change
-	compacted uint64
-	leases    map[uint64]*lease
-	next      uint64
-	late      []keyvalue.Transaction
-	changed   chan struct{}
-	calls     map[Call]int
+	mu       sync.Mutex
+	revision uint64
+	items    map[string]keyvalue.Item
+	// history holds the changes after the revision compacted, the oldest first.
+	history     []keyvalue.Change
+	compacted   uint64
+	leases      map[uint64]*lease
+	lastLeaseID uint64
+	// lateCommits holds the transactions that Settle executes.
+	lateCommits []keyvalue.Transaction
+	// changed is closed to wake the waiting watches; it is nil until a watch waits.
+	changed chan struct{}
+	calls   map[Call]int
 }
 
-// enter counts a call, ends leases that ran out, and returns what goes wrong.
-// The lock is held.
-func (s *Space) enter(c Call) Fault {
+// beginCall counts a call, ends expired leases and returns the fault of the call.
+// mu must be held.
+func (s *Space) beginCall(c Call) Fault {
 	if s.items == nil {
 		s.items = make(map[string]keyvalue.Item)
 		s.leases = make(map[uint64]*lease)
@@ -78,8 +85,8 @@
 	s.calls[c]++
 	now := s.Timer.Now()
 	for id, l := range s.leases {
-		if now >= l.ends {
-			s.end(id)
+		if now >= l.expires {
+			s.endLease(id)
 		}
 	}
 	if s.Fault == nil {
@@ -88,14 +95,16 @@
 	return s.Fault(c)
 }
 
-// Calls returns how often an operation was called.
+// Calls returns the number of calls of an operation. A watch counts again each
+// time that it is woken.
 func (s *Space) Calls(c Call) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[c]
 }
 
-// Compact forgets the history.
+// Compact discards the history; a watch from an earlier revision fails with
+// keyvalue.ErrCompacted.
 func (s *Space) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,26 +112,26 @@
 	s.compacted = s.revision
 }
 
-// Settle carries out the calls that were late, in order, where their conditions
-// still hold.
+// Settle executes the late commits in the order of their calls. A commit whose
+// conditions no longer hold has no effect.
 func (s *Space) Settle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, tx := range s.late {
+	for _, tx := range s.lateCommits {
 		_, _ = s.apply(tx)
 	}
-	s.late = nil
+	s.lateCommits = nil
 }
 
-// Lapse ends a lease at once, as if it had run out or been taken away.
+// Lapse ends a lease at once, as if it had expired or been revoked.
 func (s *Space) Lapse(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.end(id)
+	s.endLease(id)
 }
 
-// end removes a lease with its keys. The lock is held.
-func (s *Space) end(id uint64) {
+// endLease removes a lease and its keys. mu must be held.
+func (s *Space) endLease(id uint64) {
 	if s.leases[id] == nil {
 		return
 	}
@@ -133,10 +142,10 @@
 			s.remove(key)
 		}
 	}
-	s.wake()
+	s.wakeWatches()
 }
 
-// remove removes a key at the present revision. The lock is held.
+// remove removes a key at the current revision. mu must be held.
 func (s *Space) remove(key string) {
 	delete(s.items, key)
 	s.history = append(s.history, keyvalue.Change{
@@ -148,16 +157,16 @@
 	})
 }
 
-// wake wakes all watches. The lock is held.
-func (s *Space) wake() {
+// wakeWatches wakes all watches. mu must be held.
+func (s *Space) wakeWatches() {
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
 	}
 }
 
-// lost is the error of a call without an answer.
-func lost(f Fault) error {
+// faultError returns the error of a call that failed with f.
+func faultError(f Fault) error {
 	if f == Down {
 		return keyvalue.ErrDown
 	}
@@ -168,8 +177,8 @@
 func (s *Space) Get(_ context.Context, key string) (keyvalue.Item, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f := s.enter(Get); f != None {
-		return keyvalue.Item{}, lost(f)
+	if f := s.beginCall(Get); f != None {
+		return keyvalue.Item{}, faultError(f)
 	}
 	item, ok := s.items[key]
 	if !ok {
@@ -182,8 +191,8 @@
 func (s *Space) Range(_ context.Context, prefix string, _ keyvalue.Freshness) (keyvalue.Listing, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f := s.enter(Range); f != None {
-		return keyvalue.Listing{}, lost(f)
+	if f := s.beginCall(Range); f != None {
+		return keyvalue.Listing{}, faultError(f)
 	}
 	l := keyvalue.Listing{
 		Revision: s.revision,
@@ -203,9 +212,9 @@
 	defer done.Close()
 	for {
 		s.mu.Lock()
-		if f := s.enter(Watch); f != None {
+		if f := s.beginCall(Watch); f != None {
 			s.mu.Unlock()
-			return nil, 0, lost(f)
+			return nil, 0, faultError(f)
 		}
 		if after < s.compacted {
 			s.mu.Unlock()
@@ -240,12 +249,12 @@
 func (s *Space) Commit(_ context.Context, tx keyvalue.Transaction) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := s.enter(Commit)
+	f := s.beginCall(Commit)
 	switch f {
 	case Down, LostBefore:
-		return 0, lost(f)
+		return 0, faultError(f)
 	case Late:
-		s.late = append(s.late, tx)
+		s.lateCommits = append(s.lateCommits, tx)
 		return 0, keyvalue.ErrLost
 	}
 	rev, err := s.apply(tx)
@@ -255,7 +264,7 @@
 	return rev, err
 }
 
-// apply carries out a transaction. The lock is held.
+// apply executes a transaction if its conditions hold. mu must be held.
 func (s *Space) apply(tx keyvalue.Transaction) (uint64, error) {
 	conflict := &keyvalue.ConflictError{}
 	holds := true
@@ -291,7 +300,7 @@
 			s.remove(key)
 		}
 	}
-	s.wake()
+	s.wakeWatches()
 	return s.revision, nil
 }
 
@@ -299,29 +308,29 @@
 func (s *Space) Grant(_ context.Context, ttl time.Duration) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f := s.enter(Grant); f != None {
-		return 0, lost(f)
+	if f := s.beginCall(Grant); f != None {
+		return 0, faultError(f)
 	}
-	s.next++
-	s.leases[s.next] = &lease{
-		ttl:  ttl,
-		ends: s.Timer.Now().Add(ttl),
+	s.lastLeaseID++
+	s.leases[s.lastLeaseID] = &lease{
+		ttl:     ttl,
+		expires: s.Timer.Now().Add(ttl),
 	}
-	return s.next, nil
+	return s.lastLeaseID, nil
 }
 
 // KeepAlive implements keyvalue.Space.
 func (s *Space) KeepAlive(_ context.Context, id uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f := s.enter(KeepAlive); f != None {
-		return lost(f)
+	if f := s.beginCall(KeepAlive); f != None {
+		return faultError(f)
 	}
 	l := s.leases[id]
 	if l == nil {
 		return keyvalue.ErrLeaseGone
 	}
-	l.ends = s.Timer.Now().Add(l.ttl)
+	l.expires = s.Timer.Now().Add(l.ttl)
 	return nil
 }
 
@@ -329,9 +338,9 @@
 func (s *Space) Revoke(_ context.Context, id uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f := s.enter(Revoke); f != None {
-		return lost(f)
+	if f := s.beginCall(Revoke); f != None {
+		return faultError(f)
 	}
-	s.end(id)
+	s.endLease(id)
 	return nil
 }
