--- a/internal/standin/trainer/doc.go
+++ b/internal/standin/trainer/doc.go
@@ -1,11 +1,15 @@
-// Package trainer is a small stand-in for a trainer.
+// Package trainer simulates a reinforcement-learning trainer that uses the
+// service over HTTP.
 //
-// It publishes weight versions, submits steps of groups, waits until a step is
-// whole, trains for a while and begins the next one. When its session's
-// instance dies, it opens a session with a higher number at another one and
-// names the samples that it has. It checks each sample against the truth in
-// its text, and measures how long it stood idle:
+// A Trainer publishes weight versions, submits steps of groups, waits until all
+// samples of a step have arrived, trains for a while and begins the next step.
+// When the instance of its session fails, it opens a session with a higher number
+// at another instance and submits its steps again with the samples that it
+// already has. It verifies the recorded versions of each sample against the
+// sample's text, and measures the share of time that it waits for samples:
 //
 //	t := &trainer.Trainer{Settings: settings, Addresses: book, Timer: timer.Real{}}
 //	result := t.Run(ctx)
+//
+// Settings holds the properties of a trainer, Result what it observed.
 package trainer
--- a/internal/standin/trainer/trainer.go
+++ b/internal/standin/trainer/trainer.go
@@ -20,46 +20,55 @@
 )
 
 const (
-	readMost    = 256
+	// maxReadEntries is the maximum number of entries in the answer to a read.
+	maxReadEntries = 256
+	// readWait is how long a read waits for entries.
 	readWait    = 2 * time.Second
 	callTimeout = 10 * time.Second
-	retryPause  = 100 * time.Millisecond
+	// retryDelay is the minimum time before a failed call is repeated.
+	retryDelay = 100 * time.Millisecond
 )
 
-// Trainer is the stand-in. It needs Settings, Addresses and a Timer.
+// Trainer is a simulated trainer. It needs Settings, Addresses and a Timer.
 type Trainer struct {
 	Settings  Settings
 	Addresses *addresses.Book
 	Timer     timer.Service
-	// MaxVersions is the bound that samples are checked against.
+	// MaxVersions is the maximum staleness of a sample, in versions.
 	MaxVersions uint64
-	// Published is told of each version that was published; nil tells nobody.
+	// Published is called with each published version, unless it is nil.
 	Published func(v version.Version)
-	// Key is the bearer token of the trainers' doors, or empty.
+	// Key is the bearer token for the trainer endpoints, or empty.
 	Key string
 
-	result  Result
-	version version.Version
-	number  uint64
+	result        Result
+	version       version.Version
+	sessionNumber uint64
+	// address is the instance that has the session; empty without a session.
 	address string
-	cursor  uint64
-	steps   map[uint64]*work
+	// cursor is the position of the next read in the session.
+	cursor uint64
+	steps  map[uint64]*pendingStep
 }
 
-// work is a step that the trainer waits for.
-type work struct {
-	spec    session.Spec
-	have    map[sample.Key]bool
-	total   int
-	sent    uint64
+// pendingStep is a submitted step and the samples received for it.
+type pendingStep struct {
+	spec     session.Spec
+	received map[sample.Key]bool
+	// total is the number of samples in the step.
+	total int
+	// submittedIn is the number of the last session that it was submitted in.
+	submittedIn uint64
+	// dropped is set when the service gave up the step.
 	dropped bool
 }
 
-func (w *work) whole() bool { return w.dropped || len(w.have) == w.total }
+// complete reports whether the step needs no further samples.
+func (w *pendingStep) complete() bool { return w.dropped || len(w.received) == w.total }
 
-// Run trains until ctx ends or all steps are done, and returns what it saw.
+// Run trains until ctx is done or all steps are finished, and returns the result.
 func (t *Trainer) Run(ctx context.Context) Result {
-	t.steps = make(map[uint64]*work)
+	t.steps = make(map[uint64]*pendingStep)
 	t.version = version.Version{
 		Epoch:  1,
 		Number: 1,
@@ -70,11 +79,11 @@
 			break
 		}
 		started := t.Timer.Now()
-		if !t.gather(ctx, n) {
+		if !t.waitForStep(ctx, n) {
 			break
 		}
 		waited := t.Timer.Now().Sub(started)
-		t.note(n, waited)
+		t.recordStep(n, waited)
 		trained := t.Timer.Now()
 		timer.Wait(t.Timer, time.Duration(t.Settings.TrainMS)*time.Millisecond, ctx.Done())
 		if n > 1 {
@@ -85,44 +94,47 @@
 		t.publish(ctx)
 	}
 	t.result.Name = t.Settings.Name
-	t.result.Sessions = int(t.number)
-	t.result.close()
+	t.result.Sessions = int(t.sessionNumber)
+	t.result.summarize()
 	return t.result
 }
 
-func (t *Trainer) note(n uint64, waited time.Duration) {
+// recordStep counts step n as finished or dropped, and forgets the step before a
+// finished one.
+func (t *Trainer) recordStep(n uint64, waited time.Duration) {
 	if t.steps[n].dropped {
 		t.result.StepsDropped++
 		return
 	}
 	t.result.StepsFinished++
-	t.result.steps = append(t.result.steps, waited.Seconds())
+	t.result.stepSeconds = append(t.result.stepSeconds, waited.Seconds())
 	if n > 1 {
 		delete(t.steps, n-1)
 	}
 }
 
-// gather reads until step n is whole. It reports false when ctx ended first.
-func (t *Trainer) gather(ctx context.Context, n uint64) bool {
+// waitForStep reads until step n is complete. It reports false if ctx is done
+// before.
+func (t *Trainer) waitForStep(ctx context.Context, n uint64) bool {
 	for {
-		if err := t.ensure(ctx, n); err != nil {
-			if !t.pause(ctx, err) {
+		if err := t.ensureSubmitted(ctx, n); err != nil {
+			if !t.backOff(ctx, err) {
 				return false
 			}
 			continue
 		}
-		if t.steps[n].whole() {
+		if t.steps[n].complete() {
 			return true
 		}
-		if err := t.read(ctx, n); err != nil && !t.pause(ctx, err) {
+		if err := t.read(ctx, n); err != nil && !t.backOff(ctx, err) {
 			return false
 		}
 	}
 }
 
-// pause waits after an error. One that says that the session is gone, and one
-// of an instance that does not answer, moves the trainer to a new session.
-func (t *Trainer) pause(ctx context.Context, err error) bool {
+// backOff waits after an error. If the session is gone or the instance does not
+// answer, the next attempt opens a new session. It reports false if ctx is done.
+func (t *Trainer) backOff(ctx context.Context, err error) bool {
 	e := problem.From(err)
 	switch {
 	case errors.Is(err, client.ErrNoAnswer),
@@ -134,12 +146,12 @@
 		}
 		t.address = ""
 	}
-	return timer.Wait(t.Timer, max(retryPause, e.RetryAfter), ctx.Done())
+	return timer.Wait(t.Timer, max(retryDelay, e.RetryAfter), ctx.Done())
 }
 
-// ensure has a session open and the steps up to n and the ones ahead
-// submitted in it.
-func (t *Trainer) ensure(ctx context.Context, n uint64) error {
+// ensureSubmitted opens a session if there is none, and submits step n and the
+// next Settings.RunAhead steps in it.
+func (t *Trainer) ensureSubmitted(ctx context.Context, n uint64) error {
 	if t.address == "" {
 		if err := t.open(ctx); err != nil {
 			return err
@@ -157,14 +169,15 @@
 	return nil
 }
 
+// open opens a session with the next number at an instance.
 func (t *Trainer) open(ctx context.Context) error {
 	address, err := t.Addresses.Pick(ctx)
 	if err != nil {
 		return err
 	}
-	t.number++
+	t.sessionNumber++
 	err = t.call(ctx, address, t.path("sessions"), trainer.OpenRequest{
-		Session: t.number,
+		Session: t.sessionNumber,
 	}, nil)
 	if err != nil {
 		t.Addresses.Failed(address)
@@ -175,40 +188,43 @@
 	return nil
 }
 
+// submit submits step n, unless it was submitted in this session. It names the
+// samples that were received in earlier sessions.
 func (t *Trainer) submit(ctx context.Context, n uint64) error {
 	w, ok := t.steps[n]
 	if !ok {
-		spec := t.Settings.step(n)
-		w = &work{
-			spec:  spec,
-			have:  make(map[sample.Key]bool),
-			total: t.Settings.Groups * t.Settings.PerGroup,
+		spec := t.Settings.stepSpec(n)
+		w = &pendingStep{
+			spec:     spec,
+			received: make(map[sample.Key]bool),
+			total:    t.Settings.Groups * t.Settings.PerGroup,
 		}
 		t.steps[n] = w
 	}
-	if w.sent == t.number {
+	if w.submittedIn == t.sessionNumber {
 		return nil
 	}
 	spec := w.spec
-	for key := range w.have {
+	for key := range w.received {
 		spec.Have = append(spec.Have, key)
 	}
 	err := t.call(ctx, t.address, t.path("steps"), trainer.SubmitRequest{
-		Session: t.number,
+		Session: t.sessionNumber,
 		Step:    spec,
 	}, nil)
 	if err == nil {
-		w.sent = t.number
+		w.submittedIn = t.sessionNumber
 	}
 	return err
 }
 
+// read reads the next entries of the session while it waits for step n.
 func (t *Trainer) read(ctx context.Context, n uint64) error {
 	var batch session.Batch
 	err := t.call(ctx, t.address, t.path("read"), runner.ReadArgs{
-		Session: t.number,
+		Session: t.sessionNumber,
 		Cursor:  t.cursor,
-		Max:     readMost,
+		Max:     maxReadEntries,
 		WaitMS:  readWait.Milliseconds(),
 		Newest: map[string]version.Version{
 			t.Settings.Deployment: t.version,
@@ -217,19 +233,21 @@
 	if err != nil {
 		return err
 	}
-	// An answer of another session or place is not the one asked for.
-	if batch.Session != t.number || batch.From != t.cursor {
-		return fmt.Errorf("read %d of session %d was answered for %d of %d", t.cursor, t.number, batch.From, batch.Session)
+	// Reject the answer to a read of another session or cursor.
+	if batch.Session != t.sessionNumber || batch.From != t.cursor {
+		return fmt.Errorf("read at cursor %d of session %d: got the answer for cursor %d of session %d", t.cursor, t.sessionNumber, batch.From, batch.Session)
 	}
 	for _, entry := range batch.Entries {
-		t.take(entry)
+		t.addEntry(entry)
 	}
 	t.cursor = batch.Cursor
-	t.follow(batch.Steps, n)
+	t.updateSteps(batch.Steps, n)
 	return nil
 }
 
-func (t *Trainer) take(entry session.Entry) {
+// addEntry checks the sample of an entry and adds it to its step, or counts a
+// withdrawal.
+func (t *Trainer) addEntry(entry session.Entry) {
 	if entry.Withdrawn != nil {
 		t.result.Withdrawn++
 		return
@@ -242,21 +260,23 @@
 	w, ok := t.steps[key.Step]
 	if !ok {
 		t.result.Foreign++
-		t.result.fault("a sample of step %d, which is not open", key.Step)
+		t.result.recordFault("received a sample of step %d, which is not open", key.Step)
 		return
 	}
-	k, valid := t.result.check(entry.Sample, w.spec, t.MaxVersions, t.version)
+	k, valid := t.result.checkSample(entry.Sample, w.spec, t.MaxVersions, t.version)
 	if !valid {
 		return
 	}
-	if w.have[k] {
+	if w.received[k] {
 		t.result.Doubled++
-		t.result.fault("sample %v came twice", k)
+		t.result.recordFault("received sample %v twice", k)
 	}
-	w.have[k] = true
+	w.received[k] = true
 }
 
-func (t *Trainer) follow(steps []session.Status, n uint64) {
+// updateSteps marks the steps that were dropped, and adds the counters of step n
+// to the result when it is complete.
+func (t *Trainer) updateSteps(steps []session.Status, n uint64) {
 	for _, st := range steps {
 		w, ok := t.steps[st.Step]
 		if !ok {
@@ -265,7 +285,7 @@
 		if st.State == session.Dropped {
 			w.dropped = true
 		}
-		if st.Step == n && w.whole() {
+		if st.Step == n && w.complete() {
 			t.result.Discarded += st.Discarded
 			t.result.SecondAttempts += st.SecondAttempts
 			t.result.Recovered += st.Recovered
@@ -273,6 +293,8 @@
 	}
 }
 
+// publish publishes the current version, and retries until it succeeds or ctx is
+// done.
 func (t *Trainer) publish(ctx context.Context) {
 	for ctx.Err() == nil {
 		address, err := t.Addresses.Pick(ctx)
@@ -282,7 +304,8 @@
 				Source:  fmt.Sprintf("%s-%v", t.Settings.Name, t.version),
 			}, nil)
 		}
-		// Several trainers may share a model in a test; the newest one counts.
+		// Trainers that share a model in a test may publish a newer version
+		// first; the newest one takes effect.
 		if err == nil || problem.Is(err, problem.VersionBehind) {
 			if t.Published != nil {
 				t.Published(t.version)
@@ -290,12 +313,16 @@
 			return
 		}
 		t.Addresses.Failed(address)
-		timer.Wait(t.Timer, retryPause, ctx.Done())
+		timer.Wait(t.Timer, retryDelay, ctx.Done())
 	}
 }
 
-func (t *Trainer) path(door string) string { return "/v1/trainers/" + t.Settings.Name + "/" + door }
+// path returns the path of one of the trainer's endpoints.
+func (t *Trainer) path(endpoint string) string {
+	return "/v1/trainers/" + t.Settings.Name + "/" + endpoint
+}
 
+// call sends one request with a timeout of callTimeout.
 func (t *Trainer) call(ctx context.Context, address, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
