--- a/internal/standin/weights/doc.go
+++ b/internal/standin/weights/doc.go
@@ -1,6 +1,7 @@
-// Package weights is a small stand-in for the rate-limited weight store.
+// Package weights simulates the rate-limited weight store over HTTP.
 //
 //	s := &weights.Server{Timer: timer.Real{}, PerSecond: 20, Took: 200 * time.Millisecond}
 //
-// A fetch above the rate is answered with status 429.
+// Server answers a fetch above PerSecond with status 429, and any other after the
+// time Took. Faults makes it refuse all fetches.
 package weights
--- a/internal/standin/weights/server.go
+++ b/internal/standin/weights/server.go
@@ -9,29 +9,32 @@
 	"github.com/egretbend/egretbend/internal/standin/fault"
 )
 
-// Faults are what can be wrong with the store.
+// Faults holds the failures that can be injected into the store.
 type Faults struct {
+	// Down refuses all fetches by closing their connections.
 	Down bool `json:"down"`
 }
 
-// PathWeights is where weights are fetched; the name follows.
+// PathWeights is the path at which weights are fetched; their name follows.
 const PathWeights = "/weights/"
 
-// Server is the stand-in. Its zero value needs a Timer.
+// Server is a simulated weight store. It needs a Timer.
 type Server struct {
 	Timer  timer.Service
 	Faults fault.Door[Faults]
-	// PerSecond is how many fetches may begin in a second.
+	// PerSecond is the number of fetches that may begin per second, also the size
+	// of a burst.
 	PerSecond float64
-	// Took is how long a fetch takes.
+	// Took is the time that a fetch takes.
 	Took time.Duration
 
-	mu     sync.Mutex
-	tokens float64
-	at     timer.Instant
+	mu sync.Mutex
+	// tokens is the content of the token bucket as of refilledAt.
+	tokens     float64
+	refilledAt timer.Instant
 }
 
-// Handler returns the doors of the store.
+// Handler returns the handler of the HTTP endpoints of the store.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(fault.Path, &s.Faults)
@@ -43,7 +46,7 @@
 	if s.Faults.Get().Down {
 		panic(http.ErrAbortHandler)
 	}
-	if !s.take(s.Timer.Now()) {
+	if !s.takeToken(s.Timer.Now()) {
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
@@ -53,15 +56,17 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (s *Server) take(now timer.Instant) bool {
+// takeToken reports whether a fetch may begin, and takes its token from the
+// bucket.
+func (s *Server) takeToken(now timer.Instant) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	most := max(1, s.PerSecond)
-	if s.at == 0 {
-		s.tokens = most
+	burst := max(1, s.PerSecond)
+	if s.refilledAt == 0 {
+		s.tokens = burst
 	}
-	s.tokens = min(most, s.tokens+now.Sub(s.at).Seconds()*s.PerSecond)
-	s.at = now
+	s.tokens = min(burst, s.tokens+now.Sub(s.refilledAt).Seconds()*s.PerSecond)
+	s.refilledAt = now
 	if s.tokens < 1 {
 		return false
 	}
