--- a/cmd/egretbend/main.go
+++ b/cmd/egretbend/main.go
@@ -1,5 +1,5 @@
-// Command egretbend is the rollout service: one instance of it, and the
-// commands of its operators.
+// Command egretbend runs an instance of the rollout service, and the commands for
+// its operators.
 package main
 
 import (
