--- a/cmd/egretload/main.go
+++ b/cmd/egretload/main.go
@@ -1,5 +1,6 @@
-// Command egretload runs experiments: it starts a fleet of real processes on
-// this machine, loads it, brings about faults and reports what happened.
+// Command egretload runs experiments: it starts the service and the systems around
+// it as separate processes on this machine, generates load, injects faults and
+// reports the outcome.
 package main
 
 import (
@@ -51,8 +52,11 @@
 	}
 }
 
-var errWrong = errors.New("a promise was broken")
+// errViolated is returned if a run violated a guarantee of the service.
+var errViolated = errors.New("a guarantee was violated")
 
+// run runs all variants of the scenario at path, or its only one, and prints a
+// report of each.
 func run(ctx context.Context, path, binaries, folder string) error {
 	var s scenario.Scenario
 	if err := setting.ReadFile(path, &s); err != nil {
@@ -75,7 +79,7 @@
 			Name: "main",
 		}}
 	}
-	var wrong []string
+	var violations []string
 	for _, v := range variants {
 		report, err := x.Run(ctx, v)
 		if err != nil {
@@ -85,14 +89,15 @@
 		if err := printLine(report); err != nil {
 			return err
 		}
-		wrong = append(wrong, report.Wrong()...)
+		violations = append(violations, report.Wrong()...)
 	}
-	if len(wrong) > 0 {
-		return fmt.Errorf("%w: %s", errWrong, strings.Join(wrong, ", "))
+	if len(violations) > 0 {
+		return fmt.Errorf("%w: %s", errViolated, strings.Join(violations, ", "))
 	}
 	return nil
 }
 
+// printLine prints report as one JSON line.
 func printLine(report *experiment.Report) error {
 	line, err := json.Marshal(report)
 	if err != nil {
