--- a/cmd/egretplay/crashes.go
+++ b/cmd/egretplay/crashes.go
@@ -12,7 +12,8 @@
 	"github.com/egretbend/egretbend/platform/standin"
 )
 
-// crashesCommand plays requests that crash upstreams, with one seed or several fresh ones.
+// crashesCommand returns the command that sends requests that crash upstreams, with
+// one seed or several fresh ones.
 func crashesCommand() *cobra.Command {
 	plan := standin.CrashPlan{}
 	var seeds int
@@ -25,7 +26,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var broken error
+			var errs error
 			for i := range max(1, seeds) {
 				if seeds > 0 {
 					plan.Seed = rand.Uint64()
@@ -33,14 +34,14 @@
 				fmt.Fprintf(os.Stderr, "crashes %d, seed %d\n", i+1, plan.Seed)
 				report, err := standin.Crashes(cmd.Context(), plan)
 				if err == nil && report.Failed {
-					err = fmt.Errorf("seed %d: %w", plan.Seed, errBroken)
+					err = fmt.Errorf("seed %d: %w", plan.Seed, errViolated)
 				}
-				broken = errors.Join(broken, err, printLine(report))
+				errs = errors.Join(errs, err, printLine(report))
 			}
-			return broken
+			return errs
 		},
 	}
-	planFlags(cmd, &plan.Plan, 12*time.Second)
+	addPlanFlags(cmd, &plan.Plan, 12*time.Second)
 	flags := cmd.Flags()
 	flags.IntVar(&plan.Seats, "seats", 8, "how many upstreams can be crashed")
 	flags.IntVar(&plan.Deadly, "deadly", 3, "how many different requests crash them")
--- a/cmd/egretplay/main.go
+++ b/cmd/egretplay/main.go
@@ -1,6 +1,6 @@
-// Command egretplay runs the product on stand-ins of the users' platform as
-// separate processes, and prints one JSON line last. It exits with an error if
-// anything was lost, doubled or mixed up.
+// Command egretplay runs instances of the service as separate processes on a
+// simulated platform, and prints a JSON report as the last line. It exits with an
+// error if anything was lost, duplicated or mixed up.
 package main
 
 import (
@@ -25,8 +25,11 @@
 	}
 }
 
-var errBroken = errors.New("a promise was broken; see the notes")
+// errViolated is returned if a run violated a guarantee; the notes of the report
+// say which.
+var errViolated = errors.New("a guarantee was violated; see the notes")
 
+// playCommand returns the root command, which plays one run.
 func playCommand() *cobra.Command {
 	plan := standin.Plan{}
 	cmd := &cobra.Command{
@@ -40,17 +43,19 @@
 				return perr
 			}
 			if err == nil && report.Failed {
-				err = errBroken
+				err = errViolated
 			}
 			return err
 		},
 	}
-	planFlags(cmd, &plan, 12*time.Second)
+	addPlanFlags(cmd, &plan, 12*time.Second)
 	cmd.Flags().BoolVar(&plan.Kill, "kill", true, "end an instance in the middle and start it again")
 	return cmd
 }
 
-func planFlags(cmd *cobra.Command, plan *standin.Plan, length time.Duration) {
+// addPlanFlags adds the flags that all commands share; length is the default of
+// --length.
+func addPlanFlags(cmd *cobra.Command, plan *standin.Plan, length time.Duration) {
 	flags := cmd.Flags()
 	flags.StringVar(&plan.Binary, "binary", "bin/egretbend", "program of the instances")
 	flags.IntVar(&plan.Instances, "instances", 5, "how many instances")
@@ -60,6 +65,7 @@
 	flags.DurationVar(&plan.Length, "length", length, "how long trainers and clients work")
 }
 
+// printLine prints report as one JSON line.
 func printLine(report any) error {
 	line, err := json.Marshal(report)
 	if err != nil {
--- a/cmd/egretplay/soak.go
+++ b/cmd/egretplay/soak.go
@@ -13,7 +13,8 @@
 	"github.com/egretbend/egretbend/platform/standin"
 )
 
-// soakCommand runs the soak with one seed, or with several fresh ones.
+// soakCommand returns the command that runs the soak test, with one seed or several
+// fresh ones.
 func soakCommand() *cobra.Command {
 	plan := standin.SoakPlan{}
 	var seeds int
@@ -30,7 +31,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			plan.Defect = standin.Defect(defect)
 			plan.Progress = func(line string) { fmt.Fprintln(os.Stderr, line) }
-			var broken error
+			var errs error
 			for i := range max(1, seeds) {
 				if seeds > 0 {
 					plan.Seed = rand.Uint64()
@@ -38,14 +39,14 @@
 				fmt.Fprintf(os.Stderr, "soak %d, seed %d\n", i+1, plan.Seed)
 				report, err := standin.Soak(cmd.Context(), plan)
 				if err == nil && report.Failed {
-					err = fmt.Errorf("seed %d: %w", plan.Seed, errBroken)
+					err = fmt.Errorf("seed %d: %w", plan.Seed, errViolated)
 				}
-				broken = errors.Join(broken, err, printLine(report), draw(folder, report))
+				errs = errors.Join(errs, err, printLine(report), writePlot(folder, report))
 			}
-			return broken
+			return errs
 		},
 	}
-	planFlags(cmd, &plan.Plan, 35*time.Second)
+	addPlanFlags(cmd, &plan.Plan, 35*time.Second)
 	flags := cmd.Flags()
 	flags.Uint64Var(&plan.Seed, "seed", 1, "seed of the faults")
 	flags.IntVar(&seeds, "seeds", 0, "how many fresh seeds to run instead")
@@ -54,8 +55,9 @@
 	return cmd
 }
 
-// draw writes the picture of a run.
-func draw(folder string, report standin.SoakReport) error {
+// writePlot writes the plot of a run to folder as an SVG file, unless folder is
+// empty.
+func writePlot(folder string, report standin.SoakReport) error {
 	if folder == "" {
 		return nil
 	}
