--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs one stand-in for a system outside of egretbend. It is
-// for trying things out and for tests.
+// Command standin runs a simulation of one of the systems around egretbend, for
+// tests and experiments.
 package main
 
 import (
@@ -27,9 +27,10 @@
 	"github.com/egretbend/egretbend/internal/standin/weights"
 )
 
-// upstreamSettings is the file of an engine or service.
+// upstreamSettings is the settings file of an engine or a service.
 type upstreamSettings[T any] struct {
-	Listen  string `json:"listen" need:"true"`
+	Listen string `json:"listen" need:"true"`
+	// Roster is the address of the instance list.
 	Roster  string `json:"roster" need:"true"`
 	Details T      `json:"details" need:"true"`
 }
@@ -47,7 +48,7 @@
 }
 
 func keyvalueCommand() *cobra.Command {
-	return simple("keyvalue", "The platform's key-value service", func() http.Handler {
+	return serverCommand("keyvalue", "The platform's key-value service", func() http.Handler {
 		s := &keyvalue.Server{
 			Timer: timer.Real{},
 		}
@@ -56,7 +57,7 @@
 }
 
 func rosterCommand() *cobra.Command {
-	return simple("roster", "The platform's instance list", func() http.Handler {
+	return serverCommand("roster", "The platform's instance list", func() http.Handler {
 		s := &roster.Server{
 			Timer: timer.Real{},
 		}
@@ -68,13 +69,15 @@
 	s := &weights.Server{
 		Timer: timer.Real{},
 	}
-	cmd := simple("weights", "The weight store", s.Handler)
+	cmd := serverCommand("weights", "The weight store", s.Handler)
 	cmd.Flags().Float64Var(&s.PerSecond, "per-second", 20, "fetches that may begin in a second")
 	cmd.Flags().DurationVar(&s.Took, "took", 200*time.Millisecond, "time of one fetch")
 	return cmd
 }
 
-func simple(name, short string, handler func() http.Handler) *cobra.Command {
+// serverCommand returns a command that serves the handler at the address of its
+// flag --listen.
+func serverCommand(name, short string, handler func() http.Handler) *cobra.Command {
 	var listen string
 	cmd := &cobra.Command{
 		Use:   name,
@@ -86,7 +89,7 @@
 }
 
 func engineCommand() *cobra.Command {
-	return upstream("engine", "A model engine", func(file upstreamSettings[engine.Settings]) (http.Handler, func() (platform.Instance, bool)) {
+	return upstreamCommand("engine", "A model engine", func(file upstreamSettings[engine.Settings]) (http.Handler, func() (platform.Instance, bool)) {
 		s := &engine.Server{
 			Timer:    timer.Real{},
 			Settings: file.Details,
@@ -97,7 +100,7 @@
 }
 
 func serviceCommand() *cobra.Command {
-	return upstream("service", "A plain service", func(file upstreamSettings[service.Settings]) (http.Handler, func() (platform.Instance, bool)) {
+	return upstreamCommand("service", "A plain service", func(file upstreamSettings[service.Settings]) (http.Handler, func() (platform.Instance, bool)) {
 		s := &service.Server{
 			Timer:    timer.Real{},
 			Settings: file.Details,
@@ -108,7 +111,9 @@
 	})
 }
 
-func upstream[T any](name, short string, open func(upstreamSettings[T]) (http.Handler, func() (platform.Instance, bool))) *cobra.Command {
+// upstreamCommand returns a command that serves an upstream with the settings in a
+// file, and announces it to the instance list.
+func upstreamCommand[T any](name, short string, newHandler func(upstreamSettings[T]) (http.Handler, func() (platform.Instance, bool))) *cobra.Command {
 	var path string
 	cmd := &cobra.Command{
 		Use:   name,
@@ -118,7 +123,7 @@
 			if err := setting.ReadFile(path, &file); err != nil {
 				return err
 			}
-			handler, current := open(file)
+			handler, current := newHandler(file)
 			return serve(file.Listen, handler, &roster.Announcer{
 				Roster:  file.Roster,
 				Timer:   timer.Real{},
@@ -131,8 +136,9 @@
 	return cmd
 }
 
-// trainerSettings is the file of a trainer.
+// trainerSettings is the settings file of a trainer.
 type trainerSettings struct {
+	// Instances is the addresses of the first instances to ask.
 	Instances   []string         `json:"instances" need:"true"`
 	MaxVersions uint64           `json:"max_versions" default:"4"`
 	Details     trainer.Settings `json:"details" need:"true"`
@@ -168,7 +174,8 @@
 	return cmd
 }
 
-// serve answers at an address until a signal comes.
+// serve serves handler at an address until SIGTERM or an interrupt, and runs
+// announcer unless it is nil.
 func serve(listen string, handler http.Handler, announcer *roster.Announcer) error {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
