--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -48,8 +48,8 @@
 	ResetShare float64 `json:"reset_share"`
 	// CutShare is run, and its connection is reset after half of the answer.
 	CutShare float64 `json:"cut_share"`
-	// CrossShare is run and answered with the answer and attempt ID of another
-	// request.
+	// CrossShare is run and answered with the previous answer and the ID of
+	// another attempt.
 	CrossShare float64 `json:"cross_share"`
 }
 
