--- a/internal/entry/caller/addresses.go
+++ b/internal/entry/caller/addresses.go
@@ -14,29 +14,29 @@
 	"github.com/egretbend/egretbend/internal/kernel/problem"
 )
 
-// Address is one instance that a caller may use.
+// Address identifies an instance that a caller may connect to.
 type Address struct {
 	Instance      string `json:"instance"`
 	Address       string `json:"address"`
 	FailureDomain string `json:"failure_domain"`
 }
 
-// Addresses is the answer to a caller that asks where to connect.
+// Addresses is the response to GET /v1/addresses.
 type Addresses struct {
 	Addresses []Address `json:"addresses"`
-	// KeepMS is how long the answer may be used, in milliseconds.
+	// KeepMS is how long the caller may cache the response, in milliseconds.
 	KeepMS int64 `json:"keep_ms"`
-	// Tickets are for requests that may not be repeated.
+	// Tickets allow the caller to send non-idempotent requests.
 	Tickets []string `json:"tickets,omitempty"`
 }
 
-// maxTickets is the most tickets in one answer.
+// maxTickets is the maximum number of tickets in one response.
 const maxTickets = 256
 
-// addresses answers GET /v1/addresses.
-func (s *Server) addresses(w http.ResponseWriter, r *http.Request) {
+// handleAddresses serves GET /v1/addresses.
+func (s *Server) handleAddresses(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	tickets, err := optionalInt(query.Get("tickets"), maxTickets)
+	tickets, err := parseOptionalInt(query.Get("tickets"), maxTickets)
 	if err != nil {
 		problem.Write(w, problem.BadRequest.Withf("tickets: %w", err))
 		return
@@ -45,12 +45,12 @@
 	if domain == "" {
 		domain = s.Members.Self().FailureDomain
 	}
-	cfg := s.addressing()
+	cfg := s.addressSettings()
 	answer := Addresses{
-		KeepMS: keepTime(cfg).Milliseconds(),
+		KeepMS: addressTTL(cfg).Milliseconds(),
 	}
 	key := query.Get("caller") + "/" + clientHost(r)
-	for _, m := range choose(s.Members.View(), s.Members.Load, key, domain, cfg.Count) {
+	for _, m := range selectInstances(s.Members.View(), s.Members.Load, key, domain, cfg.Count) {
 		answer.Addresses = append(answer.Addresses, Address{
 			Instance:      m.ID,
 			Address:       m.Address,
@@ -62,12 +62,14 @@
 		return
 	}
 	if !s.Mux.Leaving() {
-		answer.Tickets = s.issue(tickets)
+		answer.Tickets = s.issueTickets(tickets)
 	}
 	problem.WriteJSON(w, http.StatusOK, answer)
 }
 
-func (s *Server) addressing() configuration.Addresses {
+// addressSettings returns the configured address settings, or defaults while no
+// configuration is loaded.
+func (s *Server) addressSettings() configuration.Addresses {
 	if doc := s.Holder.Current(); doc != nil {
 		return doc.Parsed().Addresses
 	}
@@ -77,67 +79,68 @@
 	}
 }
 
-// keepTime spreads the keep time, so that callers who asked at the same
-// moment don't all ask again at the same moment.
-func keepTime(cfg configuration.Addresses) time.Duration {
-	const least = 2 - door.KeepJitter
-	factor := least + rand.Float64()*(door.KeepJitter-least)
+// addressTTL returns how long a caller may cache a response. It adds random jitter
+// so that callers that asked at the same time do not all refresh at the same time.
+func addressTTL(cfg configuration.Addresses) time.Duration {
+	const minFactor = 2 - door.KeepJitter
+	factor := minFactor + rand.Float64()*(door.KeepJitter-minFactor)
 	return time.Duration(float64(cfg.KeepMS)*factor) * time.Millisecond
 }
 
-// choose picks n instances for a caller: one of its own failure domain first,
-// if there is one, then others. The order is a rendezvous hash of caller and
-// instance weighted by spare capacity, so callers spread evenly and stay
-// where they are while the fleet stays as it is.
-func choose(view *member.View, load func(id string) float64, key, domain string, n int) []member.Member {
-	type ranked struct {
+// selectInstances returns up to n instances for a caller, starting with one in the
+// caller's failure domain if there is one. Instances are ranked by a rendezvous hash
+// of the caller and the instance, weighted by spare capacity. This spreads callers
+// evenly and keeps the selection stable while the fleet does not change.
+func selectInstances(view *member.View, load func(id string) float64, key, domain string, n int) []member.Member {
+	type scoredMember struct {
 		m     member.Member
 		score float64
 	}
-	var list []ranked
+	var list []scoredMember
 	for _, m := range view.Alive {
 		if !m.Usable() {
 			continue
 		}
-		list = append(list, ranked{
+		list = append(list, scoredMember{
 			m:     m,
-			score: weighted(member.Score(key, m.ID), 1-load(m.ID)),
+			score: weightedScore(member.Score(key, m.ID), 1-load(m.ID)),
 		})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].score > list[j].score })
-	near := -1
+	local := -1
 	for i, c := range list {
 		if c.m.FailureDomain == domain {
-			near = i
+			local = i
 			break
 		}
 	}
 	var out []member.Member
-	if near >= 0 {
-		out = append(out, list[near].m)
+	if local >= 0 {
+		out = append(out, list[local].m)
 	}
 	for i := 0; i < len(list) && len(out) < n; i++ {
-		if i != near {
+		if i != local {
 			out = append(out, list[i].m)
 		}
 	}
 	return out
 }
 
-// weighted returns a score that makes an instance come first with a
-// probability in proportion to its weight.
-func weighted(hash uint64, weight float64) float64 {
+// weightedScore maps a hash to a score such that an instance ranks first with a
+// probability proportional to its weight. Weights below 0.1 count as 0.1.
+func weightedScore(hash uint64, weight float64) float64 {
 	u := (float64(hash>>11) + 0.5) / (1 << 53)
 	return -max(weight, 0.1) / math.Log(u)
 }
 
-func optionalInt(s string, most int) (int, error) {
+// parseOptionalInt parses a number from 0 to maximum. An empty string means 0.
+func parseOptionalInt(s string, maximum int) (int, error) {
 	if s == "" {
 		return 0, nil
 	}
 	n, err := strconv.Atoi(s)
-	if err != nil || n < 0 || n > most {
-		return 0, problem.BadRequest.Withf("expected a number from 0 to %d, got %q", most, s)
+	if err != nil || n < 0 || n > maximum {
+		return 0, problem.BadRequest.Withf("expected a number from 0 to %d, got %q", maximum, s)
 	}
 	return n, nil
 }
--- a/internal/entry/caller/addresses_test.go
+++ b/internal/entry/caller/addresses_test.go
@@ -13,8 +13,9 @@
 	"github.com/egretbend/egretbend/internal/standin/proof"
 )
 
-// fleetOf returns the view of a fleet in four failure domains.
-func fleetOf(n int, change func(i int, m *member.Member)) *member.View {
+// newFleetView returns the view of a fleet of n instances in four failure domains.
+// change may modify each instance.
+func newFleetView(n int, change func(i int, m *member.Member)) *member.View {
 	state := &gossip.State{}
 	table := &member.Table{
 		State: state,
@@ -33,23 +34,24 @@
 	return table.View()
 }
 
-func idle(string) float64 { return 0 }
+func zeroLoad(string) float64 { return 0 }
 
-// Instances are leaving, suspected or dead. A caller would notice an address
-// that is closed as soon as it has it, or the same one twice.
-func TestAddressesNameOnlyUsableInstances(t *testing.T) {
+// Guards against responses that list an instance that is leaving, suspect or dead, so
+// that the caller gets an address that is already closed, and against responses that
+// list an instance twice.
+func TestAddressesListOnlyUsableInstances(t *testing.T) {
 	proof.Check(t, func(t *rapid.T) {
 		usable := make(map[string]bool)
-		view := fleetOf(rapid.IntRange(1, 12).Draw(t, "instances"), func(_ int, m *member.Member) {
+		view := newFleetView(rapid.IntRange(1, 12).Draw(t, "instances"), func(_ int, m *member.Member) {
 			m.Leaving = rapid.IntRange(0, 3).Draw(t, "leaving") == 0
 			m.Status = rapid.SampledFrom([]member.Status{member.Alive, member.Alive, member.Suspect, member.Dead}).Draw(t, "status")
 			usable[m.ID] = m.Usable()
 		})
-		list := choose(view, idle, rapid.String().Draw(t, "caller"), "d1", 3)
+		list := selectInstances(view, zeroLoad, rapid.String().Draw(t, "caller"), "d1", 3)
 		seen := make(map[string]bool)
 		for _, m := range list {
 			if !usable[m.ID] || seen[m.ID] {
-				t.Fatalf("%s is named, usable %t, named before %t", m.ID, usable[m.ID], seen[m.ID])
+				t.Fatalf("%s is listed: usable %t, listed before %t", m.ID, usable[m.ID], seen[m.ID])
 			}
 			seen[m.ID] = true
 		}
@@ -60,43 +62,43 @@
 			}
 		}
 		if len(list) != min(3, n) {
-			t.Fatalf("%d addresses of %d usable instances", len(list), n)
+			t.Fatalf("%d addresses for %d usable instances", len(list), n)
 		}
 	})
 }
 
-// spread counts how many callers use each instance, as one of three.
-func spread(view *member.View, callers int, load func(string) float64) map[string]int {
+// countSelections returns how many callers have each instance among their three.
+func countSelections(view *member.View, callers int, load func(string) float64) map[string]int {
 	counts := make(map[string]int)
 	for c := range callers {
-		for _, m := range choose(view, load, fmt.Sprintf("caller-%d/10.0.%d.%d", c, c/250, c%250), fmt.Sprintf("d%d", c%4), 3) {
+		for _, m := range selectInstances(view, load, fmt.Sprintf("caller-%d/10.0.%d.%d", c, c/250, c%250), fmt.Sprintf("d%d", c%4), 3) {
 			counts[m.ID]++
 		}
 	}
 	return counts
 }
 
-// Callers keep their answers, and one instance leaves. The others would notice
-// if its callers all went to one of them, and callers if they had to move
-// though their own instance stays.
-func TestAddressesSpreadAndStay(t *testing.T) {
+// Guards against uneven distribution of callers, and against callers that move although
+// their own instance stays when another instance leaves. Also checks that a loaded
+// instance is selected less often.
+func TestAddressesAreBalancedAndStable(t *testing.T) {
 	is := is.New(t)
 	const callers = 600
-	before := fleetOf(18, func(int, *member.Member) {})
-	counts := spread(before, callers, idle)
+	before := newFleetView(18, func(int, *member.Member) {})
+	counts := countSelections(before, callers, zeroLoad)
 	mean := float64(3*callers) / 18
 	most := 0
 	for _, n := range counts {
 		most = max(most, n)
 	}
-	t.Logf("most %d, mean %.0f: %.2f", most, mean, float64(most)/mean)
+	t.Logf("maximum %d, mean %.0f, ratio %.2f", most, mean, float64(most)/mean)
 	is.True(float64(most) < 1.5*mean)
-	after := fleetOf(18, func(i int, m *member.Member) { m.Leaving = i == 5 })
+	after := newFleetView(18, func(i int, m *member.Member) { m.Leaving = i == 5 })
 	moved := 0
 	for c := range callers {
 		key, domain := fmt.Sprintf("caller-%d/10.0.%d.%d", c, c/250, c%250), fmt.Sprintf("d%d", c%4)
-		old := choose(before, idle, key, domain, 3)
-		now := choose(after, idle, key, domain, 3)
+		old := selectInstances(before, zeroLoad, key, domain, 3)
+		now := selectInstances(after, zeroLoad, key, domain, 3)
 		kept := make(map[string]bool)
 		for _, m := range now {
 			kept[m.ID] = true
@@ -107,13 +109,13 @@
 			}
 		}
 	}
-	is.Equal(moved, 0) // only what pointed to the leaving instance moves
-	busy := spread(before, callers, func(id string) float64 {
+	is.Equal(moved, 0) // only selections of the leaving instance change
+	busy := countSelections(before, callers, func(id string) float64 {
 		if id == "i3" {
 			return 0.8
 		}
 		return 0
 	})
-	t.Logf("at load 0.8: %d in place of %d", busy["i3"], counts["i3"])
+	t.Logf("selections at load 0.8: %d, without load: %d", busy["i3"], counts["i3"])
 	is.True(busy["i3"] < counts["i3"])
 }
--- a/internal/entry/caller/completions.go
+++ b/internal/entry/caller/completions.go
@@ -24,7 +24,8 @@
 	Stream    bool   `json:"stream,omitempty"`
 }
 
-// Completion is the whole answer, and the last event of a stream.
+// Completion is the body of a non-streamed response, and the last event of a stream.
+// In a stream, Text is empty.
 type Completion struct {
 	RequestID string        `json:"request_id"`
 	Text      string        `json:"text,omitempty"`
@@ -34,17 +35,18 @@
 	Upstreams []string      `json:"upstreams"`
 }
 
-// maxTokens bounds one completion.
+// maxTokens is the maximum value of max_tokens in a request.
 const maxTokens = 1 << 20
 
-func (s *Server) completions(w http.ResponseWriter, r *http.Request) {
+// handleCompletion serves POST /v1/models/{deployment}/completions.
+func (s *Server) handleCompletion(w http.ResponseWriter, r *http.Request) {
 	deployment := pat.Param(r, "deployment")
-	e, err := s.open(r, deployment)
+	meta, err := s.readMetadata(r, deployment)
 	if err != nil {
 		problem.Write(w, err)
 		return
 	}
-	w.Header().Set(relay.HeaderRequestID, e.requestID)
+	w.Header().Set(relay.HeaderRequestID, meta.requestID)
 	var body CompletionRequest
 	if err := problem.ReadJSON(w, r, maxBody, &body); err != nil {
 		problem.Write(w, err)
@@ -54,76 +56,77 @@
 		problem.Write(w, problem.BadRequest.Withf("expected a prompt and max_tokens from 1 to %d", maxTokens))
 		return
 	}
-	ctx, cancel := e.context(r.Context())
+	ctx, cancel := meta.context(r.Context())
 	defer cancel()
-	out := &completion{
+	out := &completionWriter{
 		w:      w,
 		stream: body.Stream,
 	}
 	task := stream.Task{
-		RequestID:  e.requestID,
-		Caller:     e.caller,
-		Class:      e.class,
-		Weight:     e.weight,
+		RequestID:  meta.requestID,
+		Caller:     meta.caller,
+		Class:      meta.class,
+		Weight:     meta.weight,
 		Deployment: deployment,
 		Prompt:     body.Prompt,
 		MaxTokens:  body.MaxTokens,
 		Seed:       body.Seed,
 	}
-	trip, err := s.Generator.Enter(task)
+	admission, err := s.Generator.Enter(task)
 	if err != nil {
 		problem.Write(w, err)
 		return
 	}
-	finish, err := s.Generator.Run(ctx, trip, task, out.token)
+	finish, err := s.Generator.Run(ctx, admission, task, out.writeToken)
 	if err != nil {
 		out.fail(err)
 		return
 	}
 	out.finish(Completion{
-		RequestID: e.requestID,
-		Tokens:    len(out.rec.Texts),
+		RequestID: meta.requestID,
+		Tokens:    len(out.recorder.Texts),
 		Finish:    finish.Reason,
-		Versions:  out.rec.Spans,
+		Versions:  out.recorder.Spans,
 		Upstreams: finish.Upstreams,
 	})
 }
 
-// completion writes one answer, streamed or whole.
-type completion struct {
-	w      http.ResponseWriter
-	stream bool
-	began  bool
-	rec    sample.Recorder
+// completionWriter writes one completion, either as an event stream or as one JSON body.
+type completionWriter struct {
+	w        http.ResponseWriter
+	stream   bool
+	started  bool
+	recorder sample.Recorder
 }
 
-// tokenEvent is one event of a streamed completion.
+// tokenEvent is the event that carries one token of a streamed completion.
 type tokenEvent struct {
 	Index   int    `json:"token_index"`
 	Text    string `json:"text"`
 	Version string `json:"weight_version"`
 }
 
-func (c *completion) token(t engine.Token) error {
-	if err := c.rec.Add(t); err != nil {
+// writeToken records a token and, if the completion is streamed, sends it as an event.
+func (c *completionWriter) writeToken(t engine.Token) error {
+	if err := c.recorder.Add(t); err != nil {
 		return err
 	}
 	if !c.stream {
 		return nil
 	}
-	if !c.began {
-		c.began = true
+	if !c.started {
+		c.started = true
 		c.w.Header().Set("Content-Type", "text/event-stream")
 		c.w.WriteHeader(http.StatusOK)
 	}
-	return c.event(tokenEvent{
+	return c.writeEvent(tokenEvent{
 		Index:   t.Index,
 		Text:    t.Text,
 		Version: t.Version.String(),
 	})
 }
 
-func (c *completion) event(v any) error {
+func (c *completionWriter) writeEvent(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -135,30 +138,31 @@
 	return nil
 }
 
-func (c *completion) finish(body Completion) {
+func (c *completionWriter) finish(body Completion) {
 	if !c.stream {
-		body.Text = strings.Join(c.rec.Texts, "")
+		body.Text = strings.Join(c.recorder.Texts, "")
 		problem.WriteJSON(c.w, http.StatusOK, body)
 		return
 	}
-	if err := c.event(body); err != nil {
+	if err := c.writeEvent(body); err != nil {
 		return
 	}
 	_, _ = fmt.Fprint(c.w, "data: [DONE]\n\n")
 	flush(c.w)
 }
 
-// fail ends an answer that can't be whole. Once a stream has begun, its status
-// can't be taken back; the transfer is aborted, so that no client takes what
-// came so far for the whole answer.
-func (c *completion) fail(err error) {
-	if !c.began {
+// fail ends a completion that can't be finished. Once a stream has started, its
+// status can't be changed, so fail aborts the connection: a client must not take a
+// partial completion for a complete one.
+func (c *completionWriter) fail(err error) {
+	if !c.started {
 		problem.Write(c.w, err)
 		return
 	}
 	panic(http.ErrAbortHandler)
 }
 
+// flush sends buffered data to the client, if w supports it.
 func flush(w http.ResponseWriter) {
 	if err := http.NewResponseController(w).Flush(); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return
--- a/internal/entry/caller/identify.go
+++ b/internal/entry/caller/identify.go
@@ -9,49 +9,55 @@
 	"github.com/egretbend/egretbend/internal/route/relay"
 )
 
-// The headers by which an instance that passes a request on says whose it is.
+// Headers that an instance adds to a request that it forwards to another instance.
+// They name the organisation on whose behalf the request is made, and prove it.
 const (
 	headerOrganisation = "Egretbend-Organisation"
 	headerVoucher      = "Egretbend-Voucher"
 )
 
-// identity is on whose behalf a request is made. Its zero value is nobody's.
-type identity struct {
+// requestIdentity is the organisation on whose behalf a request is made. Its zero value
+// belongs to no organisation.
+type requestIdentity struct {
 	organisation string
 	voucher      string
 }
 
-// identify returns on whose behalf a request is made. Its key ends here: the headers
-// no longer have it.
-func identify(r *http.Request, doc *configuration.Document, requestID string) (identity, error) {
+// identify returns the organisation on whose behalf a request is made. It removes the
+// key from the headers, so that the key is not forwarded to another instance or to a
+// service. A request that another instance forwarded is identified by its voucher.
+// While no organisations are configured, identify accepts every request and leaves its
+// headers unchanged.
+func identify(r *http.Request, doc *configuration.Document, requestID string) (requestIdentity, error) {
 	directory := doc.Organisations()
 	if directory.Empty() {
-		return identity{}, nil
+		return requestIdentity{}, nil
 	}
 	if r.Header.Get(headerPassedOn) != "" {
 		name := r.Header.Get(headerOrganisation)
-		org, ok := directory.Vouched(name, vouchedFor(r, requestID), r.Header.Get(headerVoucher))
+		org, ok := directory.Vouched(name, voucherMessage(r, requestID), r.Header.Get(headerVoucher))
 		if !ok {
-			return identity{}, problem.Unauthorized.Withf("nothing vouches for organisation %q", name)
+			return requestIdentity{}, problem.Unauthorized.Withf("no valid voucher for organisation %q", name)
 		}
-		return identity{organisation: org.Name}, nil
+		return requestIdentity{organisation: org.Name}, nil
 	}
 	key, err := organisation.KeyOf(r.Header)
 	if err != nil {
-		return identity{}, problem.Unauthorized.With(err)
+		return requestIdentity{}, problem.Unauthorized.With(err)
 	}
 	org, ok := directory.Find(key)
 	if !ok {
-		return identity{}, problem.Unauthorized.Withf("no organisation holds the key of the request")
+		return requestIdentity{}, problem.Unauthorized.Withf("the key of the request belongs to no organisation")
 	}
 	r.Header.Del(organisation.Header)
-	return identity{
+	return requestIdentity{
 		organisation: org.Name,
-		voucher:      organisation.Vouch(key, vouchedFor(r, requestID)),
+		voucher:      organisation.Vouch(key, voucherMessage(r, requestID)),
 	}, nil
 }
 
-// vouchedFor is what a voucher is about: this request, under this ticket.
-func vouchedFor(r *http.Request, requestID string) string {
+// voucherMessage returns the message that a voucher authenticates. It covers the
+// request id, method, URI and ticket, so that a voucher is valid for one request only.
+func voucherMessage(r *http.Request, requestID string) string {
 	return requestID + " " + r.Method + " " + r.URL.RequestURI() + " " + r.Header.Get(relay.HeaderTicket)
 }
--- a/internal/entry/caller/identify_test.go
+++ b/internal/entry/caller/identify_test.go
@@ -14,18 +14,20 @@
 	"github.com/egretbend/egretbend/internal/route/relay"
 )
 
-// withOrganisations returns a configuration in which saddlers hold a key.
-func withOrganisations(is *is.I) *configuration.Document {
+// newConfiguration returns a configuration in which the organisation saddlers has the
+// key k1.
+func newConfiguration(is *is.I) *configuration.Document {
 	doc, err := configuration.Decode(fmt.Appendf(nil, `{"history":[],"configuration":{"format":1,"team":"t","deployments":[],
 		"organisations":[{"name":"saddlers","key_digests":[%q],"priority":"training"}]}}`, organisation.DigestOf("k1")), 1)
 	is.NoErr(err)
 	return doc
 }
 
-// A key is passed on to another instance or a service, which may log it.
-func TestKeysEndAtTheInstanceThatReadThem(t *testing.T) {
+// Guards against keys that are forwarded to another instance or a service, which may
+// log them.
+func TestKeyIsReplacedByVoucher(t *testing.T) {
 	is := is.New(t)
-	doc := withOrganisations(is)
+	doc := newConfiguration(is)
 	r := httptest.NewRequest(http.MethodPost, "/v1/services/desk/x", nil)
 	r.Header.Set(relay.HeaderTicket, "ticket")
 	_, err := identify(r, doc, "7")
@@ -39,7 +41,8 @@
 	is.Equal(id.organisation, "saddlers")
 	is.Equal(r.Header.Get(organisation.Header), "")
 
-	// The instance to which it is passed on takes the voucher, for this request only.
+	// The instance that gets the forwarded request accepts the voucher, for this request
+	// only.
 	r.Header.Set(headerPassedOn, "gent-a-1")
 	r.Header.Set(headerOrganisation, id.organisation)
 	r.Header.Set(headerVoucher, id.voucher)
@@ -50,7 +53,7 @@
 	is.True(problem.Is(err, problem.Unauthorized))
 }
 
-func TestWithoutOrganisationsNoKeyIsNeeded(t *testing.T) {
+func TestKeyIsOptionalWithoutOrganisations(t *testing.T) {
 	is := is.New(t)
 	doc, err := configuration.Decode([]byte(`{"history":[],"configuration":{"format":1,"team":"t","deployments":[]}}`), 1)
 	is.NoErr(err)
--- a/internal/entry/caller/part.go
+++ b/internal/entry/caller/part.go
@@ -49,9 +49,9 @@
 		Journal: h.Journal,
 		Scheme:  scheme,
 	}
-	s.Mux.HandleFunc(pat.Get("/v1/addresses"), s.addresses)
-	s.Mux.HandleFunc(pat.Post("/v1/tickets"), s.tickets)
-	s.Mux.HandleFunc(pat.New("/v1/services/:deployment/*"), s.service)
-	s.Mux.HandleFunc(pat.Post("/v1/models/:deployment/completions"), s.completions)
+	s.Mux.HandleFunc(pat.Get("/v1/addresses"), s.handleAddresses)
+	s.Mux.HandleFunc(pat.Post("/v1/tickets"), s.handleTickets)
+	s.Mux.HandleFunc(pat.New("/v1/services/:deployment/*"), s.handleService)
+	s.Mux.HandleFunc(pat.Post("/v1/models/:deployment/completions"), s.handleCompletion)
 	return part.Idle{}, nil
 }
--- a/internal/entry/caller/server.go
+++ b/internal/entry/caller/server.go
@@ -22,14 +22,14 @@
 	"github.com/egretbend/egretbend/internal/route/wire"
 )
 
-// Limits of what callers send.
+// Limits of callers' requests.
 const (
-	maxBody       = 4 << 20
-	maxIDLength   = 200
-	maxDeadlineMS = 3_600_000
+	maxBody       = 4 << 20   // bytes
+	maxIDLength   = 200       // bytes of a request id or a caller name
+	maxDeadlineMS = 3_600_000 // milliseconds, one hour
 )
 
-// Server answers callers.
+// Server handles the requests of callers.
 type Server struct {
 	Mux       *door.Mux
 	Members   *member.Table
@@ -40,15 +40,16 @@
 	Client    *wire.Client
 	Timer     timer.Service
 	Journal   *journal.Journal
-	// Scheme is that of the instances' doors: http, or https where they have
-	// certificates.
+	// Scheme is the URL scheme of the instances: https if they have certificates,
+	// otherwise http.
 	Scheme string
 }
 
-// envelope is what the headers of a request say.
-type envelope struct {
+// requestMetadata holds what the headers of a request state, with defaults from the
+// configuration.
+type requestMetadata struct {
 	requestID  string
-	identity   identity
+	identity   requestIdentity
 	caller     string
 	class      limit.Class
 	weight     float64
@@ -57,24 +58,24 @@
 	deployment configuration.Deployment
 }
 
-// open reads the headers of a request for a deployment.
-func (s *Server) open(r *http.Request, deployment string) (envelope, error) {
+// readMetadata reads the headers of a request to a deployment.
+func (s *Server) readMetadata(r *http.Request, deployment string) (requestMetadata, error) {
 	doc := s.Holder.Current()
 	if doc == nil {
-		return envelope{}, problem.NotReady.Withf("no configuration yet").WithRetryAfter(time.Second)
+		return requestMetadata{}, problem.NotReady.Withf("this instance has no configuration yet").WithRetryAfter(time.Second)
 	}
 	cfg := doc.Parsed()
 	d, ok := cfg.Deployment(deployment)
 	if !ok {
-		return envelope{}, problem.UnknownDeployment.Withf("no deployment %q", deployment)
+		return requestMetadata{}, problem.UnknownDeployment.Withf("deployment %q does not exist in the configuration", deployment)
 	}
-	e := envelope{
+	e := requestMetadata{
 		requestID:  r.Header.Get(relay.HeaderRequestID),
 		caller:     r.Header.Get(relay.HeaderCaller),
 		deployment: d,
 	}
 	if e.caller == "" {
-		return e, problem.MissingHeader.Withf("%s is absent", relay.HeaderCaller)
+		return e, problem.MissingHeader.Withf("header %s is missing", relay.HeaderCaller)
 	}
 	if e.requestID == "" {
 		e.requestID = newRequestID()
@@ -86,10 +87,12 @@
 	if e.identity, err = identify(r, doc, e.requestID); err != nil {
 		return e, err
 	}
-	return e, e.read(r, cfg)
+	return e, e.readLimits(r, cfg)
 }
 
-func (e *envelope) read(r *http.Request, cfg *configuration.Configuration) error {
+// readLimits reads the priority, the deadline and whether the request is idempotent. A
+// request may lower its priority below that of its organisation or caller, not raise it.
+func (e *requestMetadata) readLimits(r *http.Request, cfg *configuration.Configuration) error {
 	caller := cfg.Caller(e.caller)
 	e.weight = caller.Weight
 	priority := caller.Priority
@@ -119,7 +122,9 @@
 	return e.readIdempotent(r)
 }
 
-func (e *envelope) readIdempotent(r *http.Request) error {
+// readIdempotent reads whether the request may be repeated. GET and HEAD requests may,
+// unless the header says otherwise.
+func (e *requestMetadata) readIdempotent(r *http.Request) error {
 	e.idempotent = r.Method == http.MethodGet || r.Method == http.MethodHead
 	text := r.Header.Get(relay.HeaderIdempotent)
 	if text == "" {
@@ -133,13 +138,14 @@
 	return nil
 }
 
-// context returns a context with the request's deadline.
-func (e *envelope) context(parent context.Context) (context.Context, context.CancelFunc) {
+// context returns a child of parent with the request's deadline.
+func (e *requestMetadata) context(parent context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(parent, e.deadline)
 }
 
 func newRequestID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
+// clientHost returns the host part of the client's address.
 func clientHost(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
--- a/internal/entry/caller/services.go
+++ b/internal/entry/caller/services.go
@@ -16,18 +16,19 @@
 	"github.com/egretbend/egretbend/internal/route/wire"
 )
 
-// headerPassedOn is set on a request that another instance passed on.
+// headerPassedOn is set on a request that another instance forwarded. It holds the id
+// of that instance.
 const headerPassedOn = "Egretbend-Passed-On"
 
-// service answers ANY /v1/services/{deployment}/{path}.
-func (s *Server) service(w http.ResponseWriter, r *http.Request) {
+// handleService serves ANY /v1/services/{deployment}/{path}.
+func (s *Server) handleService(w http.ResponseWriter, r *http.Request) {
 	deployment := pat.Param(r, "deployment")
-	e, err := s.open(r, deployment)
+	meta, err := s.readMetadata(r, deployment)
 	if err != nil {
 		problem.Write(w, err)
 		return
 	}
-	w.Header().Set(relay.HeaderRequestID, e.requestID)
+	w.Header().Set(relay.HeaderRequestID, meta.requestID)
 	body, err := problem.ReadBody(w, r, maxBody)
 	if err != nil {
 		problem.Write(w, err)
@@ -38,33 +39,33 @@
 		path += "?" + r.URL.RawQuery
 	}
 	call := relay.Call{
-		RequestID:  e.requestID,
-		Caller:     e.caller,
-		Class:      e.class,
-		Weight:     e.weight,
+		RequestID:  meta.requestID,
+		Caller:     meta.caller,
+		Class:      meta.class,
+		Weight:     meta.weight,
 		Deployment: deployment,
 		Method:     r.Method,
 		Path:       path,
 		Header:     r.Header,
 		Body:       body,
-		Idempotent: e.idempotent,
+		Idempotent: meta.idempotent,
 	}
-	if e.idempotent {
-		ctx, cancel := e.context(r.Context())
+	if meta.idempotent {
+		ctx, cancel := meta.context(r.Context())
 		defer cancel()
 		answer, err := s.Relay.Do(ctx, call)
 		writeAnswer(w, answer, err)
 		return
 	}
-	s.once(w, r, e, call)
+	s.handleNonIdempotent(w, r, meta, call)
 }
 
-// once answers a request that may not be repeated. Without a ticket nobody
-// could tell a repeat from a new request, so it is refused.
-func (s *Server) once(w http.ResponseWriter, r *http.Request, e envelope, call relay.Call) {
+// handleNonIdempotent runs a non-idempotent request at most once. Without a ticket, a
+// retry can't be told from a new request, so a request without one is refused.
+func (s *Server) handleNonIdempotent(w http.ResponseWriter, r *http.Request, meta requestMetadata, call relay.Call) {
 	text := r.Header.Get(relay.HeaderTicket)
 	if text == "" {
-		problem.Write(w, problem.TicketRequired.Withf("%s is absent on a request that is not idempotent", relay.HeaderTicket))
+		problem.Write(w, problem.TicketRequired.Withf("header %s is missing on a request that is not idempotent", relay.HeaderTicket))
 		return
 	}
 	t, err := ticket.Parse(text)
@@ -73,7 +74,7 @@
 		return
 	}
 	if t.Address != s.Tickets.Address {
-		s.passOn(w, r, e, t, call)
+		s.forwardToIssuer(w, r, meta, t, call)
 		return
 	}
 	run, earlier, err := s.Tickets.Use(t, ticket.Print(call.Method, call.Deployment, call.Path, call.Body))
@@ -83,7 +84,7 @@
 	}
 	if run != nil {
 		earlier = run
-		go s.run(run, e, call)
+		go s.runTicket(run, meta, call)
 	}
 	select {
 	case <-earlier.Done:
@@ -92,33 +93,34 @@
 	}
 	answer, err := earlier.Result()
 	if !s.Mux.Leaving() {
-		w.Header().Set(relay.HeaderNextTicket, s.issue(1)[0])
+		w.Header().Set(relay.HeaderNextTicket, s.issueTickets(1)[0])
 	}
 	writeAnswer(w, answer, err)
 }
 
-// run runs a ticket's request. It goes on when the caller goes away: the
-// upstream may have begun, and the caller may ask for the answer again.
-func (s *Server) run(run *ticket.Run, e envelope, call relay.Call) {
-	ctx, cancel := e.context(context.Background())
+// runTicket runs the request of a ticket and stores the result. It ignores the caller's
+// disconnection, because the upstream may have started the request already and the
+// caller may ask for the response again.
+func (s *Server) runTicket(run *ticket.Run, meta requestMetadata, call relay.Call) {
+	ctx, cancel := meta.context(context.Background())
 	defer cancel()
 	answer, err := s.Relay.Do(ctx, call)
 	run.Finish(answer, err)
 }
 
-// passOn sends a request to the instance that issued its ticket. When that one
-// can't be reached, it may have run the request before, so the outcome is
-// unknown, also though nothing was sent now.
-func (s *Server) passOn(w http.ResponseWriter, r *http.Request, e envelope, t ticket.Ticket, call relay.Call) {
+// forwardToIssuer forwards a request to the instance that issued its ticket. If that
+// instance can't be reached, the outcome is unknown even if nothing was sent this time:
+// the instance may have run the request on an earlier attempt.
+func (s *Server) forwardToIssuer(w http.ResponseWriter, r *http.Request, meta requestMetadata, t ticket.Ticket, call relay.Call) {
 	if r.Header.Get(headerPassedOn) != "" {
 		problem.Write(w, problem.TicketHolderGone.Withf("%s is not the address of this instance", t.Address))
 		return
 	}
-	if !s.knows(t.Address) {
-		problem.Write(w, problem.TicketHolderGone.Withf("%s is no instance of this fleet", t.Address))
+	if !s.isMemberAddress(t.Address) {
+		problem.Write(w, problem.TicketHolderGone.Withf("%s is not the address of an instance of this fleet", t.Address))
 		return
 	}
-	ctx, cancel := e.context(r.Context())
+	ctx, cancel := meta.context(r.Context())
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, r.Method, s.Scheme+"://"+t.Address+r.URL.RequestURI(), bytes.NewReader(call.Body))
 	if err != nil {
@@ -127,22 +129,23 @@
 	}
 	req.Header = r.Header.Clone()
 	req.Header.Set(headerPassedOn, s.Members.Self().ID)
-	req.Header.Set(relay.HeaderRequestID, e.requestID)
-	req.Header.Set(headerOrganisation, e.identity.organisation)
-	req.Header.Set(headerVoucher, e.identity.voucher)
+	req.Header.Set(relay.HeaderRequestID, meta.requestID)
+	req.Header.Set(headerOrganisation, meta.identity.organisation)
+	req.Header.Set(headerVoucher, meta.identity.voucher)
 	res, _, err := s.Client.Do(req, wire.Fresh)
 	if err != nil {
-		problem.Write(w, problem.TicketHolderGone.Withf("the issuer %s does not answer: %w", t.Address, err))
+		problem.Write(w, problem.TicketHolderGone.Withf("the issuer %s of the ticket did not answer: %w", t.Address, err))
 		return
 	}
 	defer res.Body.Close()
-	s.copyAnswer(w, res)
+	s.copyResponse(w, res)
 }
 
-func (s *Server) copyAnswer(w http.ResponseWriter, res *http.Response) {
+// copyResponse copies the response of a ticket's issuer to the caller.
+func (s *Server) copyResponse(w http.ResponseWriter, res *http.Response) {
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		problem.Write(w, problem.AnswerRejected.Withf("the issuer's answer was cut short: %w", err))
+		problem.Write(w, problem.AnswerRejected.Withf("the response of the ticket's issuer was cut short: %w", err))
 		return
 	}
 	for name, values := range res.Header {
@@ -152,9 +155,9 @@
 	_, _ = w.Write(body)
 }
 
-// knows reports whether address is one of the fleet's. A ticket is the
-// caller's word, and must not make this instance connect to just anywhere.
-func (s *Server) knows(address string) bool {
+// isMemberAddress reports whether address belongs to an instance of the fleet. Tickets
+// come from callers, and must not make this instance connect to arbitrary addresses.
+func (s *Server) isMemberAddress(address string) bool {
 	for _, m := range s.Members.View().Known {
 		if m.Address == address {
 			return true
@@ -163,9 +166,9 @@
 	return false
 }
 
-// tickets answers POST /v1/tickets.
-func (s *Server) tickets(w http.ResponseWriter, r *http.Request) {
-	n, err := optionalInt(r.URL.Query().Get("count"), maxTickets)
+// handleTickets serves POST /v1/tickets.
+func (s *Server) handleTickets(w http.ResponseWriter, r *http.Request) {
+	n, err := parseOptionalInt(r.URL.Query().Get("count"), maxTickets)
 	if err != nil {
 		problem.Write(w, problem.BadRequest.Withf("count: %w", err))
 		return
@@ -177,11 +180,12 @@
 	problem.WriteJSON(w, http.StatusOK, struct {
 		Tickets []string `json:"tickets"`
 	}{
-		Tickets: s.issue(max(1, n)),
+		Tickets: s.issueTickets(max(1, n)),
 	})
 }
 
-func (s *Server) issue(n int) []string {
+// issueTickets returns n new tickets in their text form, or nil if n is 0.
+func (s *Server) issueTickets(n int) []string {
 	if n == 0 {
 		return nil
 	}
@@ -192,6 +196,7 @@
 	return list
 }
 
+// writeAnswer writes an upstream's response, or err if it is not nil.
 func writeAnswer(w http.ResponseWriter, answer *relay.Answer, err error) {
 	if err != nil {
 		problem.Write(w, err)
