--- a/internal/entry/caller/server.go
+++ b/internal/entry/caller/server.go
@@ -62,7 +62,7 @@
 func (s *Server) readMetadata(r *http.Request, deployment string) (requestMetadata, error) {
 	doc := s.Holder.Current()
 	if doc == nil {
-		return requestMetadata{}, problem.NotReady.Withf("this instance has no configuration yet").WithRetryAfter(time.Second)
+		return requestMetadata{}, problem.NotReady.Withf("no configuration yet").WithRetryAfter(time.Second)
 	}
 	cfg := doc.Parsed()
 	d, ok := cfg.Deployment(deployment)
--- a/internal/entry/identity/decision.go
+++ b/internal/entry/identity/decision.go
@@ -6,42 +6,44 @@
 	"github.com/egretbend/egretbend/internal/route/organisation"
 )
 
-// newKeyAge is how old the knowledge may be by which a key is called unknown. A key
-// may have been added since.
-const newKeyAge = 1500 * time.Millisecond
+// maxUnknownKeyAge is the age of the last confirmation from which a key that is missing
+// from the configuration is no longer rejected as unknown. The key may have been added
+// since the confirmation.
+const maxUnknownKeyAge = 1500 * time.Millisecond
 
-// Evidence is what is known of a request's key.
+// Evidence holds the facts on which Decide bases its verdict.
 type Evidence struct {
-	// Open says that no key is needed: the route is public, or no organisation is
+	// Open is set if no key is needed: the route is public, or no organisation is
 	// configured.
 	Open bool
-	// KeyErr says what is wrong with the key itself.
+	// KeyErr tells why no key could be read from the request; nil if one was read.
 	KeyErr error
-	// Known says that the configuration in force has the key.
+	// Known is set if the configuration in force has the key.
 	Known bool
-	// Confirmed says that the configuration was ever surely the newest one, and Age
-	// how long ago it was last.
+	// Confirmed is set if the configuration in force was confirmed to be the newest one
+	// at least once. Age is the time since the last confirmation.
 	Confirmed bool
 	Age       time.Duration
-	// Bound is the age up to which a key counts that may have been taken away since;
-	// 0 sets no bound.
+	// Bound is the age of the last confirmation from which known keys are no longer
+	// accepted, because they may have been removed since; 0 accepts them at any age.
 	Bound time.Duration
 }
 
-// Verdict is what becomes of a request.
+// Verdict is the decision about a request.
 type Verdict string
 
 // The verdicts.
 const (
-	// Allowed requests run.
+	// Allowed means that the request may run.
 	Allowed Verdict = "allowed"
-	// Unknown keys belong to nobody.
+	// Unknown means that the request has no valid key of any organisation.
 	Unknown Verdict = "unknown_key"
-	// Unsure means that this instance knows too little to say either.
+	// Unsure means that the last confirmation is too old, or missing, to accept or
+	// reject the key.
 	Unsure Verdict = "unconfirmed"
 )
 
-// Decide returns what becomes of a request.
+// Decide returns the verdict that follows from the evidence.
 func Decide(e Evidence) Verdict {
 	switch {
 	case e.Open:
@@ -52,15 +54,16 @@
 		return Allowed
 	case e.Known:
 		return Unsure
-	case e.Bound == 0 || e.Confirmed && e.Age < newKeyAge:
+	case e.Bound == 0 || e.Confirmed && e.Age < maxUnknownKeyAge:
 		return Unknown
 	}
 	return Unsure
 }
 
-// evidence gathers what is known now. The age is read before the configuration: what
-// is in force then is at least as new as what the age is about.
-func (g *Gate) evidence(key string, keyErr error, public bool) (Evidence, organisation.Organisation) {
+// gatherEvidence returns the current evidence about a key. It reads the age before the
+// configuration, so that the configuration is at least as new as the one that was
+// confirmed.
+func (g *Gate) gatherEvidence(key string, keyErr error, public bool) (Evidence, organisation.Organisation) {
 	e := Evidence{
 		KeyErr: keyErr,
 		Bound:  g.Bound,
--- a/internal/entry/identity/decision_test.go
+++ b/internal/entry/identity/decision_test.go
@@ -22,8 +22,8 @@
 		"known and too old":       {Evidence{Known: true, Confirmed: true, Age: bound, Bound: bound}, Unsure},
 		"known, never confirmed":  {Evidence{Known: true, Bound: bound}, Unsure},
 		"known without a bound":   {Evidence{Known: true}, Allowed},
-		"unknown and fresh":       {Evidence{Confirmed: true, Age: newKeyAge - 1, Bound: bound}, Unknown},
-		"perhaps just added":      {Evidence{Confirmed: true, Age: newKeyAge, Bound: bound}, Unsure},
+		"unknown and fresh":       {Evidence{Confirmed: true, Age: maxUnknownKeyAge - 1, Bound: bound}, Unknown},
+		"perhaps just added":      {Evidence{Confirmed: true, Age: maxUnknownKeyAge, Bound: bound}, Unsure},
 		"unknown without a bound": {Evidence{}, Unknown},
 	} {
 		is.Equal(name+" "+string(Decide(c.e)), name+" "+string(c.want))
--- a/internal/entry/identity/doc.go
+++ b/internal/entry/identity/doc.go
@@ -1,4 +1,5 @@
-// Package identity decides on whose behalf a request is made, or why it is refused.
+// Package identity identifies the organisation on whose behalf a request is made, or
+// tells why the request is refused.
 //
 //	gate := &identity.Gate{
 //		Config: config,
@@ -11,7 +12,11 @@
 //		Header:    r.Header,
 //	})
 //
-// It is asked after the whole request was read. An instance that was suspended finds
-// requests in its sockets; checked before they were read, keys that were taken away
-// meanwhile would still hold.
+// A Gate looks up the key of a request in the configuration in force. Operators may
+// remove a key at any time, so a Gate accepts a key only if the configuration was
+// confirmed to be the newest one within Bound. Decide states the rule.
+//
+// Call Identify after the whole request was read. An instance that was suspended finds
+// requests in its sockets when it continues. If it checked their keys before it read
+// them, it would accept keys that were removed in the meantime.
 package identity
--- a/internal/entry/identity/gate.go
+++ b/internal/entry/identity/gate.go
@@ -16,45 +16,48 @@
 	"github.com/egretbend/egretbend/internal/route/organisation"
 )
 
-// retryElsewhere tells callers when to come back that meet an instance which knows
-// too little. Another one may know more at this moment.
-const retryElsewhere = 100 * time.Millisecond
+// unconfirmedRetryAfter is the time after which a caller should retry a request that was
+// refused for lack of a confirmation. It is short because another instance may have a
+// newer confirmation already.
+const unconfirmedRetryAfter = 100 * time.Millisecond
 
-var errNoHolder = errors.New("no organisation holds the key of the request")
+var errUnknownKey = errors.New("the key of the request belongs to no organisation")
 
-// Gate identifies requests.
+// Gate identifies the organisations of requests.
 type Gate struct {
 	Config *catalog.Holder
 	Record *confirmation.Record
-	// Bound is how long after it was taken away a key may still be taken for good;
-	// 0 sets no bound.
+	// Bound is the longest time for which a removed key may still be accepted; 0 sets no
+	// limit.
 	Bound time.Duration
-	// Refresh asks for a newer configuration before a key is called unknown; nil is
-	// not called.
+	// Refresh fetches a newer configuration. It is called before a key is rejected as
+	// unknown, unless it is nil.
 	Refresh func(ctx context.Context)
 	Timer   timer.Service
 	Journal *journal.Journal
 	Metrics *Metrics
 }
 
-// Call is a request as far as it matters here.
+// Call holds the parts of a request that identify its organisation.
 type Call struct {
 	RequestID string
 	Header    http.Header
-	// Public says that its route needs no key.
+	// Public is set if the request's route needs no key.
 	Public bool
 }
 
-// Needed reports whether what this instance may serve hangs on confirmations.
+// Needed reports whether requests are accepted only while the configuration is
+// confirmed: there is a bound, and organisations are configured.
 func (g *Gate) Needed() bool { return g.Bound > 0 && g.Configured() }
 
-// Configured reports whether requests bear keys at all.
+// Configured reports whether organisations are configured, so that requests need keys.
 func (g *Gate) Configured() bool {
 	cfg := g.Config.Current()
 	return cfg != nil && !cfg.Organisations.Empty()
 }
 
-// Begun reports whether this life of the instance could ever tell which keys hold.
+// Begun reports whether the configuration was confirmed at least once since this
+// instance started, or needs no confirmation.
 func (g *Gate) Begun() bool {
 	if !g.Needed() {
 		return true
@@ -63,36 +66,38 @@
 	return confirmed
 }
 
-// Able reports whether this instance can tell at the moment which keys hold.
+// Able reports whether the configuration was confirmed within Bound, or needs no
+// confirmation.
 func (g *Gate) Able() bool { return !g.Needed() || g.Record.Within(g.Timer.Now(), g.Bound) }
 
-// Identify returns on whose behalf a request is made; of a public route on nobody's.
-// An error says that it must not run.
+// Identify returns the organisation on whose behalf a request is made. For a public
+// route, and while no organisations are configured, it returns the zero Organisation. If
+// it returns an error, the request must not run.
 func (g *Gate) Identify(ctx context.Context, c Call) (organisation.Organisation, error) {
 	key, keyErr := organisation.KeyOf(c.Header)
-	e, org := g.evidence(key, keyErr, c.Public)
+	e, org := g.gatherEvidence(key, keyErr, c.Public)
 	if !e.Open && keyErr == nil && !e.Known && g.Refresh != nil {
 		g.Refresh(ctx)
-		e, org = g.evidence(key, keyErr, c.Public)
+		e, org = g.gatherEvidence(key, keyErr, c.Public)
 	}
 	verdict := Decide(e)
-	g.Metrics.count(verdict)
+	g.Metrics.countVerdict(verdict)
 	switch {
 	case verdict == Allowed && e.Open:
 		return organisation.Organisation{}, nil
 	case verdict == Allowed:
 		return org, nil
 	}
-	g.refused(c, e, org, verdict)
+	g.logRefusal(c, e, org, verdict)
 	if verdict == Unknown {
-		return organisation.Organisation{}, problem.Unauthorized.With(errors.Join(errNoHolder, keyErr))
+		return organisation.Organisation{}, problem.Unauthorized.With(errors.Join(errUnknownKey, keyErr))
 	}
 	return organisation.Organisation{}, problem.Unconfirmed.Withf("the configuration was last confirmed %s ago", e.Age).
-		WithRetryAfter(retryElsewhere)
+		WithRetryAfter(unconfirmedRetryAfter)
 }
 
-// refused logs why a request must not run.
-func (g *Gate) refused(c Call, e Evidence, org organisation.Organisation, verdict Verdict) {
+// logRefusal logs the evidence on which a request was refused.
+func (g *Gate) logRefusal(c Call, e Evidence, org organisation.Organisation, verdict Verdict) {
 	fields := log.Fields{
 		"request_id":   c.RequestID,
 		"organisation": org.Name,
--- a/internal/entry/identity/metrics.go
+++ b/internal/entry/identity/metrics.go
@@ -2,12 +2,12 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics counts verdicts. A nil one counts nothing.
+// Metrics counts the verdicts. A nil *Metrics counts nothing.
 type Metrics struct {
 	verdicts *prometheus.CounterVec
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics returns Metrics that are registered with r.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		verdicts: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -19,7 +19,7 @@
 	return m
 }
 
-func (m *Metrics) count(v Verdict) {
+func (m *Metrics) countVerdict(v Verdict) {
 	if m != nil {
 		m.verdicts.WithLabelValues(string(v)).Inc()
 	}
--- a/internal/entry/identity/proof_test.go
+++ b/internal/entry/identity/proof_test.go
@@ -21,77 +21,79 @@
 )
 
 const (
-	bound     = 5 * time.Second
-	instances = 3
-	keys      = 4
-	key       = "configuration"
+	bound            = 5 * time.Second
+	instanceCount    = 3
+	keyCount         = 4
+	configurationKey = "configuration"
 )
 
-// mechanisms are what the proofs switch off, one at a time.
-type mechanisms struct {
-	bound     bool // keys hold for good
-	revisions bool // the word of another instance counts for any configuration
-	suspended bool // the clock of an instance stands still while it is suspended
-}
-
-// world is operators who add and take away keys, and instances that follow.
-type world struct {
-	t     *rapid.T
-	off   mechanisms
-	clock timer.Manual
-	// held are the keys in force by revision, the newest last.
-	held []map[int]bool
-	// taken is when a key was taken away, or zero.
-	taken     map[int]timer.Instant
+// disabledMechanisms selects the mechanisms that a test disables. Each refutation test
+// disables one of them and expects the property to fail.
+type disabledMechanisms struct {
+	bound           bool // the age of the confirmation is not limited
+	revisionCheck   bool // a confirmation of another instance counts for any revision
+	suspensionClock bool // the clock of an instance stops while it is suspended
+}
+
+// testFleet simulates operators who add and remove keys, and the instances that follow
+// their changes.
+type testFleet struct {
+	t        *rapid.T
+	disabled disabledMechanisms
+	clock    timer.Manual
+	// keysByRevision holds the set of keys of each revision, the newest last.
+	keysByRevision []map[int]bool
+	// removedAt holds the time at which each removed key was removed.
+	removedAt map[int]timer.Instant
 	instances []*instance
 }
 
-// instance is one that may be cut off or suspended.
+// instance simulates an instance that may be disconnected or suspended.
 type instance struct {
-	w        *world
-	revision uint64
-	config   catalog.Holder
-	record   confirmation.Record
-	keeper   confirmation.Keeper
-	gate     identity.Gate
-	cut      bool
-	slept    time.Duration
+	fleet        *testFleet
+	revision     uint64
+	config       catalog.Holder
+	record       confirmation.Record
+	keeper       confirmation.Keeper
+	gate         identity.Gate
+	disconnected bool
+	suspendedFor time.Duration
 }
 
-// Now implements the part of timer.Service that is used.
-func (i *instance) Now() timer.Instant { return i.w.clock.Now().Add(-i.slept) }
+// Now implements timer.Service. It returns the time on the instance's own clock.
+func (i *instance) Now() timer.Instant { return i.fleet.clock.Now().Add(-i.suspendedFor) }
 
 // Every implements timer.Service.
-func (i *instance) Every(d time.Duration) *timer.Subscription { return i.w.clock.Every(d) }
+func (i *instance) Every(d time.Duration) *timer.Subscription { return i.fleet.clock.Every(d) }
 
 // Once implements timer.Service.
-func (i *instance) Once(d time.Duration) *timer.Subscription { return i.w.clock.Once(d) }
+func (i *instance) Once(d time.Duration) *timer.Subscription { return i.fleet.clock.Once(d) }
 
-func newWorld(t *rapid.T, off mechanisms) *world {
-	w := &world{
-		t:     t,
-		off:   off,
-		taken: make(map[int]timer.Instant),
+func newTestFleet(t *rapid.T, disabled disabledMechanisms) *testFleet {
+	w := &testFleet{
+		t:         t,
+		disabled:  disabled,
+		removedAt: make(map[int]timer.Instant),
 	}
 	w.clock.Advance(time.Hour)
-	w.operate(func(m map[int]bool) { m[0], m[1] = true, true })
-	for range instances {
-		w.instances = append(w.instances, w.start())
+	w.addRevision(func(m map[int]bool) { m[0], m[1] = true, true })
+	for range instanceCount {
+		w.instances = append(w.instances, w.startInstance())
 	}
 	return w
 }
 
-// start begins the life of an instance, which reads the configuration from wherever.
-func (w *world) start() *instance {
+// startInstance starts an instance without a configuration.
+func (w *testFleet) startInstance() *instance {
 	i := &instance{
-		w: w,
+		fleet: w,
 	}
 	i.keeper = confirmation.Keeper{
 		Record: &i.record,
 		Source: i,
-		Key:    key,
+		Key:    configurationKey,
 		Held:   func() uint64 { return i.revision },
-		Take:   i.take,
+		Take:   i.applyChanges,
 		Timer:  i,
 	}
 	i.gate = identity.Gate{
@@ -100,28 +102,28 @@
 		Bound:  bound,
 		Timer:  i,
 	}
-	if w.off.bound {
+	if w.disabled.bound {
 		i.gate.Bound = 0
 	}
 	return i
 }
 
-// operate makes a new configuration.
-func (w *world) operate(change func(map[int]bool)) {
+// addRevision adds a revision of the configuration with changed keys.
+func (w *testFleet) addRevision(change func(map[int]bool)) {
 	next := make(map[int]bool)
-	if len(w.held) > 0 {
-		next = maps.Clone(w.held[len(w.held)-1])
+	if len(w.keysByRevision) > 0 {
+		next = maps.Clone(w.keysByRevision[len(w.keysByRevision)-1])
 	}
 	change(next)
-	w.held = append(w.held, next)
+	w.keysByRevision = append(w.keysByRevision, next)
 }
 
-// read puts the configuration of a revision in force.
-func (i *instance) read(revision uint64) {
+// applyRevision puts a revision of the configuration in force, which may be an old one.
+func (i *instance) applyRevision(revision uint64) {
 	var orgs []organisation.Organisation
-	for k := range keys {
+	for k := range keyCount {
 		o := organisation.Organisation{Name: fmt.Sprint("org-", k)}
-		if i.w.held[revision-1][k] {
+		if i.fleet.keysByRevision[revision-1][k] {
 			o.Digests = []organisation.Digest{organisation.DigestOf(fmt.Sprint("key-", k))}
 		}
 		orgs = append(orgs, o)
@@ -133,116 +135,127 @@
 	i.revision = max(i.revision, revision)
 }
 
-func (i *instance) take(changes []keyvalue.Change) { i.read(changes[len(changes)-1].Revision) }
+func (i *instance) applyChanges(changes []keyvalue.Change) {
+	i.applyRevision(changes[len(changes)-1].Revision)
+}
 
-// Changes implements confirmation.Source. Its answer is some time on its way, in which
-// operators go on.
+// Changes implements confirmation.Source. The response takes some time to arrive, and
+// operators may change the configuration meanwhile.
 func (i *instance) Changes(context.Context, string, uint64) ([]keyvalue.Change, uint64, error) {
-	if i.cut {
+	if i.disconnected {
 		return nil, 0, keyvalue.ErrDown
 	}
-	newest := uint64(len(i.w.held))
-	i.w.clock.Advance(time.Duration(rapid.IntRange(0, 7).Draw(i.w.t, "seconds on the way")) * time.Second)
-	if rapid.Bool().Draw(i.w.t, "meanwhile") {
-		i.w.takeAway(0)
+	newest := uint64(len(i.fleet.keysByRevision))
+	i.fleet.clock.Advance(time.Duration(rapid.IntRange(0, 7).Draw(i.fleet.t, "seconds on the way")) * time.Second)
+	if rapid.Bool().Draw(i.fleet.t, "meanwhile") {
+		i.fleet.removeKey(0)
 	}
 	if newest <= i.revision {
 		return nil, newest, nil
 	}
-	return []keyvalue.Change{{Item: keyvalue.Item{Key: key, Revision: newest}}}, newest, nil
+	return []keyvalue.Change{{Item: keyvalue.Item{Key: configurationKey, Revision: newest}}}, newest, nil
 }
 
 // Get implements confirmation.Source.
 func (i *instance) Get(context.Context, string) (keyvalue.Item, error) {
-	return keyvalue.Item{Key: key, Revision: uint64(len(i.w.held))}, nil
+	return keyvalue.Item{Key: configurationKey, Revision: uint64(len(i.fleet.keysByRevision))}, nil
 }
 
-// takeAway takes a key away; one that was is not given again.
-func (w *world) takeAway(k int) {
-	if w.held[len(w.held)-1][k] {
-		w.operate(func(m map[int]bool) { delete(m, k) })
-		w.taken[k] = w.clock.Now()
+// removeKey removes a key. A removed key is never added again.
+func (w *testFleet) removeKey(k int) {
+	if w.keysByRevision[len(w.keysByRevision)-1][k] {
+		w.addRevision(func(m map[int]bool) { delete(m, k) })
+		w.removedAt[k] = w.clock.Now()
 	}
 }
 
-// ask sends a request with a key to an instance.
-func (w *world) ask(i *instance, k int) {
+// sendRequest sends a request with a key to an instance and checks the verdict: a key
+// must be refused once it was removed for bound, and an initial key that was not
+// removed must not be called unknown.
+func (w *testFleet) sendRequest(i *instance, k int) {
 	_, err := i.gate.Identify(context.Background(), identity.Call{
 		Header: http.Header{"Authorization": {fmt.Sprint("Bearer key-", k)}},
 	})
-	at, gone := w.taken[k]
+	at, gone := w.removedAt[k]
 	if err == nil && gone && w.clock.Now().Sub(at) >= bound {
-		w.t.Fatalf("key %d ran %s after it was taken away", k, w.clock.Now().Sub(at))
+		w.t.Fatalf("key %d was accepted %s after it was removed", k, w.clock.Now().Sub(at))
 	}
-	if problem.Is(err, problem.Unauthorized) && !gone && w.everywhere(k) {
-		w.t.Fatalf("key %d was denied though it holds", k)
+	if problem.Is(err, problem.Unauthorized) && !gone && w.isInitialKey(k) {
+		w.t.Fatalf("key %d was refused as unknown although it is valid", k)
 	}
 }
 
-// everywhere reports whether a key was in force for longer than an added one may need.
-func (w *world) everywhere(k int) bool { return k < 2 }
+// isInitialKey reports whether a key is in the first revision, so that it was in force
+// for longer than a new key needs to reach all instances.
+func (w *testFleet) isInitialKey(k int) bool { return k < 2 }
 
-// tell passes the word of one instance on to another one.
-func (w *world) tell(from, to *instance) {
+// relayConfirmation passes the last confirmation of one instance to another one.
+func (w *testFleet) relayConfirmation(from, to *instance) {
 	age, ok := from.record.Age(from.Now())
 	if !ok {
 		return
 	}
 	revision := from.revision
-	if w.off.revisions {
+	if w.disabled.revisionCheck {
 		revision = 0
 	}
 	to.keeper.Accept(to.Now().Add(-age), revision)
 }
 
-// sleep suspends an instance.
-func (w *world) sleep(i *instance, d time.Duration) {
+// suspend suspends an instance for the duration d.
+func (w *testFleet) suspend(i *instance, d time.Duration) {
 	w.clock.Advance(d)
-	if w.off.suspended {
-		i.slept += d
+	if w.disabled.suspensionClock {
+		i.suspendedFor += d
 	}
 }
 
-func history(off mechanisms) func(*rapid.T) {
+// randomHistory returns a property that runs a random history of a fleet.
+func randomHistory(disabled disabledMechanisms) func(*rapid.T) {
 	return func(t *rapid.T) {
-		w := newWorld(t, off)
-		some := func(label string) *instance { return w.instances[rapid.IntRange(0, instances-1).Draw(t, label)] }
+		w := newTestFleet(t, disabled)
+		some := func(label string) *instance { return w.instances[rapid.IntRange(0, instanceCount-1).Draw(t, label)] }
 		number := func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }
 		t.Repeat(map[string]func(*rapid.T){
 			"add": func(*rapid.T) {
-				if k := 2 + number("key", 2); w.taken[k] == 0 {
-					w.operate(func(m map[int]bool) { m[k] = true })
+				if k := 2 + number("key", 2); w.removedAt[k] == 0 {
+					w.addRevision(func(m map[int]bool) { m[k] = true })
 				}
 			},
-			"take away": func(*rapid.T) { w.takeAway(number("key", keys)) },
+			"take away": func(*rapid.T) { w.removeKey(number("key", keyCount)) },
 			"confirm":   func(*rapid.T) { _ = some("instance").keeper.Confirm(context.Background()) },
 			"read old": func(*rapid.T) {
-				some("instance").read(uint64(1 + number("revision", len(w.held))))
+				some("instance").applyRevision(uint64(1 + number("revision", len(w.keysByRevision))))
 			},
-			"tell":    func(*rapid.T) { w.tell(some("from"), some("to")) },
-			"cut":     func(*rapid.T) { i := some("instance"); i.cut = !i.cut },
-			"sleep":   func(*rapid.T) { w.sleep(some("instance"), time.Duration(number("seconds", 9))*time.Second) },
-			"restart": func(*rapid.T) { w.instances[number("instance", instances)] = w.start() },
+			"tell":    func(*rapid.T) { w.relayConfirmation(some("from"), some("to")) },
+			"cut":     func(*rapid.T) { i := some("instance"); i.disconnected = !i.disconnected },
+			"sleep":   func(*rapid.T) { w.suspend(some("instance"), time.Duration(number("seconds", 9))*time.Second) },
+			"restart": func(*rapid.T) { w.instances[number("instance", instanceCount)] = w.startInstance() },
 			"wait":    func(*rapid.T) { w.clock.Advance(time.Duration(number("ms", 4000)) * time.Millisecond) },
-			"ask":     func(*rapid.T) { w.ask(some("instance"), number("key", keys)) },
+			"ask":     func(*rapid.T) { w.sendRequest(some("instance"), number("key", keyCount)) },
 		})
 	}
 }
 
-// Guards against keys that run past their bound, and against the denial of keys that hold.
-func TestKeysStopWithinTheirBound(t *testing.T) { proof.Check(t, history(mechanisms{})) }
+// Guards against keys that are accepted for longer than the bound after their removal,
+// and against the refusal of valid keys.
+func TestRemovedKeyIsRefusedWithinBound(t *testing.T) {
+	proof.Check(t, randomHistory(disabledMechanisms{}))
+}
 
-// Without a bound an instance that is cut off serves a key for good.
-func TestKeysHoldForGoodWithoutABound(t *testing.T) {
-	proof.Refute(t, history(mechanisms{bound: true}))
+// Without a bound, a disconnected instance accepts a removed key forever.
+func TestRemovedKeyNeedsBound(t *testing.T) {
+	proof.Refute(t, randomHistory(disabledMechanisms{bound: true}))
 }
 
-// The word of an instance with a newer configuration would make an older one current.
-func TestWordAboutAnotherConfigurationIsNoConfirmation(t *testing.T) {
-	proof.Refute(t, history(mechanisms{revisions: true}))
+// Without the revision check, a confirmation from an instance with a newer configuration
+// confirms an older configuration on another instance.
+func TestConfirmationNeedsMatchingRevision(t *testing.T) {
+	proof.Refute(t, randomHistory(disabledMechanisms{revisionCheck: true}))
 }
 
-// Guards against a suspended instance that takes an old confirmation for a new one.
-func TestClockThatStandsStillKeepsOldKeys(t *testing.T) {
-	proof.Refute(t, history(mechanisms{suspended: true}))
+// If the clock does not advance while an instance is suspended, the instance takes an
+// old confirmation for a recent one.
+func TestClockMustAdvanceDuringSuspension(t *testing.T) {
+	proof.Refute(t, randomHistory(disabledMechanisms{suspensionClock: true}))
 }
