--- a/internal/entry/door/doc.go
+++ b/internal/entry/door/doc.go
@@ -1,14 +1,15 @@
-// Package door opens the address that callers, trainers and operators connect
-// to, and closes it gracefully.
+// Package door provides the HTTP server to which callers, trainers and operators
+// connect, and shuts it down gracefully.
 //
-// Other parts add their paths to the Mux:
+// Other parts add the handlers of their paths to the Mux:
 //
 //	mux := part.Get[*door.Mux](h)
 //	mux.HandleFunc(pat.Post("/v1/tickets"), s.tickets)
 //
-// Limited is a door whose limits follow the operators' configuration.
+// Limited is an HTTP server whose connection limits follow the operators'
+// configuration.
 //
-// A leaving instance drops out of all address answers at once, keeps accepting
-// until every answer that names it has run out, then refuses new connections,
-// finishes what is in flight and only then ends.
+// An instance that is told to stop marks itself as leaving, so that address responses
+// no longer list it. It accepts connections until every response that lists it has
+// expired. Then it refuses new connections, finishes the requests in flight and ends.
 package door
--- a/internal/entry/door/limited.go
+++ b/internal/entry/door/limited.go
@@ -12,32 +12,33 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// The limits of a door before any configuration is known, and for what it does
-// not say.
+// The limits that apply before a configuration is loaded, or if the configuration does
+// not set them.
 const (
-	// HeaderTimeout is how long a client may take for the head of a request.
+	// HeaderTimeout is how long a client may take to send the headers of a request.
 	HeaderTimeout = 10 * time.Second
-	// IdleTimeout is longer than any idle time that clients are allowed.
+	// IdleTimeout is how long a connection may be idle. It is longer than any idle time
+	// that clients are allowed.
 	IdleTimeout = 90 * time.Second
-	// acceptPause is the pause after a connection that could not be accepted.
-	acceptPause = 20 * time.Millisecond
+	// acceptRetryDelay is the pause before the next Accept after one that failed.
+	acceptRetryDelay = 20 * time.Millisecond
 )
 
-// Limited serves clients within the limits of the configuration in force. A
-// connection keeps those under which it was opened: closing what is open when
-// operators change a limit would cut requests.
+// Limited is an HTTP server that applies the limits of the configuration in force to
+// new connections. A connection keeps the limits that applied when it was opened:
+// closing open connections after a change of the limits would interrupt requests.
 type Limited struct {
 	Handler http.Handler
 	Config  *catalog.Holder
 
 	mu      sync.Mutex
 	limits  catalog.Limits
-	current *handedOver
+	current *connListener
 	servers []*http.Server
 	ln      net.Listener
 }
 
-// Serve accepts connections until the door is shut down.
+// Serve accepts connections until Shutdown is called.
 func (d *Limited) Serve(ln net.Listener) error {
 	d.mu.Lock()
 	d.ln = ln
@@ -48,15 +49,15 @@
 		case errors.Is(err, net.ErrClosed):
 			return http.ErrServerClosed
 		case err != nil:
-			// Descriptors ran out; some are free in a moment.
-			timer.Wait(timer.Real{}, acceptPause, nil)
+			// The process ran out of file descriptors. Some are soon free again.
+			timer.Wait(timer.Real{}, acceptRetryDelay, nil)
 		default:
-			d.take(c)
+			d.dispatch(c)
 		}
 	}
 }
 
-// Shutdown takes no new connections and waits for the requests that were read.
+// Shutdown stops accepting connections and waits for the requests in progress to finish.
 func (d *Limited) Shutdown(ctx context.Context) error {
 	d.mu.Lock()
 	servers := d.servers
@@ -68,8 +69,9 @@
 	return err
 }
 
-// take hands a connection to the server with the limits in force.
-func (d *Limited) take(c net.Conn) {
+// dispatch passes a connection to a server with the limits in force. It starts a new
+// server if the limits have changed.
+func (d *Limited) dispatch(c net.Conn) {
 	var limits catalog.Limits
 	if cfg := d.Config.Current(); cfg != nil {
 		limits = cfg.Limits
@@ -77,19 +79,19 @@
 	d.mu.Lock()
 	if d.current == nil || limits != d.limits {
 		d.limits = limits
-		d.current = d.open(limits)
+		d.current = d.startServer(limits)
 	}
-	to := d.current
+	l := d.current
 	d.mu.Unlock()
 	select {
-	case to.conns <- c:
-	case <-to.done:
+	case l.conns <- c:
+	case <-l.done:
 		_ = c.Close()
 	}
 }
 
-// open starts a server with some limits. The lock is held.
-func (d *Limited) open(limits catalog.Limits) *handedOver {
+// startServer starts a server with the given limits. d.mu must be held.
+func (d *Limited) startServer(limits catalog.Limits) *connListener {
 	server := &http.Server{
 		Handler:           d.Handler,
 		MaxHeaderBytes:    limits.HeaderBytes,
@@ -102,24 +104,24 @@
 	if server.IdleTimeout <= 0 {
 		server.IdleTimeout = IdleTimeout
 	}
-	l := &handedOver{
+	l := &connListener{
 		conns: make(chan net.Conn),
 		done:  make(chan struct{}),
 	}
 	d.servers = append(d.servers, server)
-	go func() { _ = server.Serve(l) }() // it ends when the door is shut down
+	go func() { _ = server.Serve(l) }() // it returns when Shutdown is called
 	return l
 }
 
-// handedOver is a listener of connections that were accepted elsewhere.
-type handedOver struct {
-	conns chan net.Conn
-	once  sync.Once
-	done  chan struct{}
+// connListener is a net.Listener for connections that Limited has accepted.
+type connListener struct {
+	conns     chan net.Conn
+	closeOnce sync.Once
+	done      chan struct{}
 }
 
 // Accept implements net.Listener.
-func (h *handedOver) Accept() (net.Conn, error) {
+func (h *connListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-h.conns:
 		return c, nil
@@ -129,10 +131,10 @@
 }
 
 // Close implements net.Listener.
-func (h *handedOver) Close() error {
-	h.once.Do(func() { close(h.done) })
+func (h *connListener) Close() error {
+	h.closeOnce.Do(func() { close(h.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (h *handedOver) Addr() net.Addr { return &net.TCPAddr{} }
+func (h *connListener) Addr() net.Addr { return &net.TCPAddr{} }
--- a/internal/entry/door/limited_test.go
+++ b/internal/entry/door/limited_test.go
@@ -16,10 +16,10 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// Operators bound what clients may send and how long they may be idle. The bounds
-// of the configuration in force hold for new connections; one that is open goes
-// on under its own.
-func TestLimitsOfTheConfigurationInForce(t *testing.T) {
+// Guards against limits that ignore a change of the configuration, and against a change
+// that affects open connections. New connections get the limits of the configuration in
+// force; an open connection keeps the limits under which it was opened.
+func TestLimitsFollowConfiguration(t *testing.T) {
 	is := is.New(t)
 	config := &catalog.Holder{}
 	d := &Limited{
@@ -28,15 +28,15 @@
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	served := make(chan error, 1)
-	go func() { served <- d.Serve(ln) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- d.Serve(ln) }()
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", ln.Addr().String())
 		is.NoErr(err)
 		is.NoErr(c.SetDeadline(time.Now().Add(10 * time.Second)))
 		return c
 	}
-	ask := func(c net.Conn, header int) (int, error) {
+	sendRequest := func(c net.Conn, header int) (int, error) {
 		if _, err := fmt.Fprintf(c, "GET / HTTP/1.1\r\nHost: h\r\nX: %s\r\n\r\n", strings.Repeat("x", header)); err != nil {
 			return 0, err
 		}
@@ -46,8 +46,8 @@
 		}
 		return res.StatusCode, nil
 	}
-	before := dial()
-	status, err := ask(before, 20_000)
+	existing := dial()
+	status, err := sendRequest(existing, 20_000)
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
 	config.Take(catalog.Configuration{
@@ -58,24 +58,24 @@
 			IdleTimeout:   150 * time.Millisecond,
 		},
 	}.WithIndex())
-	status, err = ask(dial(), 20_000)
+	status, err = sendRequest(dial(), 20_000)
 	is.NoErr(err)
 	is.Equal(status, http.StatusRequestHeaderFieldsTooLarge)
 	idle := dial()
-	status, err = ask(idle, 1)
+	status, err = sendRequest(idle, 1)
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
 	_, err = idle.Read(make([]byte, 1))
-	is.True(err != nil) // closed when it was idle for long enough
+	is.True(err != nil) // closed after the idle timeout
 	slow := dial()
 	_, err = slow.Write([]byte("GET / HT"))
 	is.NoErr(err)
 	res, err := http.ReadResponse(bufio.NewReader(slow), nil)
 	is.NoErr(err)
-	is.Equal(res.StatusCode, http.StatusBadRequest) // the rest of the head never came
-	status, err = ask(before, 20_000)
+	is.Equal(res.StatusCode, http.StatusBadRequest) // the rest of the headers never arrived
+	status, err = sendRequest(existing, 20_000)
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
 	is.NoErr(d.Shutdown(context.Background()))
-	is.True(errors.Is(<-served, http.ErrServerClosed))
+	is.True(errors.Is(<-serveErr, http.ErrServerClosed))
 }
--- a/internal/entry/door/mux.go
+++ b/internal/entry/door/mux.go
@@ -12,7 +12,7 @@
 	"github.com/egretbend/egretbend/internal/kernel/problem"
 )
 
-// Mux routes the paths of all doors and counts the requests in flight.
+// Mux routes requests to the handlers of all parts and counts the requests in flight.
 type Mux struct {
 	*goji.Mux
 
@@ -25,25 +25,27 @@
 	m := &Mux{
 		Mux: goji.NewMux(),
 	}
-	m.Use(m.count)
-	m.Use(recoverer)
+	m.Use(m.countInFlight)
+	m.Use(recoverPanics)
 	return m
 }
 
-// HandleRest answers every other path. It is added last.
+// HandleRest adds a handler that answers every other path with a not-found error. It
+// must be called after all other handlers were added.
 func (m *Mux) HandleRest() {
 	m.HandleFunc(pat.New("/*"), func(w http.ResponseWriter, r *http.Request) {
-		problem.Write(w, problem.NotFound.Withf("no door at %s %s", r.Method, r.URL.Path))
+		problem.Write(w, problem.NotFound.Withf("no handler for %s %s", r.Method, r.URL.Path))
 	})
 }
 
-// InFlight returns the requests that are being answered.
+// InFlight returns the number of requests in flight.
 func (m *Mux) InFlight() int64 { return m.inFlight.Load() }
 
-// Leaving reports whether this instance is on its way out.
+// Leaving reports whether this instance is shutting down.
 func (m *Mux) Leaving() bool { return m.leaving.Load() }
 
-func (m *Mux) count(next http.Handler) http.Handler {
+// countInFlight is middleware that counts the requests in flight.
+func (m *Mux) countInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		m.inFlight.Add(1)
 		defer m.inFlight.Add(-1)
@@ -51,10 +53,10 @@
 	})
 }
 
-// recoverer turns a panic of one request into an error of that request. The
-// abort of a transfer passes through: it is how a caller sees that an answer
-// was cut short.
-func recoverer(next http.Handler) http.Handler {
+// recoverPanics is middleware that turns a panic in a handler into an error response.
+// It passes http.ErrAbortHandler on, which aborts the connection to show the caller that
+// the response is incomplete.
+func recoverPanics(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
 			v := recover()
@@ -70,8 +72,8 @@
 	})
 }
 
-// WithKey lets a request through only with the bearer token key. An empty key
-// lets all through.
+// WithKey returns a handler that calls next only for requests with the bearer token
+// key. An empty key lets all requests through.
 func WithKey(key string, next http.HandlerFunc) http.HandlerFunc {
 	if key == "" {
 		return next
@@ -79,7 +81,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		if !ok || subtle.ConstantTimeCompare([]byte(token), []byte(key)) != 1 {
-			problem.Write(w, problem.Unauthorized.Withf("this door needs a key"))
+			problem.Write(w, problem.Unauthorized.Withf("this path needs a valid key as a bearer token"))
 			return
 		}
 		next(w, r)
--- a/internal/entry/door/part.go
+++ b/internal/entry/door/part.go
@@ -22,21 +22,24 @@
 	"github.com/egretbend/egretbend/internal/rollout/runner"
 )
 
-// Limits of connections to the doors.
+// Limits of the server and timing of its shutdown.
 const (
 	readHeaderTimeout = 5 * time.Second
 	readTimeout       = 30 * time.Second
 	idleTimeout       = 60 * time.Second
-	maxHeaderBytes    = 32 << 10
-	// spreadTime is how long a leaving mark takes to reach all instances.
-	spreadTime = 2 * time.Second
-	// defaultKeep is how long answers are kept without a configuration.
-	defaultKeep = 10 * time.Second
-	// KeepJitter is the largest factor on the keep time of an answer.
+	maxHeaderBytes    = 32 << 10 // 32 KiB
+	// leavePropagationTime is how long it takes until all instances know that this one
+	// is leaving.
+	leavePropagationTime = 2 * time.Second
+	// defaultAddressTTL is how long callers may cache an address response while no
+	// configuration is loaded.
+	defaultAddressTTL = 10 * time.Second
+	// KeepJitter is the largest factor by which jitter extends the time for which an
+	// address response may be cached.
 	KeepJitter = 1.25
-	// drainTime bounds the wait for requests in flight. It is above the
-	// longest deadline that a request can have.
-	drainTime = time.Hour + time.Minute
+	// drainTimeout limits the wait for requests in flight. It exceeds the longest
+	// deadline that a request can have.
+	drainTimeout = time.Hour + time.Minute
 )
 
 func init() {
@@ -57,7 +60,7 @@
 	return part.Idle{}, nil
 }
 
-// listener serves the mux.
+// listener is the part that serves the Mux on the instance's listen address.
 type listener struct {
 	host    *part.Host
 	mux     *Mux
@@ -75,7 +78,7 @@
 		holder:  part.Get[*configuration.Holder](h),
 		runner:  part.Get[*runner.Runner](h),
 	}
-	l.addHealth()
+	l.addHealthHandlers()
 	l.mux.HandleRest()
 	h.Metrics.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "egretbend_requests_in_flight",
@@ -84,7 +87,9 @@
 	return l, nil
 }
 
-func (l *listener) addHealth() {
+// addHealthHandlers adds the paths for metrics, liveness and readiness. An instance is
+// ready if it has a configuration and is not leaving.
+func (l *listener) addHealthHandlers() {
 	l.mux.Handle(pat.Get("/metrics"), promhttp.HandlerFor(l.host.Metrics, promhttp.HandlerOpts{}))
 	l.mux.HandleFunc(pat.Get("/healthz"), func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusOK)
@@ -135,22 +140,22 @@
 	return nil
 }
 
-// Stop implements part.Part. Callers may hold an answer that names this
-// instance for as long as the keep time allows; to close the door before that
-// would fail requests that were promised a place.
+// Stop implements part.Part. Callers may use a cached address response that lists this
+// instance until the response expires. Closing the listener earlier would fail their
+// requests, so Stop waits until all such responses have expired.
 func (l *listener) Stop() {
 	l.mux.leaving.Store(true)
 	l.members.Leave()
 	l.host.Journal.Event("leaving", log.Fields{
 		"in_flight": l.mux.InFlight(),
 	})
-	keep := defaultKeep
+	ttl := defaultAddressTTL
 	if doc := l.holder.Current(); doc != nil {
-		keep = time.Duration(doc.Parsed().Addresses.KeepMS) * time.Millisecond
+		ttl = time.Duration(doc.Parsed().Addresses.KeepMS) * time.Millisecond
 	}
-	timer.Wait(l.host.Timer, time.Duration(float64(keep)*KeepJitter)+spreadTime, nil)
+	timer.Wait(l.host.Timer, time.Duration(float64(ttl)*KeepJitter)+leavePropagationTime, nil)
 	l.runner.Drain()
-	ctx, cancel := context.WithTimeout(context.Background(), drainTime)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	_ = l.server.Shutdown(ctx)
 	l.host.Journal.Event("drained", log.Fields{
