--- a/internal/entry/operator/decisions.go
+++ b/internal/entry/operator/decisions.go
@@ -13,32 +13,34 @@
 	"github.com/egretbend/egretbend/internal/kernel/problem"
 )
 
-// decisionReceiver answers other instances that gather decisions.
-type decisionReceiver struct {
+// decisionService is the RPC service by which other instances fetch decisions from this
+// instance. It is registered as Decisions.
+type decisionService struct {
 	journal *journal.Journal
 }
 
-// DecisionArgs asks for the decisions about a request or sample.
+// DecisionArgs names the request or sample whose decisions are wanted.
 type DecisionArgs struct {
 	ID string
 }
 
-// DecisionReply carries them.
+// DecisionReply holds the decisions that an instance remembers.
 type DecisionReply struct {
 	Decisions []journal.Record
 }
 
-// Find returns the decisions that this instance remembers.
-func (d *decisionReceiver) Find(args DecisionArgs, reply *DecisionReply) error {
+// Find returns the decisions about args.ID that this instance remembers.
+func (d *decisionService) Find(args DecisionArgs, reply *DecisionReply) error {
 	reply.Decisions = d.journal.Remembered(args.ID)
 	return nil
 }
 
-// decisions answers GET /v1/decisions/{id} with what all instances remember of
-// a request or sample, oldest first.
-func (s *Server) decisions(w http.ResponseWriter, r *http.Request) {
+// getDecisions serves GET /v1/decisions/{id}. It returns the decisions about a request or
+// sample that the instances remember, oldest first. An instance that does not answer
+// within peer.CallTimeout is left out.
+func (s *Server) getDecisions(w http.ResponseWriter, r *http.Request) {
 	id := pat.Param(r, "id")
-	all := s.Journal.Remembered(id)
+	records := s.Journal.Remembered(id)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	self := s.Members.Self().ID
@@ -57,14 +59,14 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, reply.Decisions...)
+			records = append(records, reply.Decisions...)
 		})
 	}
 	wg.Wait()
-	if len(all) == 0 {
+	if len(records) == 0 {
 		problem.Write(w, problem.NotFound.Withf("no instance remembers decisions about %q", id))
 		return
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].At.Before(all[j].At) })
-	problem.WriteJSON(w, http.StatusOK, all)
+	sort.SliceStable(records, func(i, j int) bool { return records[i].At.Before(records[j].At) })
+	problem.WriteJSON(w, http.StatusOK, records)
 }
--- a/internal/entry/operator/server.go
+++ b/internal/entry/operator/server.go
@@ -27,14 +27,16 @@
 
 // Limits of operators' requests.
 const (
-	maxBody = 1 << 20
-	// changeTimeout bounds one change; a lost answer is settled within it or
-	// told as unknown.
+	maxBody = 1 << 20 // bytes
+	// changeTimeout limits one change of the configuration. If the response of the
+	// key-value service is lost, the outcome is determined within this time or
+	// reported as unknown.
 	changeTimeout = 10 * time.Second
-	readTimeout   = 2 * time.Second
+	// readTimeout limits one read from the key-value service.
+	readTimeout = 2 * time.Second
 )
 
-// Server answers operators.
+// Server handles the requests of operators.
 type Server struct {
 	Holder   *configuration.Holder
 	Editor   *configuration.Editor
@@ -80,18 +82,18 @@
 	key := h.Settings.Security.OperatorKey
 	mux.HandleFunc(pat.Get("/v1/configuration"), door.WithKey(key, s.getConfiguration))
 	mux.HandleFunc(pat.Put("/v1/configuration"), door.WithKey(key, s.putConfiguration))
-	mux.HandleFunc(pat.Get("/v1/configuration/changes/:id"), door.WithKey(key, s.findChange))
-	mux.HandleFunc(pat.Get("/v1/configuration/history"), door.WithKey(key, s.history))
-	mux.HandleFunc(pat.Get("/v1/status"), door.WithKey(key, s.status))
+	mux.HandleFunc(pat.Get("/v1/configuration/changes/:id"), door.WithKey(key, s.getChange))
+	mux.HandleFunc(pat.Get("/v1/configuration/history"), door.WithKey(key, s.getHistory))
+	mux.HandleFunc(pat.Get("/v1/status"), door.WithKey(key, s.getStatus))
 	mux.HandleFunc(pat.Post("/v1/upstreams/:upstream/drain"), door.WithKey(key, s.drainUpstream))
 	mux.HandleFunc(pat.Post("/v1/instance/drain"), door.WithKey(key, s.drainInstance))
-	mux.HandleFunc(pat.Get("/v1/decisions/:id"), door.WithKey(key, s.decisions))
-	return part.Idle{}, part.Get[*peer.Server](h).Register("Decisions", &decisionReceiver{
+	mux.HandleFunc(pat.Get("/v1/decisions/:id"), door.WithKey(key, s.getDecisions))
+	return part.Idle{}, part.Get[*peer.Server](h).Register("Decisions", &decisionService{
 		journal: h.Journal,
 	})
 }
 
-// Configuration is the answer to GET and PUT /v1/configuration.
+// Configuration is the response to GET and PUT /v1/configuration.
 type Configuration struct {
 	Revision      uint64          `json:"revision"`
 	Configuration json.RawMessage `json:"configuration"`
@@ -99,10 +101,11 @@
 
 // ChangeRequest is the body of PUT /v1/configuration.
 type ChangeRequest struct {
-	// ID is the operator's own name for the change. Sending the same change
-	// again under the same id is harmless.
+	// ID is chosen by the operator and identifies the change. Sending the same change
+	// again with the same id has no further effect.
 	ID string `json:"id"`
-	// Revision is the one that the change was made from; 0 for the first.
+	// Revision is the revision on which the change is based; 0 for the first
+	// configuration.
 	Revision      uint64          `json:"revision"`
 	Operator      string          `json:"operator"`
 	Note          string          `json:"note,omitempty"`
@@ -133,8 +136,8 @@
 		problem.Write(w, problem.BadRequest.Withf("expected an id and an operator"))
 		return
 	}
-	// The change goes on when the operator's connection breaks: half a change
-	// would be one whose outcome nobody settles.
+	// The change continues if the operator's connection breaks. If it were cancelled
+	// halfway, its outcome would stay unknown.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), changeTimeout)
 	defer cancel()
 	doc, err := s.Editor.Put(ctx, configuration.Change{
@@ -153,11 +156,12 @@
 	})
 }
 
-// findChange answers what became of a change whose answer was lost.
-func (s *Server) findChange(w http.ResponseWriter, r *http.Request) {
+// getChange returns the revision of a change, for an operator who did not get the
+// response to PUT /v1/configuration.
+func (s *Server) getChange(w http.ResponseWriter, r *http.Request) {
 	parent, err := strconv.ParseUint(r.URL.Query().Get("revision"), 10, 64)
 	if err != nil {
-		problem.Write(w, problem.BadRequest.Withf("revision: expected the revision that the change was made from"))
+		problem.Write(w, problem.BadRequest.Withf("revision: expected the revision on which the change is based"))
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), readTimeout)
@@ -175,7 +179,7 @@
 	})
 }
 
-func (s *Server) history(w http.ResponseWriter, r *http.Request) {
+func (s *Server) getHistory(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), readTimeout)
 	defer cancel()
 	list, err := s.Editor.History(ctx)
@@ -189,8 +193,8 @@
 	problem.WriteJSON(w, http.StatusOK, list)
 }
 
-// drainUpstream marks the present incarnation of an upstream as leaving, in
-// the whole fleet.
+// drainUpstream marks the current incarnation of an upstream as leaving, in the whole
+// fleet.
 func (s *Server) drainUpstream(w http.ResponseWriter, r *http.Request) {
 	id := pat.Param(r, "upstream")
 	if !s.Listing.MarkLeavingByID(id) {
@@ -206,8 +210,8 @@
 	})
 }
 
-// drainInstance begins the graceful end of this instance. It answers at once;
-// the end is when the process ends.
+// drainInstance starts the graceful shutdown of this instance. It responds at once; the
+// shutdown is complete when the process ends.
 func (s *Server) drainInstance(w http.ResponseWriter, _ *http.Request) {
 	s.Leave()
 	problem.WriteJSON(w, http.StatusOK, struct {
@@ -219,7 +223,7 @@
 	})
 }
 
-// UpstreamStatus is what this instance knows of an upstream.
+// UpstreamStatus is the state of an upstream as this instance sees it.
 type UpstreamStatus struct {
 	Deployment string  `json:"deployment"`
 	Upstream   string  `json:"upstream"`
@@ -227,10 +231,11 @@
 	Load       float64 `json:"load"`
 	InFlight   int64   `json:"in_flight"`
 	Leaving    bool    `json:"leaving"`
-	Out        bool    `json:"out"`
+	// Out is set while the upstream is excluded because of its failures.
+	Out bool `json:"out"`
 }
 
-// MemberStatus is what this instance knows of another.
+// MemberStatus is the state of an instance of the fleet as this instance sees it.
 type MemberStatus struct {
 	Instance      string `json:"instance"`
 	FailureDomain string `json:"failure_domain"`
@@ -239,7 +244,8 @@
 	Leaving       bool   `json:"leaving"`
 }
 
-// LimitStatus is the state of a deployment's limit.
+// LimitStatus is the concurrency limit of a deployment, its requests in flight and the
+// newest published version of its weights.
 type LimitStatus struct {
 	Deployment string  `json:"deployment"`
 	Limit      float64 `json:"limit"`
@@ -247,10 +253,11 @@
 	Published  string  `json:"published,omitempty"`
 }
 
-// Status is the answer to GET /v1/status.
+// Status is the response to GET /v1/status.
 type Status struct {
-	Instance  string            `json:"instance"`
-	Revision  uint64            `json:"revision"`
+	Instance string `json:"instance"`
+	Revision uint64 `json:"revision"`
+	// Told is the highest revision that this instance has heard of through gossip.
 	Told      uint64            `json:"told_revision"`
 	Members   []MemberStatus    `json:"members"`
 	Upstreams []UpstreamStatus  `json:"upstreams"`
@@ -258,7 +265,7 @@
 	Sessions  []runner.Overview `json:"sessions"`
 }
 
-func (s *Server) status(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) getStatus(w http.ResponseWriter, _ *http.Request) {
 	status := Status{
 		Instance: s.Instance,
 		Revision: s.Holder.Revision(),
@@ -279,6 +286,7 @@
 	problem.WriteJSON(w, http.StatusOK, status)
 }
 
+// addDeployments adds the limits and upstreams of all deployments, sorted by deployment.
 func (s *Server) addDeployments(status *Status) {
 	now := s.Timer.Now()
 	sets := s.Table.Sets()
