--- a/internal/entry/trainer/doc.go
+++ b/internal/entry/trainer/doc.go
@@ -1,10 +1,14 @@
-// Package trainer serves the doors that trainers use: weight versions,
-// sessions, steps and reads.
+// Package trainer implements the HTTP API that trainers use. A trainer publishes weight
+// versions, opens sessions, submits steps and reads finished samples.
 //
 //	POST /v1/models/{deployment}/versions
 //	POST /v1/trainers/{trainer}/sessions
 //	POST /v1/trainers/{trainer}/steps
 //	POST /v1/trainers/{trainer}/read
 //
-// docs/API.md states their fields and errors.
+// Server holds the handlers. The package registers itself as the part entry.trainer,
+// which adds the handlers to the instance's door.Mux. If the instance's settings have a
+// trainer key, all paths need it.
+//
+// docs/API.md describes the fields and errors.
 package trainer
--- a/internal/entry/trainer/server.go
+++ b/internal/entry/trainer/server.go
@@ -14,13 +14,13 @@
 	"github.com/egretbend/egretbend/internal/rollout/session"
 )
 
-// Limits of what trainers send.
+// Limits of trainers' requests, in bytes.
 const (
 	maxSmallBody = 64 << 10
 	maxStepBody  = 64 << 20
 )
 
-// Server answers trainers.
+// Server handles the requests of trainers.
 type Server struct {
 	Board  *version.Board
 	Holder *configuration.Holder
@@ -29,7 +29,8 @@
 
 // OpenRequest is the body of POST /v1/trainers/{trainer}/sessions.
 type OpenRequest struct {
-	// Session is raised by the trainer each time it opens one.
+	// Session is the number of the session. The trainer increases it for each session
+	// that it opens.
 	Session uint64 `json:"session"`
 }
 
@@ -55,14 +56,15 @@
 	}
 	mux := part.Get[*door.Mux](h)
 	key := h.Settings.Security.TrainerKey
-	mux.HandleFunc(pat.Post("/v1/models/:deployment/versions"), door.WithKey(key, s.publish))
-	mux.HandleFunc(pat.Post("/v1/trainers/:trainer/sessions"), door.WithKey(key, s.open))
-	mux.HandleFunc(pat.Post("/v1/trainers/:trainer/steps"), door.WithKey(key, s.submit))
-	mux.HandleFunc(pat.Post("/v1/trainers/:trainer/read"), door.WithKey(key, s.read))
+	mux.HandleFunc(pat.Post("/v1/models/:deployment/versions"), door.WithKey(key, s.publishVersion))
+	mux.HandleFunc(pat.Post("/v1/trainers/:trainer/sessions"), door.WithKey(key, s.openSession))
+	mux.HandleFunc(pat.Post("/v1/trainers/:trainer/steps"), door.WithKey(key, s.submitStep))
+	mux.HandleFunc(pat.Post("/v1/trainers/:trainer/read"), door.WithKey(key, s.readBatch))
 	return part.Idle{}, nil
 }
 
-func (s *Server) publish(w http.ResponseWriter, r *http.Request) {
+// publishVersion serves POST /v1/models/{deployment}/versions.
+func (s *Server) publishVersion(w http.ResponseWriter, r *http.Request) {
 	deployment := pat.Param(r, "deployment")
 	var body version.Published
 	if err := problem.ReadJSON(w, r, maxSmallBody, &body); err != nil {
@@ -84,6 +86,8 @@
 	problem.WriteJSON(w, http.StatusOK, body)
 }
 
+// checkModel returns an error unless the configuration has a model deployment of that
+// name.
 func (s *Server) checkModel(deployment string) error {
 	doc := s.Holder.Current()
 	if doc == nil {
@@ -91,12 +95,13 @@
 	}
 	d, ok := doc.Parsed().Deployment(deployment)
 	if !ok || d.Kind != configuration.KindModel {
-		return problem.UnknownDeployment.Withf("no model %q", deployment)
+		return problem.UnknownDeployment.Withf("no model deployment %q", deployment)
 	}
 	return nil
 }
 
-func (s *Server) open(w http.ResponseWriter, r *http.Request) {
+// openSession serves POST /v1/trainers/{trainer}/sessions.
+func (s *Server) openSession(w http.ResponseWriter, r *http.Request) {
 	var body OpenRequest
 	if err := problem.ReadJSON(w, r, maxSmallBody, &body); err != nil {
 		problem.Write(w, err)
@@ -109,7 +114,8 @@
 	problem.WriteJSON(w, http.StatusOK, body)
 }
 
-func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
+// submitStep serves POST /v1/trainers/{trainer}/steps.
+func (s *Server) submitStep(w http.ResponseWriter, r *http.Request) {
 	var body SubmitRequest
 	if err := problem.ReadJSON(w, r, maxStepBody, &body); err != nil {
 		problem.Write(w, err)
@@ -123,7 +129,8 @@
 	problem.WriteJSON(w, http.StatusOK, status)
 }
 
-func (s *Server) read(w http.ResponseWriter, r *http.Request) {
+// readBatch serves POST /v1/trainers/{trainer}/read.
+func (s *Server) readBatch(w http.ResponseWriter, r *http.Request) {
 	var body runner.ReadArgs
 	if err := problem.ReadJSON(w, r, maxSmallBody, &body); err != nil {
 		problem.Write(w, err)
