--- a/internal/entry/client/client.go
+++ b/internal/entry/client/client.go
@@ -14,44 +14,44 @@
 	"github.com/egretbend/egretbend/internal/kernel/problem"
 )
 
-// Client calls one instance. It is a plain value.
+// Client calls one instance. It needs no constructor and may be copied.
 type Client struct {
 	Address string
-	// Scheme is http or https; empty means http.
+	// Scheme is http or https. Empty means http.
 	Scheme string
-	// Key is the bearer token, or empty.
+	// Key is the bearer token. If it is empty, no token is sent.
 	Key string
 	// Header is sent with every call.
 	Header http.Header
-	// HTTP is the client to use; nil uses the default one.
+	// HTTP is the client to use. Nil means http.DefaultClient.
 	HTTP *http.Client
 }
 
-// maxAnswer bounds an answer.
-const maxAnswer = 256 << 20
+// maxResponseBytes limits the size of a response body, which is cut off beyond it.
+const maxResponseBytes = 256 << 20
 
-// ErrNoAnswer means that the instance did not answer.
-var ErrNoAnswer = errors.New("the instance did not answer; try another one")
+// ErrNoAnswer means that the instance did not respond, or not completely.
+var ErrNoAnswer = errors.New("the instance did not respond; try another one")
 
-// Do calls method on path with in as JSON, if it is not nil, and decodes the
-// answer into out, if it is not nil.
+// Do sends a request and decodes the JSON response into out, unless out is nil. The body
+// of the request is in, encoded as JSON, or empty if in is nil.
 func (c Client) Do(ctx context.Context, method, path string, in, out any) error {
 	_, err := c.DoHeader(ctx, method, path, in, out)
 	return err
 }
 
-// DoHeader is Do, and returns the headers of the answer.
+// DoHeader is like Do and also returns the headers of the response.
 func (c Client) DoHeader(ctx context.Context, method, path string, in, out any) (http.Header, error) {
-	req, err := c.request(ctx, method, path, in)
+	req, err := c.newRequest(ctx, method, path, in)
 	if err != nil {
 		return nil, err
 	}
-	res, err := c.http().Do(req)
+	res, err := c.httpClient().Do(req)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNoAnswer, err)
 	}
 	defer res.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNoAnswer, err)
 	}
@@ -64,7 +64,7 @@
 	return res.Header, json.Unmarshal(data, out)
 }
 
-func (c Client) request(ctx context.Context, method, path string, in any) (*http.Request, error) {
+func (c Client) newRequest(ctx context.Context, method, path string, in any) (*http.Request, error) {
 	var body io.Reader
 	if in != nil {
 		data, err := json.Marshal(in)
@@ -93,13 +93,14 @@
 	return req, nil
 }
 
-func (c Client) http() *http.Client {
+func (c Client) httpClient() *http.Client {
 	if c.HTTP != nil {
 		return c.HTTP
 	}
 	return http.DefaultClient
 }
 
+// decodeError returns the error of a response whose status is not 200.
 func decodeError(status int, data []byte) error {
 	var body problem.Body
 	if json.Unmarshal(data, &body) != nil || body.Code == "" {
@@ -118,8 +119,8 @@
 	return e
 }
 
-// NotReached reports whether err shows that the instance was not reached at
-// all, so that the call can't have had an effect.
+// NotReached reports whether err shows that no connection to the instance could be
+// opened, so that the call can't have had an effect.
 func NotReached(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
