--- a/internal/entry/instance/doc.go
+++ b/internal/entry/instance/doc.go
@@ -1,7 +1,7 @@
-// Package instance names the parts that every instance runs.
+// Package instance imports the parts that every instance runs, and starts them.
 //
-// The program has no list of parts elsewhere: importing a package registers
-// what it brings. A new part is one package and one line here.
+// Importing a package registers its parts with package part. This package holds the
+// program's only list of parts: to add a part, write its package and import it here.
 //
 //	err := instance.Start(host)
 package instance
--- a/internal/entry/instance/instance.go
+++ b/internal/entry/instance/instance.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/egretbend/egretbend/internal/kernel/part"
 
-	// The parts register themselves.
+	// These packages register their parts when they are imported.
 	_ "github.com/egretbend/egretbend/internal/entry/caller"
 	_ "github.com/egretbend/egretbend/internal/entry/door"
 	_ "github.com/egretbend/egretbend/internal/entry/operator"
@@ -21,5 +21,5 @@
 	_ "github.com/egretbend/egretbend/internal/route/router"
 )
 
-// Start starts all parts of an instance.
+// Start starts all registered parts of an instance.
 func Start(host *part.Host) error { return host.Start() }
