--- a/internal/entry/command/check.go
+++ b/internal/entry/command/check.go
@@ -43,6 +43,7 @@
 	return nil
 }
 
+// readConfiguration reads a configuration file and checks it.
 func readConfiguration(path string) ([]byte, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return data, err
 }
 
-// schemas are the file formats by name.
+// schemas holds the file formats of which a JSON schema can be printed, by name.
 var schemas = map[string]struct {
 	title string
 	value any
--- a/internal/entry/command/command_test.go
+++ b/internal/entry/command/command_test.go
@@ -10,15 +10,15 @@
 	"github.com/matryer/is"
 )
 
-// run runs the command line and returns its exit code and what it printed.
-func run(args ...string) (int, string, string) {
+// runCommand runs the command line and returns its exit code, output and error output.
+func runCommand(args ...string) (int, string, string) {
 	var out, errOut bytes.Buffer
 	code := Main(args, &out, &errOut)
 	return code, out.String(), errOut.String()
 }
 
-// A field was added to a format and the published schema was not made again.
-// An operator's editor would mark a right file as wrong.
+// Guards against published schemas that lack a field which was added to a file format.
+// An operator's editor would mark a correct file as wrong.
 func TestPublishedSchemasAreUpToDate(t *testing.T) {
 	for name, file := range map[string]string{
 		"settings": "settings.schema.json",
@@ -28,73 +28,74 @@
 		is := is.New(t)
 		want, err := os.ReadFile(filepath.Join("../../../docs", file))
 		is.NoErr(err)
-		code, out, _ := run("schema", name)
+		code, out, _ := runCommand("schema", name)
 		is.Equal(code, ExitDone)
 		is.Equal(out, string(want)) // run `make generate`
 	}
 }
 
-// A settings file has several mistakes at once. An operator would have to start
-// an instance again and again to find them one by one.
-func TestAllMistakesOfAFileAreNamedAtOnce(t *testing.T) {
+// Guards against reporting only the first error of a settings file. An operator would
+// have to start an instance repeatedly to find all errors.
+func TestCheckReportsAllErrorsOfAFile(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "settings.json")
 	is.NoErr(os.WriteFile(path, []byte(`{"name": 7, "listn": "x", "region": "r", "failure_domain": "f",
 		"listen": "127.0.0.1:1", "peer_listen": "127.0.0.1:2", "key_value": {"address": "127.0.0.1:3", "adaptor": "http"},
 		"log_level": "loud"}`), 0o600))
 	for _, args := range [][]string{{"check", "--settings", path}, {"serve", "--settings", path}} {
-		code, _, errOut := run(args...)
+		code, _, errOut := runCommand(args...)
 		is.Equal(code, ExitInput)
 		for _, want := range []string{"name: expected a string", "listn: expected no such field", "key_value.adaptor", "log_level", "roster: expected an object, got nothing; add the field"} {
 			if !strings.Contains(errOut, want) {
-				t.Errorf("%q is not named in:\n%s", want, errOut)
+				t.Errorf("%q is missing in:\n%s", want, errOut)
 			}
 		}
 	}
 }
 
-// An instance is told to listen on an open network without a certificate.
-// Anyone there could read prompts and change the configuration.
-func TestOpenNetworkNeedsCertificateOrPlainWord(t *testing.T) {
+// Guards against an instance that listens on an open network without a certificate,
+// unless its settings allow plain text. Anyone on that network could read prompts and
+// change the configuration.
+func TestNonLoopbackListenNeedsCertificateOrPlainText(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "settings.json")
-	file := func(security string) {
+	writeSettings := func(security string) {
 		is.NoErr(os.WriteFile(path, []byte(`{"name": "a", "region": "r", "failure_domain": "f", "listen": "10.0.0.1:1",
 			"peer_listen": "127.0.0.1:2", "key_value": {"address": "127.0.0.1:3"}, "roster": {"address": "127.0.0.1:4"},
 			"security": {`+security+`}}`), 0o600))
 	}
-	file("")
-	code, _, errOut := run("check", "--settings", path)
+	writeSettings("")
+	code, _, errOut := runCommand("check", "--settings", path)
 	is.Equal(code, ExitInput)
 	is.True(strings.Contains(errOut, "plain_text"))
-	file(`"plain_text": true`)
-	code, _, _ = run("check", "--settings", path)
+	writeSettings(`"plain_text": true`)
+	code, _, _ = runCommand("check", "--settings", path)
 	is.Equal(code, ExitDone)
 }
 
-// The examples' configurations are what a new team starts from.
+// Guards against invalid example configurations, which new teams start from.
 func TestExamplesAreValid(t *testing.T) {
 	is := is.New(t)
 	for _, team := range []string{"verhaeghe", "labelpoint"} {
-		code, _, errOut := run("check", "--config", filepath.Join("../../../examples", team, "configuration.json"))
+		code, _, errOut := runCommand("check", "--config", filepath.Join("../../../examples", team, "configuration.json"))
 		is.Equal(errOut, "")
 		is.Equal(code, ExitDone)
 	}
 }
 
-// No instance runs. A change that was sent to nobody is no change of unknown
-// outcome.
+// Guards against reporting the outcome of a change as unknown if no instance could be
+// reached: the change was not sent, so it has failed.
 func TestPutWithoutInstanceFailsAtOnce(t *testing.T) {
 	is := is.New(t)
-	code, _, errOut := run("config", "put", "--address", "127.0.0.1:1", "--revision", "0", "--operator", "an",
+	code, _, errOut := runCommand("config", "put", "--address", "127.0.0.1:1", "--revision", "0", "--operator", "an",
 		"--file", "../../../examples/verhaeghe/configuration.json")
 	is.Equal(code, ExitFailed)
 	is.True(strings.Contains(errOut, "try another one"))
 }
 
-// A trainer asks why its batch was late, an hour later and with the instance
-// gone. Its log still tells: the lines that name the id, in order of time.
-func TestWhyReadsLogs(t *testing.T) {
+// Guards against decisions that can't be looked up after their instance has ended: the
+// command prints the log lines that contain the id, in the order of their times.
+func TestWhyPrintsLogLinesOfID(t *testing.T) {
 	is := is.New(t)
 	log := filepath.Join(t.TempDir(), "gent-a-1.log")
 	is.NoErr(os.WriteFile(log, []byte(
@@ -102,17 +103,18 @@
 			"timestamp=2026-12-03T02:43:07Z level=info decision=accept request_id=batch-1\n"+
 			"timestamp=2026-12-03T02:43:07Z level=info decision=item batch=batch-1 request_id=item-1\n"+
 			"timestamp=2026-12-03T02:43:07Z level=info decision=accept request_id=batch-12\n"), 0o600))
-	code, out, _ := run("why", "batch-1", "--log", log)
+	code, out, _ := runCommand("why", "batch-1", "--log", log)
 	is.Equal(code, ExitDone)
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	is.Equal(len(lines), 3)
 	is.True(strings.Contains(lines[0], "decision=accept"))
 	is.True(strings.Contains(lines[2], "decision=end"))
-	code, _, _ = run("why", "batch-1", "--log", log+".gone")
+	code, _, _ = runCommand("why", "batch-1", "--log", log+".gone")
 	is.Equal(code, ExitInput)
 }
 
-// Guards against keys in the list of processes, and against configurations that print them.
+// Guards against keys in the process list, because the command reads the key from
+// standard input, and against error messages about a configuration that print a key.
 func TestDigest(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
@@ -126,12 +128,12 @@
 			{"name":"bookbinders","key_digests":["` + digest + `"]}]}`)
 	}
 	is.NoErr(os.WriteFile(config, text(strings.TrimSpace(out.String())), 0o600))
-	code, _, errOut := run("check", "--config", config)
+	code, _, errOut := runCommand("check", "--config", config)
 	is.Equal(code, ExitInput)
 	is.True(strings.Contains(errOut, `organisations[1].key_digests[0]: expected a key of one organisation, got one that "saddlers" holds too`))
 	is.NoErr(os.WriteFile(config, text("a key"), 0o600))
-	code, _, errOut = run("check", "--config", config)
+	code, _, errOut = runCommand("check", "--config", config)
 	is.Equal(code, ExitInput)
-	is.True(!strings.Contains(errOut, "a key\"")) // what may be a key is not printed
+	is.True(!strings.Contains(errOut, "a key\"")) // a value that may be a key is not printed
 	is.True(a.digest(strings.NewReader(" \n")) != nil)
 }
--- a/internal/entry/command/config.go
+++ b/internal/entry/command/config.go
@@ -20,11 +20,13 @@
 
 const (
 	pathConfiguration = "/v1/configuration"
-	// callTimeout bounds one call; a change may take a while to settle.
+	// callTimeout limits one call. It allows for a change whose outcome takes a while to
+	// determine.
 	callTimeout = 15 * time.Second
-	// settleTries is how often a change of unknown outcome is asked about.
-	settleTries = 5
-	settlePause = 2 * time.Second
+	// outcomeAttempts is how often the command asks for the unknown outcome of a change.
+	outcomeAttempts = 5
+	// outcomeRetryDelay is the pause between these attempts.
+	outcomeRetryDelay = 2 * time.Second
 )
 
 func (a *app) configCommand() *cobra.Command {
@@ -49,7 +51,7 @@
 			if a.json {
 				return a.printJSON(c)
 			}
-			fmt.Fprintf(a.err, "revision %d\n", c.Revision)
+			fmt.Fprintf(a.errOut, "revision %d\n", c.Revision)
 			return a.printJSON(c.Configuration)
 		},
 	}
@@ -79,7 +81,7 @@
 				return err
 			}
 			body.Configuration = data
-			return a.put(cmd.Context(), body)
+			return a.putConfiguration(cmd.Context(), body)
 		},
 	}
 	flags := cmd.Flags()
@@ -93,7 +95,8 @@
 	return cmd
 }
 
-func (a *app) put(parent context.Context, body operator.ChangeRequest) error {
+// putConfiguration sends a change of the configuration and prints its outcome.
+func (a *app) putConfiguration(parent context.Context, body operator.ChangeRequest) error {
 	if body.ID == "" {
 		body.ID = fmt.Sprintf("%x-%08x", time.Now().UnixMilli(), rand.Uint32())
 	}
@@ -102,7 +105,7 @@
 	var answer operator.Configuration
 	err := a.client().Do(ctx, http.MethodPut, pathConfiguration, body, &answer)
 	if err != nil && outcomeUnknown(err) {
-		answer, err = a.settle(parent, body, err)
+		answer, err = a.resolveOutcome(parent, body, err)
 	}
 	if err != nil {
 		return fmt.Errorf("change %s: %w", body.ID, err)
@@ -114,16 +117,17 @@
 	return nil
 }
 
-// outcomeUnknown reports whether the change may have been accepted: the
-// instance said so, or it was reached and did not answer.
+// outcomeUnknown reports whether a change may have been accepted despite err: the
+// instance reported the outcome as unknown, or it was reached and did not respond.
 func outcomeUnknown(err error) bool {
 	return !client.NotReached(err) && problem.From(err).Kind.Outcome == problem.Unknown
 }
 
-// settle asks what became of a change until somebody knows.
-func (a *app) settle(parent context.Context, body operator.ChangeRequest, last error) (operator.Configuration, error) {
+// resolveOutcome asks for the outcome of a change until it is known or all attempts are
+// used up. last is the error of the change itself.
+func (a *app) resolveOutcome(parent context.Context, body operator.ChangeRequest, last error) (operator.Configuration, error) {
 	path := fmt.Sprintf("%s/changes/%s?revision=%d", pathConfiguration, url.PathEscape(body.ID), body.Revision)
-	for range settleTries {
+	for range outcomeAttempts {
 		ctx, cancel := context.WithTimeout(parent, callTimeout)
 		var answer operator.Configuration
 		err := a.client().Do(ctx, http.MethodGet, path, nil, &answer)
@@ -132,7 +136,7 @@
 			return answer, err
 		}
 		last = err
-		timer.Wait(timer.Real{}, settlePause, parent.Done())
+		timer.Wait(timer.Real{}, outcomeRetryDelay, parent.Done())
 	}
 	return operator.Configuration{}, problem.ChangeUnknown.With(last)
 }
--- a/internal/entry/command/fleet.go
+++ b/internal/entry/command/fleet.go
@@ -22,14 +22,14 @@
 		Example: "  egretbend addresses --caller saddlers",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var answer caller.Addresses
-			if err := a.get(cmd.Context(), "/v1/addresses?caller="+url.QueryEscape(name), &answer); err != nil {
+			if err := a.getJSON(cmd.Context(), "/v1/addresses?caller="+url.QueryEscape(name), &answer); err != nil {
 				return err
 			}
 			if a.json {
 				return a.printJSON(answer)
 			}
-			for _, one := range answer.Addresses {
-				fmt.Fprintf(a.out, "%-22s %s (%s)\n", one.Address, one.Instance, one.FailureDomain)
+			for _, addr := range answer.Addresses {
+				fmt.Fprintf(a.out, "%-22s %s (%s)\n", addr.Address, addr.Instance, addr.FailureDomain)
 			}
 			fmt.Fprintf(a.out, "keep for %d ms\n", answer.KeepMS)
 			return nil
@@ -39,7 +39,8 @@
 	return cmd
 }
 
-func (a *app) get(parent context.Context, path string, out any) error {
+// getJSON calls GET on path and decodes the response into out.
+func (a *app) getJSON(parent context.Context, path string, out any) error {
 	ctx, cancel := context.WithTimeout(parent, callTimeout)
 	defer cancel()
 	return a.client().Do(ctx, http.MethodGet, path, nil, out)
@@ -52,7 +53,7 @@
 		Example: "  egretbend status --address 127.0.0.1:7101",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var s operator.Status
-			if err := a.get(cmd.Context(), "/v1/status", &s); err != nil {
+			if err := a.getJSON(cmd.Context(), "/v1/status", &s); err != nil {
 				return err
 			}
 			if a.json {
@@ -129,10 +130,10 @@
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(logs) > 0 {
-				return a.whyFromLogs(args[0], logs, cmd.InOrStdin())
+				return a.printLogLines(args[0], logs, cmd.InOrStdin())
 			}
 			var list []journal.Record
-			if err := a.get(cmd.Context(), "/v1/decisions/"+url.PathEscape(args[0]), &list); err != nil {
+			if err := a.getJSON(cmd.Context(), "/v1/decisions/"+url.PathEscape(args[0]), &list); err != nil {
 				return err
 			}
 			if a.json {
@@ -148,6 +149,7 @@
 	return cmd
 }
 
+// printDecision prints a decision on one line, with its fields sorted by name.
 func (a *app) printDecision(d journal.Record) {
 	fmt.Fprintf(a.out, "%s %s %s", d.At.Format("15:04:05.000"), d.Instance, d.Decision)
 	names := make([]string, 0, len(d.Fields))
--- a/internal/entry/command/generate.go
+++ b/internal/entry/command/generate.go
@@ -10,6 +10,7 @@
 	"github.com/egretbend/egretbend/internal/fleet/questionnaire"
 )
 
+// fileMode is the permission mode of the files that generate writes.
 const fileMode = 0o644
 
 func (a *app) generateCommand() *cobra.Command {
@@ -23,7 +24,7 @@
 		Example: "  egretbend generate --save answers.json --out configuration.json\n" +
 			"  egretbend generate --answers examples/verhaeghe/answers.json",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			given, err := a.answers(cmd, answers, save)
+			given, err := a.loadAnswers(cmd, answers, save)
 			if err != nil {
 				return err
 			}
@@ -44,8 +45,9 @@
 	return cmd
 }
 
-// answers reads saved answers or asks for them.
-func (a *app) answers(cmd *cobra.Command, path, save string) (*questionnaire.Answers, error) {
+// loadAnswers reads saved answers from path. If path is empty, it asks for the answers in
+// the terminal and writes them to save, unless save is empty.
+func (a *app) loadAnswers(cmd *cobra.Command, path, save string) (*questionnaire.Answers, error) {
 	if path != "" {
 		data, err := os.ReadFile(path)
 		if err != nil {
@@ -55,7 +57,7 @@
 	}
 	v := &questionnaire.Interview{
 		In:  cmd.InOrStdin(),
-		Out: a.err,
+		Out: a.errOut,
 	}
 	given, err := v.Run()
 	if save != "" {
@@ -72,7 +74,7 @@
 		Short:   "Say which generated value follows from which answer",
 		Example: "  egretbend explain --answers examples/labelpoint/answers.json",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			given, err := a.answers(cmd, path, "")
+			given, err := a.loadAnswers(cmd, path, "")
 			if err != nil {
 				return err
 			}
--- a/internal/entry/command/root.go
+++ b/internal/entry/command/root.go
@@ -14,37 +14,42 @@
 	"github.com/egretbend/egretbend/internal/kernel/setting"
 )
 
-// The exit codes.
+// The exit codes of the command line.
 const (
-	ExitDone    = 0
-	ExitFailed  = 1
-	ExitInput   = 2
+	// ExitDone means success.
+	ExitDone = 0
+	// ExitFailed means a failure that has no code of its own.
+	ExitFailed = 1
+	// ExitInput means wrong input.
+	ExitInput = 2
+	// ExitRefused means that the instance refused the request.
 	ExitRefused = 3
+	// ExitUnknown means that the outcome of a change is unknown.
 	ExitUnknown = 4
 )
 
-// errInput marks an error of the command's input.
+// errInput is wrapped by errors in the input of a command.
 var errInput = errors.New("wrong input")
 
-// app is what all commands share.
+// app holds the output streams and the global flags that all commands share.
 type app struct {
 	out     io.Writer
-	err     io.Writer
+	errOut  io.Writer
 	address string
 	key     string
 	scheme  string
 	json    bool
 }
 
-// Main runs the command line with further commands of adapters, and returns its
-// exit code.
-func Main(args []string, out, errOut io.Writer, further ...*cobra.Command) int {
+// Main runs the command line and returns its exit code. adapterCommands are added to the
+// commands of this package.
+func Main(args []string, out, errOut io.Writer, adapterCommands ...*cobra.Command) int {
 	a := &app{
-		out: out,
-		err: errOut,
+		out:    out,
+		errOut: errOut,
 	}
 	root := a.root()
-	root.AddCommand(further...)
+	root.AddCommand(adapterCommands...)
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errOut)
@@ -56,6 +61,7 @@
 	return exitCode(err)
 }
 
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	var faults setting.Faults
 	if errors.As(err, &faults) || errors.Is(err, errInput) {
--- a/internal/entry/command/serve.go
+++ b/internal/entry/command/serve.go
@@ -42,7 +42,7 @@
 	if settings.Seed == 0 {
 		settings.Seed = uint64(time.Now().UnixNano())
 	}
-	j, err := journal.Open(a.err, settings.LogLevel, settings.Name)
+	j, err := journal.Open(a.errOut, settings.LogLevel, settings.Name)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errInput, err)
 	}
@@ -53,7 +53,7 @@
 		Settings: settings,
 		Timer:    clock,
 		Journal:  j,
-		Metrics:  registry(),
+		Metrics:  newMetricsRegistry(),
 	}
 	err = runUntilSignal(host)
 	j.Event("stopped", log.Fields{})
@@ -62,7 +62,8 @@
 	return err
 }
 
-func registry() *prometheus.Registry {
+// newMetricsRegistry returns a registry with metrics of the Go runtime and the process.
+func newMetricsRegistry() *prometheus.Registry {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(
 		collectors.NewGoCollector(),
@@ -71,6 +72,8 @@
 	return reg
 }
 
+// runUntilSignal runs an instance until a signal or an operator stops it. A second signal
+// ends it without waiting for requests in flight.
 func runUntilSignal(host *part.Host) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
@@ -88,6 +91,6 @@
 	case err := <-done:
 		return err
 	case <-signals:
-		return fmt.Errorf("ended by a second signal before all requests were answered")
+		return fmt.Errorf("stopped by a second signal before all requests were finished")
 	}
 }
--- a/internal/entry/command/steps.go
+++ b/internal/entry/command/steps.go
@@ -50,7 +50,8 @@
 	return day.Table(a.out)
 }
 
-// readLog has a log read by name, or the standard input for -.
+// readLog opens the log file at path, or standard input if path is -, and passes it to
+// read.
 func readLog(path string, in io.Reader, read func(name string, r io.Reader) error) error {
 	if path == "-" {
 		if err := read(path, in); err != nil {
--- a/internal/entry/command/why.go
+++ b/internal/entry/command/why.go
@@ -8,30 +8,31 @@
 	"strings"
 )
 
-// maxLogLine bounds a line of a log.
+// maxLogLine is the maximum length of a log line, in bytes.
 const maxLogLine = 1 << 20
 
-// whyFromLogs prints the lines of logs that name id, in the order of their
-// times. Lines of a batch's items name the batch as well.
-func (a *app) whyFromLogs(id string, paths []string, in io.Reader) error {
+// printLogLines prints the log lines that contain id, in the order of their times. For a
+// batch this includes the lines of its items, which contain the id of the batch too.
+func (a *app) printLogLines(id string, paths []string, in io.Reader) error {
 	var lines []string
-	keep := func(_ string, r io.Reader) error {
+	collect := func(_ string, r io.Reader) error {
 		scan := bufio.NewScanner(r)
 		scan.Buffer(make([]byte, 0, 64<<10), maxLogLine)
 		for scan.Scan() {
-			if names(scan.Text(), id) {
+			if lineMentions(scan.Text(), id) {
 				lines = append(lines, scan.Text())
 			}
 		}
 		return scan.Err()
 	}
 	for _, path := range paths {
-		if err := readLog(path, in, keep); err != nil {
+		if err := readLog(path, in, collect); err != nil {
 			return err
 		}
 	}
-	// A stable sort keeps lines without a time where their file had them.
-	sort.SliceStable(lines, func(i, j int) bool { return timeOf(lines[i]) < timeOf(lines[j]) })
+	// The stable sort keeps lines with equal times, or without one, in the order of their
+	// files.
+	sort.SliceStable(lines, func(i, j int) bool { return timestampOf(lines[i]) < timestampOf(lines[j]) })
 	for _, line := range lines {
 		if _, err := fmt.Fprintln(a.out, line); err != nil {
 			return err
@@ -40,9 +41,9 @@
 	return nil
 }
 
-// names reports whether a line has id as the value of one of its fields, or id in the
-// name that a batch has with its organisation.
-func names(line, id string) bool {
+// lineMentions reports whether the value of one of the line's fields is id, or begins with
+// id and @. The latter is the name of a batch with its organisation.
+func lineMentions(line, id string) bool {
 	for _, field := range strings.Fields(line) {
 		if _, value, ok := strings.Cut(field, "="); ok && (value == id || strings.HasPrefix(value, id+"@")) {
 			return true
@@ -51,8 +52,9 @@
 	return false
 }
 
-// timeOf returns the time of a line as text; all lines have the same zone.
-func timeOf(line string) string {
+// timestampOf returns the timestamp of a line as text, or an empty string. Timestamps can
+// be compared as text because all lines use the same time zone.
+func timestampOf(line string) string {
 	_, rest, ok := strings.Cut(line, "timestamp=")
 	if !ok {
 		return ""
