--- a/internal/entry/caller/server.go
+++ b/internal/entry/caller/server.go
@@ -69,25 +69,25 @@
 	if !ok {
 		return requestMetadata{}, problem.UnknownDeployment.Withf("deployment %q does not exist in the configuration", deployment)
 	}
-	e := requestMetadata{
+	meta := requestMetadata{
 		requestID:  r.Header.Get(relay.HeaderRequestID),
 		caller:     r.Header.Get(relay.HeaderCaller),
 		deployment: d,
 	}
-	if e.caller == "" {
-		return e, problem.MissingHeader.Withf("header %s is missing", relay.HeaderCaller)
+	if meta.caller == "" {
+		return meta, problem.MissingHeader.Withf("header %s is missing", relay.HeaderCaller)
 	}
-	if e.requestID == "" {
-		e.requestID = newRequestID()
+	if meta.requestID == "" {
+		meta.requestID = newRequestID()
 	}
-	if len(e.requestID) > maxIDLength || len(e.caller) > maxIDLength {
-		return e, problem.BadRequest.Withf("%s and %s: expected at most %d characters", relay.HeaderRequestID, relay.HeaderCaller, maxIDLength)
+	if len(meta.requestID) > maxIDLength || len(meta.caller) > maxIDLength {
+		return meta, problem.BadRequest.Withf("%s and %s: expected at most %d characters", relay.HeaderRequestID, relay.HeaderCaller, maxIDLength)
 	}
 	var err error
-	if e.identity, err = identify(r, doc, e.requestID); err != nil {
-		return e, err
+	if meta.identity, err = identify(r, doc, meta.requestID); err != nil {
+		return meta, err
 	}
-	return e, e.readLimits(r, cfg)
+	return meta, meta.readLimits(r, cfg)
 }
 
 // readLimits reads the priority, the deadline and whether the request is idempotent. A
