--- a/cmd/egretplay/crashes.go
+++ b/cmd/egretplay/crashes.go
@@ -32,7 +32,7 @@
 					plan.Seed = rand.Uint64()
 				}
 				fmt.Fprintf(os.Stderr, "crashes %d, seed %d\n", i+1, plan.Seed)
-				report, err := standin.Crashes(cmd.Context(), plan)
+				report, err := standin.RunCrashes(cmd.Context(), plan)
 				if err == nil && report.Failed {
 					err = fmt.Errorf("seed %d: %w", plan.Seed, errViolated)
 				}
@@ -43,10 +43,10 @@
 	}
 	addPlanFlags(cmd, &plan.Plan, 12*time.Second)
 	flags := cmd.Flags()
-	flags.IntVar(&plan.Seats, "seats", 8, "how many upstreams can be crashed")
-	flags.IntVar(&plan.Deadly, "deadly", 3, "how many different requests crash them")
-	flags.DurationVar(&plan.Every, "every", time.Second, "how often each of them comes again")
-	flags.DurationVar(&plan.Contact, "contact", 3*time.Second, "time after a fault or a third crash in which instances learn of it")
+	flags.IntVar(&plan.CrashableUpstreams, "seats", 8, "how many upstreams can be crashed")
+	flags.IntVar(&plan.CrashingRequests, "deadly", 3, "how many different requests crash them")
+	flags.DurationVar(&plan.ResendInterval, "every", time.Second, "how often each of them comes again")
+	flags.DurationVar(&plan.PropagationTime, "contact", 3*time.Second, "time after a fault or a third crash in which instances learn of it")
 	flags.BoolVar(&plan.Faults, "faults", true, "kill instances and cut them off")
 	flags.Uint64Var(&plan.Seed, "seed", 1, "seed of the faults")
 	flags.IntVar(&seeds, "seeds", 0, "play so many fresh seeds instead")
--- a/cmd/egretplay/main.go
+++ b/cmd/egretplay/main.go
@@ -38,7 +38,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(*cobra.Command, []string) error {
-			report, err := standin.Play(context.Background(), plan)
+			report, err := standin.RunScenario(context.Background(), plan)
 			if perr := printLine(report); perr != nil {
 				return perr
 			}
@@ -49,7 +49,7 @@
 		},
 	}
 	addPlanFlags(cmd, &plan, 12*time.Second)
-	cmd.Flags().BoolVar(&plan.Kill, "kill", true, "end an instance in the middle and start it again")
+	cmd.Flags().BoolVar(&plan.KillOne, "kill", true, "end an instance in the middle and start it again")
 	return cmd
 }
 
@@ -60,9 +60,9 @@
 	flags.StringVar(&plan.Binary, "binary", "bin/egretbend", "program of the instances")
 	flags.IntVar(&plan.Instances, "instances", 5, "how many instances")
 	flags.IntVar(&plan.Groups, "groups", 6, "groups of four items in a step")
-	flags.IntVar(&plan.Breaks, "breaks", 100, "runs of a thousand that are cut off in the middle")
+	flags.IntVar(&plan.BreaksPerThousand, "breaks", 100, "runs of a thousand that are cut off in the middle")
 	flags.BoolVar(&plan.Keep, "keep", false, "keep settings and logs, and name their folder")
-	flags.DurationVar(&plan.Length, "length", length, "how long trainers and clients work")
+	flags.DurationVar(&plan.Duration, "length", length, "how long trainers and clients work")
 }
 
 // printLine prints report as one JSON line.
--- a/cmd/egretplay/soak.go
+++ b/cmd/egretplay/soak.go
@@ -37,7 +37,7 @@
 					plan.Seed = rand.Uint64()
 				}
 				fmt.Fprintf(os.Stderr, "soak %d, seed %d\n", i+1, plan.Seed)
-				report, err := standin.Soak(cmd.Context(), plan)
+				report, err := standin.RunSoak(cmd.Context(), plan)
 				if err == nil && report.Failed {
 					err = fmt.Errorf("seed %d: %w", plan.Seed, errViolated)
 				}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -71,7 +71,7 @@
 	}
 	cmd := serverCommand("weights", "The weight store", s.Handler)
 	cmd.Flags().Float64Var(&s.PerSecond, "per-second", 20, "fetches that may begin in a second")
-	cmd.Flags().DurationVar(&s.Took, "took", 200*time.Millisecond, "time of one fetch")
+	cmd.Flags().DurationVar(&s.FetchTime, "took", 200*time.Millisecond, "time of one fetch")
 	return cmd
 }
 
@@ -105,7 +105,7 @@
 			Timer:    timer.Real{},
 			Settings: file.Details,
 			Address:  file.Listen,
-			Record:   os.Stdout,
+			RunLog:   os.Stdout,
 		}
 		return s.Handler(), s.Instance
 	})
@@ -157,9 +157,9 @@
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, os.Interrupt)
 			defer stop()
 			t := &trainer.Trainer{
-				Settings:    file.Details,
-				MaxVersions: file.MaxVersions,
-				Timer:       timer.Real{},
+				Settings:     file.Details,
+				MaxStaleness: file.MaxVersions,
+				Timer:        timer.Real{},
 				Addresses: &addresses.Book{
 					Caller: file.Details.Name,
 					Seeds:  file.Instances,
--- a/internal/batch/desk/adopt_test.go
+++ b/internal/batch/coordinator/adopt_test.go
@@ -1,4 +1,4 @@
-package desk
+package coordinator
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/egretbend/egretbend/internal/batch/submission"
 	"github.com/egretbend/egretbend/internal/kernel/problem"
 	"github.com/egretbend/egretbend/internal/route/catalog"
-	"github.com/egretbend/egretbend/internal/standin/space"
+	"github.com/egretbend/egretbend/internal/standin/memorystore"
 )
 
 // unawarePeers has an owner that does not know of its batch.
@@ -32,7 +32,7 @@
 	is := is.New(t)
 	d, store := newDesk(t, nil)
 	owner := &ledger.Ledger{
-		Space: store,
+		Store: store,
 		Self: ledger.Owner{
 			Instance:    "other",
 			Incarnation: "1",
@@ -69,7 +69,7 @@
 // not begin it and may report "not run".
 func TestHomeDoesNotReportPreparedBatchAsNotRun(t *testing.T) {
 	is := is.New(t)
-	d, _ := newDesk(t, func(space.Call) space.Fault { return space.Down })
+	d, _ := newDesk(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
 	sub := &submission.Submission{
 		ID:    "b",
 		Model: "m",
@@ -83,7 +83,7 @@
 
 	// The home keeps trying to store the step, so a separate desk serves as the other
 	// instance.
-	other, _ := newDesk(t, func(space.Call) space.Fault { return space.Down })
+	other, _ := newDesk(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
 	other.Registry.SetSelf(self)
 	other.Ledger.Self.Instance = "elsewhere"
 	is.Equal(other.isHome(sub), false)
--- a/internal/batch/desk/cleanup.go
+++ b/internal/batch/coordinator/cleanup.go
@@ -1,4 +1,4 @@
-package desk
+package coordinator
 
 import (
 	"context"
@@ -21,10 +21,10 @@
 	cleanupTimeout = 20 * time.Second
 )
 
-// Tidy removes ended batches from the ledger until t dies, while holdsDuty reports that
+// RunCleanup removes ended batches from the ledger until t dies, while holdsDuty reports that
 // this instance has the task. Without it the key-value service would fill up with all
 // samples ever generated.
-func (d *Desk) Tidy(t *tomb.Tomb, holdsDuty func() bool) error {
+func (d *Coordinator) RunCleanup(t *tomb.Tomb, holdsDuty func() bool) error {
 	ticks := d.Timer.Every(cleanupInterval)
 	defer ticks.Close()
 	for {
@@ -41,20 +41,20 @@
 
 // cleanUp removes the ended batches once. It stops at the first failure and leaves the
 // rest to the next time.
-func (d *Desk) cleanUp(ctx context.Context, now time.Time) {
+func (d *Coordinator) cleanUp(ctx context.Context, now time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, cleanupTimeout)
 	defer cancel()
-	ended, err := d.Ledger.Ended(ctx)
+	ended, err := d.Ledger.EndedBatches(ctx)
 	if err != nil {
-		d.Journal.Trouble("ended batches not listed", err, log.Fields{})
+		d.Journal.Warn("ended batches not listed", err, log.Fields{})
 		return
 	}
 	for id, at := range ended {
 		if now.Sub(at) < endedRetention {
 			continue
 		}
-		if err := d.Ledger.Forget(ctx, id); err != nil {
-			d.Journal.Trouble("ended batch not removed", err, log.Fields{
+		if err := d.Ledger.Delete(ctx, id); err != nil {
+			d.Journal.Warn("ended batch not removed", err, log.Fields{
 				"request_id": id,
 			})
 			return
--- a/internal/batch/desk/cleanup_test.go
+++ b/internal/batch/coordinator/cleanup_test.go
@@ -1,4 +1,4 @@
-package desk
+package coordinator
 
 import (
 	"context"
--- a/internal/batch/desk/desk.go
+++ b/internal/batch/coordinator/desk.go
@@ -1,4 +1,4 @@
-package desk
+package coordinator
 
 import (
 	"context"
@@ -22,8 +22,8 @@
 
 // Timeouts and pauses of calls about batches.
 const (
-	// MaxWait is how long a read may wait for results.
-	MaxWait = time.Second
+	// MaxReadWait is how long a read may wait for results.
+	MaxReadWait = time.Second
 	// submitTimeout bounds storing a batch in the key-value service. Trainers
 	// wait about half a second for the answer, and retry.
 	submitTimeout = 2500 * time.Millisecond
@@ -56,7 +56,7 @@
 	unavailableRetryAfter = 700 * time.Millisecond
 )
 
-// Peers calls other instances. Read, Body and End return runner.ErrNotHere if
+// Peers calls other instances. Read, Body and End return runner.ErrNotRunHere if
 // the instance does not run the batch.
 type Peers interface {
 	Read(ctx context.Context, address, id string, after int, wait time.Duration) (runner.Page, error)
@@ -65,16 +65,16 @@
 	Stored(ctx context.Context, address, id, item string, after int) (runner.Page, []byte, bool, error)
 	Body(ctx context.Context, address, id, item string) ([]byte, bool, error)
 	End(ctx context.Context, address, id string) error
-	Hint(ctx context.Context, address string, n News) error
+	Hint(ctx context.Context, address string, n OwnerHint) error
 	// Runs reports whether the instance answers that it runs the batch.
 	Runs(ctx context.Context, address, id string) bool
 	Adopt(ctx context.Context, address, id string) error
 	Submit(ctx context.Context, address string, sub *submission.Submission) error
 }
 
-// Desk serves calls about batches: it forwards each to the owner of the batch, or
+// Coordinator serves calls about batches: it forwards each to the owner of the batch, or
 // answers from the ledger.
-type Desk struct {
+type Coordinator struct {
 	Runner   *runner.Runner
 	Ledger   *ledger.Ledger
 	Registry *registry.Registry
@@ -83,10 +83,10 @@
 	Journal  *journal.Journal
 	// Leaving reports whether this instance is stopping and takes no new batches.
 	Leaving func() bool
-	// Asked is called for each batch that is accepted at any instance, with its
+	// OnAccepted is called for each batch that is accepted at any instance, with its
 	// number of items and the tokens that they are expected to generate. It may be
 	// nil.
-	Asked func(model string, items int, tokens int64)
+	OnAccepted func(model string, items int, tokens int64)
 	// Config finds the route of a batch that another instance forwards.
 	Config *catalog.Holder
 
@@ -106,7 +106,7 @@
 // Submit accepts a batch. When it returns nil, the batch is durably stored.
 // All batches of a model run at its home as long as that answers, so that each step
 // reuses the home's connections to the engines.
-func (d *Desk) Submit(ctx context.Context, sub *submission.Submission, route catalog.Route) error {
+func (d *Coordinator) Submit(ctx context.Context, sub *submission.Submission, route catalog.Route) error {
 	triedHome := false
 	for _, home := range Homes(d.Registry.Members(), homeKey(sub)) {
 		if home.Name == d.Ledger.Self.Instance {
@@ -120,7 +120,7 @@
 			})
 			return nil
 		}
-		d.Journal.Trouble("home does not accept", err, log.Fields{
+		d.Journal.Warn("home does not accept", err, log.Fields{
 			"request_id": sub.ID,
 			"home":       home.Name,
 		})
@@ -141,7 +141,7 @@
 // submitToHome forwards a batch to its home. If the home has begun the batch and can't
 // store it, and the key-value service answers here, the home is asked once more.
 // ErrPrepared means that the batch is left to the home.
-func (d *Desk) submitToHome(ctx context.Context, home registry.Member, sub *submission.Submission) error {
+func (d *Coordinator) submitToHome(ctx context.Context, home registry.Member, sub *submission.Submission) error {
 	for again := false; ; again = true {
 		call, cancel := context.WithTimeout(ctx, homeTimeout)
 		err := d.Peers.Submit(call, home.PeerAddress, sub)
@@ -167,7 +167,7 @@
 
 // outcomeAfterHome replaces the outcome "not run" of err by "unknown": the home of the
 // batch did not answer and may have stored it.
-func (d *Desk) outcomeAfterHome(err error) error {
+func (d *Coordinator) outcomeAfterHome(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -192,7 +192,7 @@
 }
 
 // Accept accepts a batch at this instance, without forwarding it.
-func (d *Desk) Accept(ctx context.Context, sub *submission.Submission, route catalog.Route) error {
+func (d *Coordinator) Accept(ctx context.Context, sub *submission.Submission, route catalog.Route) error {
 	if d.Leaving() {
 		return problem.Leaving.Withf("batch %s", sub.ID).WithRetryAfter(100 * time.Millisecond)
 	}
@@ -218,15 +218,15 @@
 
 // announceAccepted tells all instances the owner of a batch that was stored just now.
 // If the batch had been accepted before, it has its owner adopt it instead.
-func (d *Desk) announceAccepted(sub *submission.Submission, err error) {
+func (d *Coordinator) announceAccepted(sub *submission.Submission, err error) {
 	switch {
 	case err == nil:
-		d.announceOwner(News{
+		d.announceOwner(OwnerHint{
 			Batch: sub.ID,
 			Owner: d.Ledger.Self,
 			Model: sub.Model,
 			Items: len(sub.Items),
-			Work:  sub.Work(),
+			Work:  sub.EstimatedTokens(),
 		})
 	case errors.Is(err, ledger.ErrExists):
 		d.Journal.Decision("accepted_before", log.Fields{
@@ -242,15 +242,15 @@
 	switch {
 	case errors.Is(err, ledger.ErrTooLarge):
 		return problem.TooLarge.With(err)
-	case errors.Is(err, ledger.ErrUnsettled):
+	case errors.Is(err, ledger.ErrOutcomeUnknown):
 		return problem.ChangeUnknown.With(err).WithOutcome(problem.Unknown)
 	}
 	return problem.PlatformDown.With(err).WithRetryAfter(unavailableRetryAfter)
 }
 
-// News names the owner of a batch. For a batch that was just accepted it also has
+// OwnerHint names the owner of a batch. For a batch that was just accepted it also has
 // the model, the number of items and the amount of work.
-type News struct {
+type OwnerHint struct {
 	Batch string
 	Owner ledger.Owner
 	Model string
@@ -260,8 +260,8 @@
 
 // announceOwner tells all instances the owner of a batch, so that a read at any of
 // them needs no call to the key-value service.
-func (d *Desk) announceOwner(n News) {
-	d.Hint(n)
+func (d *Coordinator) announceOwner(n OwnerHint) {
+	d.RecordOwner(n)
 	for _, m := range d.Registry.Members() {
 		if m.Name == d.Registry.Self().Name {
 			continue
@@ -270,7 +270,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), hintTimeout)
 			defer cancel()
 			if err := d.Peers.Hint(ctx, m.PeerAddress, n); err != nil {
-				d.Journal.Detail("owner hint not delivered", log.Fields{
+				d.Journal.Debug("owner hint not delivered", log.Fields{
 					"request_id": n.Batch,
 					"instance":   m.Name,
 					"error":      err.Error(),
@@ -280,10 +280,10 @@
 	}
 }
 
-// Hint records the owner of a batch.
-func (d *Desk) Hint(n News) {
-	if n.Model != "" && d.Asked != nil {
-		d.Asked(n.Model, n.Items, n.Work)
+// RecordOwner records the owner of a batch.
+func (d *Coordinator) RecordOwner(n OwnerHint) {
+	if n.Model != "" && d.OnAccepted != nil {
+		d.OnAccepted(n.Model, n.Items, n.Work)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -293,7 +293,7 @@
 	d.owners[n.Batch] = n.Owner
 }
 
-func (d *Desk) forgetOwner(id string, owner ledger.Owner) {
+func (d *Coordinator) forgetOwner(id string, owner ledger.Owner) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.owners[id] == owner {
@@ -301,18 +301,18 @@
 	}
 }
 
-// hintedOwner returns the owner of a batch that was recorded by Hint, if it is
+// hintedOwner returns the owner of a batch that was recorded by RecordOwner, if it is
 // another instance and alive.
-func (d *Desk) hintedOwner(id string) (ledger.Owner, bool) {
+func (d *Coordinator) hintedOwner(id string) (ledger.Owner, bool) {
 	d.mu.Lock()
 	owner, ok := d.owners[id]
 	d.mu.Unlock()
 	return owner, ok && owner != d.Ledger.Self && d.Registry.Alive(owner.Instance, owner.Incarnation)
 }
 
-// findOwner returns the owner of a batch, as recorded by Hint or else from the
+// findOwner returns the owner of a batch, as recorded by RecordOwner or else from the
 // ledger. It returns ledger.ErrUnknown if the batch is not open.
-func (d *Desk) findOwner(ctx context.Context, id string) (ledger.Owner, error) {
+func (d *Coordinator) findOwner(ctx context.Context, id string) (ledger.Owner, error) {
 	if owner, ok := d.hintedOwner(id); ok {
 		return owner, nil
 	}
@@ -320,7 +320,7 @@
 	if err != nil {
 		return ledger.Owner{}, err
 	}
-	d.Hint(News{
+	d.RecordOwner(OwnerHint{
 		Batch: id,
 		Owner: claim.Owner,
 	})
@@ -328,7 +328,7 @@
 }
 
 // remoteOwner returns the owner of a batch if it is another instance.
-func (d *Desk) remoteOwner(ctx context.Context, id string) (ledger.Owner, bool) {
+func (d *Coordinator) remoteOwner(ctx context.Context, id string) (ledger.Owner, bool) {
 	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
 	defer cancel()
 	owner, err := d.findOwner(ctx, id)
@@ -336,11 +336,11 @@
 }
 
 // End ends a batch. It is idempotent.
-func (d *Desk) End(ctx context.Context, id string) error {
+func (d *Coordinator) End(ctx context.Context, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, endTimeout)
 	defer cancel()
 	err := d.Runner.End(ctx, id)
-	if errors.Is(err, runner.ErrNotHere) {
+	if errors.Is(err, runner.ErrNotRunHere) {
 		err = d.endElsewhere(ctx, id)
 	}
 	switch {
@@ -354,7 +354,7 @@
 
 // endElsewhere has the owner end a batch. If that fails it ends the batch in the
 // ledger and tells the owner afterwards.
-func (d *Desk) endElsewhere(ctx context.Context, id string) error {
+func (d *Coordinator) endElsewhere(ctx context.Context, id string) error {
 	owner, ok := d.remoteOwner(ctx, id)
 	if ok {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
@@ -375,7 +375,7 @@
 // just taking the batch over does not know the batch when it is first asked, and
 // would send items to engines until its next write, long after the end was
 // acknowledged to the trainer. An owner without a name stands for this instance.
-func (d *Desk) notifyEnd(id string, owner ledger.Owner) {
+func (d *Coordinator) notifyEnd(id string, owner ledger.Owner) {
 	for range endNotifyTries {
 		timer.Wait(d.Timer, endNotifyPause, nil)
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
--- a/internal/batch/desk/desk_test.go
+++ b/internal/batch/coordinator/desk_test.go
@@ -1,4 +1,4 @@
-package desk
+package coordinator
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 	"github.com/egretbend/egretbend/internal/route/catalog"
-	"github.com/egretbend/egretbend/internal/standin/space"
+	"github.com/egretbend/egretbend/internal/standin/memorystore"
 )
 
 // silentPeers are other instances that never answer.
@@ -38,38 +38,38 @@
 	return nil, false, errSilent
 }
 func (silentPeers) End(context.Context, string, string) error                    { return errSilent }
-func (silentPeers) Hint(context.Context, string, News) error                     { return errSilent }
+func (silentPeers) Hint(context.Context, string, OwnerHint) error                { return errSilent }
 func (silentPeers) Runs(context.Context, string, string) bool                    { return false }
 func (silentPeers) Adopt(context.Context, string, string) error                  { return errSilent }
 func (silentPeers) Submit(context.Context, string, *submission.Submission) error { return errSilent }
 
 // newDesk returns the desk of instance "me" with peers that never answer, over a
 // key-value store with injected faults.
-func newDesk(t *testing.T, fault func(space.Call) space.Fault) (*Desk, *space.Space) {
+func newDesk(t *testing.T, fault func(memorystore.Operation) memorystore.Fault) (*Coordinator, *memorystore.Store) {
 	clock := timer.Real{}
-	store := &space.Space{
+	store := &memorystore.Store{
 		Timer: clock,
 		Fault: fault,
 	}
 	r := &registry.Registry{
-		Space: store,
+		Store: store,
 		Timer: clock,
 	}
 	r.SetSelf(registry.Member{Name: "me", Incarnation: "1"})
 	l := &ledger.Ledger{
-		Space: store,
+		Store: store,
 		Self:  ledger.Owner{Instance: "me", Incarnation: "1"},
 		Pause: func(time.Duration) {},
 	}
 	run := &runner.Runner{
 		Ledger: l,
-		Book:   &catalog.Book{Timer: clock},
+		Book:   &catalog.Upstreams{Timer: clock},
 		Holder: &catalog.Holder{},
 		Timer:  clock,
 	}
 	run.Start()
 	t.Cleanup(run.Stop)
-	return &Desk{
+	return &Coordinator{
 		Runner:   run,
 		Ledger:   l,
 		Registry: r,
@@ -84,7 +84,7 @@
 // it and does not answer, and then the key-value service is unavailable.
 func TestUnknownOutcomeAtHomeIsNotReportedAsNotRun(t *testing.T) {
 	is := is.New(t)
-	d, _ := newDesk(t, func(space.Call) space.Fault { return space.Down })
+	d, _ := newDesk(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
 	err := d.outcomeAfterHome(d.Accept(context.Background(), &submission.Submission{ID: "b"}, catalog.Route{}))
 	is.True(err != nil)
 	is.Equal(problem.From(err).Kind.Outcome, problem.Unknown)
@@ -97,7 +97,7 @@
 	d, _ := newDesk(t, nil)
 	_, err := d.Read(context.Background(), "nothing", 0, 0)
 	is.True(problem.Is(err, problem.NotFound))
-	unavailable, _ := newDesk(t, func(space.Call) space.Fault { return space.Down })
+	unavailable, _ := newDesk(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
 	_, err = unavailable.Read(context.Background(), "nothing", 0, 0)
 	is.True(problem.Is(err, problem.PlatformDown))
 }
@@ -109,7 +109,7 @@
 	ctx := context.Background()
 	d, store := newDesk(t, nil)
 	owner := &ledger.Ledger{
-		Space: store,
+		Store: store,
 		Self:  ledger.Owner{Instance: "other", Incarnation: "1"},
 		Pause: func(time.Duration) {},
 	}
@@ -143,14 +143,14 @@
 	for i := range 20 {
 		members = append(members, registry.Member{Name: fmt.Sprint("i", i), Cores: 0.3})
 	}
-	successor := First(members, "dead")
+	successor := FirstRanked(members, "dead")
 	is.True(successor.Name != "")
 	for i, m := range members {
 		if m.Name == successor.Name {
 			members[i].Leaving = true
 		}
 	}
-	is.True(First(members, "dead").Name != successor.Name) // a leaving instance is no successor
+	is.True(FirstRanked(members, "dead").Name != successor.Name) // a leaving instance is no successor
 }
 
 // livePeers are other instances that still run their batches.
@@ -180,7 +180,7 @@
 	}
 	d.Peers = peers
 	owner := &ledger.Ledger{
-		Space: store,
+		Store: store,
 		Self:  ledger.Owner{Instance: "other", Incarnation: "1", Address: "other"},
 		Pause: func(time.Duration) {},
 	}
@@ -199,7 +199,7 @@
 		if err == nil {
 			_, err = store.Commit(ctx, keyvalue.Transaction{
 				Writes: []keyvalue.Write{
-					{Key: registry.Key("other"), Value: value},
+					{Key: registry.InstanceKey("other"), Value: value},
 				},
 			})
 		}
@@ -215,7 +215,7 @@
 
 // eventually reports whether a condition holds within 5 s.
 func eventually(holds func() bool) bool {
-	return timer.Until(timer.Real{}, time.Millisecond, 5*time.Second, nil, holds)
+	return timer.Poll(timer.Real{}, time.Millisecond, 5*time.Second, nil, holds)
 }
 
 // Guards against batches that wait three seconds longer than needed when their owner is
@@ -226,11 +226,11 @@
 	is := is.New(t)
 	ctx := context.Background()
 	var down atomic.Bool
-	d, store := newDesk(t, func(space.Call) space.Fault {
+	d, store := newDesk(t, func(memorystore.Operation) memorystore.Fault {
 		if down.Load() {
-			return space.Down
+			return memorystore.Down
 		}
-		return space.None
+		return memorystore.None
 	})
 	value, err := json.Marshal(registry.Member{Name: "other", Incarnation: "1"})
 	is.NoErr(err)
@@ -238,7 +238,7 @@
 	is.NoErr(err)
 	_, err = store.Commit(ctx, keyvalue.Transaction{
 		Writes: []keyvalue.Write{
-			{Key: registry.Key("other"), Value: value, Lease: lease},
+			{Key: registry.InstanceKey("other"), Value: value, Lease: lease},
 		},
 	})
 	is.NoErr(err)
@@ -257,9 +257,9 @@
 	})
 	is.NoErr(err)
 	down.Store(true)
-	store.Lapse(cut)                             // ends the pending watches
+	store.ExpireLease(cut)                       // ends the pending watches
 	timer.Wait(timer.Real{}, 2*time.Second, nil) // longer than an entry may be overdue
-	store.Lapse(lease)
+	store.ExpireLease(lease)
 	down.Store(false)
 	is.True(eventually(func() bool { return d.orphan(claim) }))
 	is.True(d.Registry.Present("other")) // still in the view
@@ -273,11 +273,11 @@
 	is := is.New(t)
 	ctx := context.Background()
 	var failing atomic.Bool
-	d, _ := newDesk(t, func(c space.Call) space.Fault {
-		if c == space.Range && failing.CompareAndSwap(true, false) {
-			return space.Down
+	d, _ := newDesk(t, func(c memorystore.Operation) memorystore.Fault {
+		if c == memorystore.Range && failing.CompareAndSwap(true, false) {
+			return memorystore.Down
 		}
-		return space.None
+		return memorystore.None
 	})
 	claim, err := d.Ledger.Accept(ctx, &submission.Submission{
 		ID:          "b",
@@ -298,8 +298,8 @@
 	failing.Store(true)         // fails the listing or the load of the batch
 	began := time.Now()
 	cfg := catalog.Configuration{Version: 1}.WithIndex()
-	d.Config.Take(cfg)
-	d.Runner.Holder.Take(cfg)
+	d.Config.Update(cfg)
+	d.Runner.Holder.Update(cfg)
 	is.True(eventually(func() bool { return d.Runner.Has("b") }))
 	is.True(time.Since(began) < sweepInterval/2)
 }
@@ -317,7 +317,7 @@
 	}
 	homes := Homes(members, "m")
 	is.Equal(len(homes), 2)
-	is.Equal(homes[0], First(members, "m"))
+	is.Equal(homes[0], FirstRanked(members, "m"))
 	is.True(homes[1].Name != homes[0].Name && homes[1].Cores == 0.8)
 	is.Equal(len(Homes(members[:1], "m")), 1)
 	is.Equal(len(Homes(nil, "m")), 0)
--- a/internal/batch/desk/doc.go
+++ b/internal/batch/coordinator/doc.go
@@ -1,11 +1,11 @@
-// Package desk serves calls about batches at any instance and takes over the
+// Package coordinator serves calls about batches at any instance and takes over the
 // batches of lost instances.
 //
 //	err := d.Submit(ctx, sub, route)
 //	page, err := d.Read(ctx, id, after, wait)
 //	err = d.End(ctx, id)
 //
-// Desk is the main type. Each model has a home, the able instance that ranks
+// Coordinator is the main type. Each model has a home, the able instance that ranks
 // first for it by rendezvous hashing. All batches of the model are accepted and
 // run there as long as it answers; the other instances forward calls to the owner
 // of a batch, over Peers. When the owner can't be reached, one instance, the ledger
@@ -13,6 +13,6 @@
 // reported as not found only after the ledger has said so.
 //
 // Run looks for batches without a live owner. The successor of a lost owner, which
-// is the able instance that ranks first for the owner's name, takes them over. Tidy
+// is the able instance that ranks first for the owner's name, takes them over. RunCleanup
 // removes ended batches from the ledger.
-package desk
+package coordinator
--- a/internal/batch/desk/end_test.go
+++ b/internal/batch/coordinator/end_test.go
@@ -1,4 +1,4 @@
-package desk
+package coordinator
 
 import (
 	"context"
@@ -26,7 +26,7 @@
 // End implements Peers.
 func (l latePeers) End(context.Context, string, string) error {
 	if l.asked.Add(1) == 1 {
-		return runner.ErrNotHere
+		return runner.ErrNotRunHere
 	}
 	l.ended <- struct{}{}
 	return nil
@@ -41,7 +41,7 @@
 	ctx := context.Background()
 	d, store := newDesk(t, nil)
 	other := &ledger.Ledger{
-		Space: store,
+		Store: store,
 		Self: ledger.Owner{
 			Instance:    "other",
 			Incarnation: "1",
@@ -70,7 +70,7 @@
 	})
 	is.NoErr(err)
 	is.NoErr(d.Ledger.End(ctx, "b", time.Now()))
-	d.Runner.Holder.Take(catalog.Configuration{
+	d.Runner.Holder.Update(catalog.Configuration{
 		Version: 1,
 	}.WithIndex())
 	is.True(errors.Is(d.Runner.Adopt(ctx, claim), ledger.ErrFenced))
--- a/internal/batch/desk/peers.go
+++ b/internal/batch/coordinator/peers.go
@@ -1,4 +1,4 @@
-package desk
+package coordinator
 
 import (
 	"context"
@@ -36,16 +36,18 @@
 
 // Server serves the calls of other instances.
 type Server struct {
-	desk *Desk
+	desk *Coordinator
 }
 
 // Register registers the calls that other instances make to this one.
-func (d *Desk) Register(s *peer.Server) error { return s.Register(serviceName, &Server{desk: d}) }
+func (d *Coordinator) Register(s *peer.Server) error {
+	return s.Register(serviceName, &Server{desk: d})
+}
 
-// setNotHere carries runner.ErrNotHere, the only error that callers act on, in a
+// setNotHere carries runner.ErrNotRunHere, the only error that callers act on, in a
 // field, since errors are sent as text. It returns any other error.
 func (r *Reply) setNotHere(err error) error {
-	r.NotHere = errors.Is(err, runner.ErrNotHere)
+	r.NotHere = errors.Is(err, runner.ErrNotRunHere)
 	if r.NotHere {
 		return nil
 	}
@@ -54,7 +56,7 @@
 
 // Read returns results of a batch that runs here.
 func (s *Server) Read(c *Call, r *Reply) error {
-	page, err := s.desk.readLocal(context.Background(), c.Batch, c.After, min(c.Wait, MaxWait))
+	page, err := s.desk.readLocal(context.Background(), c.Batch, c.After, min(c.Wait, MaxReadWait))
 	r.Page = page
 	return r.setNotHere(err)
 }
@@ -66,12 +68,12 @@
 	defer cancel()
 	var err error
 	if c.Item == "" {
-		if r.Page, err = s.desk.readLocal(ctx, c.Batch, c.After, 0); errors.Is(err, runner.ErrNotHere) {
+		if r.Page, err = s.desk.readLocal(ctx, c.Batch, c.After, 0); errors.Is(err, runner.ErrNotRunHere) {
 			r.Page, err = s.desk.readStored(ctx, c.Batch, c.After)
 		}
 		return err
 	}
-	if r.Body, r.Found, err = s.desk.Runner.Body(c.Batch, c.Item); errors.Is(err, runner.ErrNotHere) {
+	if r.Body, r.Found, err = s.desk.Runner.Body(c.Batch, c.Item); errors.Is(err, runner.ErrNotRunHere) {
 		r.Body, r.Found, err = s.desk.bodyStored(ctx, c.Batch, c.Item)
 	}
 	return err
@@ -129,29 +131,29 @@
 }
 
 // Hint records the owner of a batch.
-func (s *Server) Hint(n *News, _ *Reply) error {
-	s.desk.Hint(*n)
+func (s *Server) Hint(n *OwnerHint, _ *Reply) error {
+	s.desk.RecordOwner(*n)
 	return nil
 }
 
-// PeerCalls implements Peers over the RPC client of the instances.
-type PeerCalls struct {
+// PeerClient implements Peers over the RPC client of the instances.
+type PeerClient struct {
 	Client *peer.Client
 }
 
-func (p *PeerCalls) call(ctx context.Context, address, method string, c Call) (*Reply, error) {
+func (p *PeerClient) call(ctx context.Context, address, method string, c Call) (*Reply, error) {
 	r := &Reply{}
 	if err := p.Client.Call(ctx, address, serviceName+"."+method, &c, r); err != nil {
 		return nil, err
 	}
 	if r.NotHere {
-		return nil, runner.ErrNotHere
+		return nil, runner.ErrNotRunHere
 	}
 	return r, nil
 }
 
 // Read implements Peers.
-func (p *PeerCalls) Read(ctx context.Context, address, id string, after int, wait time.Duration) (runner.Page, error) {
+func (p *PeerClient) Read(ctx context.Context, address, id string, after int, wait time.Duration) (runner.Page, error) {
 	r, err := p.call(ctx, address, "Read", Call{
 		Batch: id,
 		After: after,
@@ -164,7 +166,7 @@
 }
 
 // Stored implements Peers.
-func (p *PeerCalls) Stored(ctx context.Context, address, id, item string, after int) (runner.Page, []byte, bool, error) {
+func (p *PeerClient) Stored(ctx context.Context, address, id, item string, after int) (runner.Page, []byte, bool, error) {
 	r, err := p.call(ctx, address, "Stored", Call{
 		Batch: id,
 		Item:  item,
@@ -177,7 +179,7 @@
 }
 
 // Body implements Peers.
-func (p *PeerCalls) Body(ctx context.Context, address, id, item string) ([]byte, bool, error) {
+func (p *PeerClient) Body(ctx context.Context, address, id, item string) ([]byte, bool, error) {
 	r, err := p.call(ctx, address, "Body", Call{
 		Batch: id,
 		Item:  item,
@@ -189,7 +191,7 @@
 }
 
 // End implements Peers.
-func (p *PeerCalls) End(ctx context.Context, address, id string) error {
+func (p *PeerClient) End(ctx context.Context, address, id string) error {
 	_, err := p.call(ctx, address, "End", Call{
 		Batch: id,
 	})
@@ -197,7 +199,7 @@
 }
 
 // Runs implements Peers.
-func (p *PeerCalls) Runs(ctx context.Context, address, id string) bool {
+func (p *PeerClient) Runs(ctx context.Context, address, id string) bool {
 	r, err := p.call(ctx, address, "Runs", Call{
 		Batch: id,
 	})
@@ -207,7 +209,7 @@
 }
 
 // Adopt implements Peers.
-func (p *PeerCalls) Adopt(ctx context.Context, address, id string) error {
+func (p *PeerClient) Adopt(ctx context.Context, address, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := p.call(ctx, address, "Adopt", Call{
@@ -217,7 +219,7 @@
 }
 
 // Submit implements Peers.
-func (p *PeerCalls) Submit(ctx context.Context, address string, sub *submission.Submission) error {
+func (p *PeerClient) Submit(ctx context.Context, address string, sub *submission.Submission) error {
 	var r Reply
 	err := p.Client.Call(ctx, address, serviceName+".Submit", sub, &r)
 	if err == nil && r.Prepared {
@@ -227,7 +229,7 @@
 }
 
 // Hint implements Peers.
-func (p *PeerCalls) Hint(ctx context.Context, address string, n News) error {
+func (p *PeerClient) Hint(ctx context.Context, address string, n OwnerHint) error {
 	var r Reply
 	return p.Client.Call(ctx, address, serviceName+".Hint", &n, &r)
 }
--- a/internal/batch/desk/prepare.go
+++ b/internal/batch/coordinator/prepare.go
@@ -1,4 +1,4 @@
-package desk
+package coordinator
 
 import (
 	"context"
@@ -36,7 +36,7 @@
 // slow, the home begins the batch anyway and stores it when it can, since the trainer
 // is idle without its batch. No other instance does so: the first one to reach the
 // service would begin the batch a second time.
-func (d *Desk) accept(ctx context.Context, sub *submission.Submission, route catalog.Route) (prepared bool, err error) {
+func (d *Coordinator) accept(ctx context.Context, sub *submission.Submission, route catalog.Route) (prepared bool, err error) {
 	if !d.isHome(sub) {
 		err = d.Runner.Submit(ctx, sub, route)
 		d.announceAccepted(sub, err)
@@ -48,24 +48,24 @@
 	select {
 	case err := <-stored:
 		stored <- err
-		return storeUndecided(err) || d.Runner.Prepared(sub.ID), err
+		return storeUndecided(err) || d.Runner.RunsUnstored(sub.ID), err
 	case <-wait.C:
 	case <-ctx.Done():
 	}
-	d.Runner.Prepare(sub, route)
+	d.Runner.StartUnstored(sub, route)
 	return true, ErrPrepared
 }
 
 // storeUndecided reports whether a failed attempt to store a batch leaves open
 // whether the batch is or will be stored.
 func storeUndecided(err error) bool {
-	return errors.Is(err, keyvalue.ErrDown) || errors.Is(err, keyvalue.ErrBusy) ||
-		errors.Is(err, keyvalue.ErrLost) || errors.Is(err, ledger.ErrUnsettled)
+	return errors.Is(err, keyvalue.ErrUnavailable) || errors.Is(err, keyvalue.ErrRateLimited) ||
+		errors.Is(err, keyvalue.ErrOutcomeUnknown) || errors.Is(err, ledger.ErrOutcomeUnknown)
 }
 
 // isHome reports whether this instance is the home of a batch, which begins it even
 // before it is stored.
-func (d *Desk) isHome(sub *submission.Submission) bool {
+func (d *Coordinator) isHome(sub *submission.Submission) bool {
 	homes := Homes(d.Registry.Members(), homeKey(sub))
 	return len(homes) > 0 && homes[0].Name == d.Ledger.Self.Instance
 }
@@ -73,7 +73,7 @@
 // store stores a batch in the background, with retries while the key-value service
 // is unavailable, and returns the channel of the result. The channel holds one value:
 // a reader puts it back for the next one.
-func (d *Desk) store(sub *submission.Submission, route catalog.Route) chan error {
+func (d *Coordinator) store(sub *submission.Submission, route catalog.Route) chan error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if stored := d.pendingStores[sub.ID]; stored != nil {
@@ -96,13 +96,13 @@
 
 // storeWithRetry tries to store a batch until the outcome is known or the batch is
 // no longer wanted.
-func (d *Desk) storeWithRetry(sub *submission.Submission, route catalog.Route) error {
+func (d *Coordinator) storeWithRetry(sub *submission.Submission, route catalog.Route) error {
 	started := d.Timer.Now()
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
 		err := d.Runner.Submit(ctx, sub, route)
 		cancel()
-		prepared := d.Runner.Prepared(sub.ID)
+		prepared := d.Runner.RunsUnstored(sub.ID)
 		if !storeUndecided(err) && !(err == nil && prepared) {
 			d.announceAccepted(sub, err)
 			return err
@@ -120,7 +120,7 @@
 // else whether it is left to the home. It is left if the key-value service does not
 // answer here either. If the service answers, it may have come back just now and the
 // home is about to store the batch, or only the home is cut off from it.
-func (d *Desk) leftToHome(ctx context.Context, id string) (accepted, leave bool) {
+func (d *Coordinator) leftToHome(ctx context.Context, id string) (accepted, leave bool) {
 	ctx, cancel := context.WithTimeout(ctx, storeWait)
 	defer cancel()
 	_, err := d.Ledger.Find(ctx, id)
--- a/internal/batch/desk/prepare_test.go
+++ b/internal/batch/coordinator/prepare_test.go
@@ -1,4 +1,4 @@
-package desk
+package coordinator
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"github.com/egretbend/egretbend/internal/fleet/registry"
 	"github.com/egretbend/egretbend/internal/kernel/problem"
 	"github.com/egretbend/egretbend/internal/route/catalog"
-	"github.com/egretbend/egretbend/internal/standin/space"
+	"github.com/egretbend/egretbend/internal/standin/memorystore"
 )
 
 // newStep returns the batch of a trainer's step.
@@ -32,11 +32,11 @@
 	is := is.New(t)
 	var down atomic.Bool
 	down.Store(true)
-	d, _ := newDesk(t, func(space.Call) space.Fault {
+	d, _ := newDesk(t, func(memorystore.Operation) memorystore.Fault {
 		if down.Load() {
-			return space.Down
+			return memorystore.Down
 		}
-		return space.None
+		return memorystore.None
 	})
 	self := d.Registry.Self()
 	self.Cores = 1
@@ -47,10 +47,10 @@
 	is.True(errors.Is(err, ErrPrepared))
 	is.Equal(problem.From(err).Kind.Outcome, problem.Unknown)
 	is.True(time.Since(began) < homeTimeout) // the instance that forwarded it still waits
-	is.True(d.Runner.Prepared("b"))
+	is.True(d.Runner.RunsUnstored("b"))
 	down.Store(false)
 	is.True(eventually(func() bool { return d.Runner.Has("b") }))
-	d.Runner.Holder.Take(catalog.Configuration{Version: 1}.WithIndex())
+	d.Runner.Holder.Update(catalog.Configuration{Version: 1}.WithIndex())
 	is.NoErr(d.Accept(context.Background(), sub, catalog.Route{})) // the trainer retries
 }
 
@@ -79,20 +79,20 @@
 	d.Registry.SetSelf(self)
 	var tb tomb.Tomb
 	home := &registry.Registry{
-		Space: d.Ledger.Space,
+		Store: d.Ledger.Store,
 		Timer: d.Timer,
 	}
 	home.SetSelf(registry.Member{Name: "home", Incarnation: "1", Cores: 1, PeerAddress: "home:1"})
 	tb.Go(func() error { return home.Run(&tb) })
 	defer func() { tb.Kill(nil); _ = tb.Wait() }()
 	view := &registry.Registry{
-		Space: d.Ledger.Space,
+		Store: d.Ledger.Store,
 		Timer: d.Timer,
 	}
 	view.SetSelf(self)
 	d.Registry = view
 	tb.Go(func() error { return view.Run(&tb) })
-	is.True(eventually(func() bool { return view.Present("home") && view.Held() }))
+	is.True(eventually(func() bool { return view.Present("home") && view.LeaseHeld() }))
 	is.NoErr(d.Submit(context.Background(), newStep("b"), catalog.Route{}))
 	is.Equal(asked.Load(), int32(2)) // asked twice before the batch is accepted here
 	is.True(d.Runner.Has("b"))
--- a/internal/batch/desk/read.go
+++ b/internal/batch/coordinator/read.go
@@ -1,4 +1,4 @@
-package desk
+package coordinator
 
 import (
 	"context"
@@ -14,21 +14,21 @@
 )
 
 // readLocal returns results of a batch that runs at this instance. It returns
-// runner.ErrNotHere if the batch does not run here or may have been lost to another
+// runner.ErrNotRunHere if the batch does not run here or may have been lost to another
 // instance.
-func (d *Desk) readLocal(ctx context.Context, id string, after int, wait time.Duration) (runner.Page, error) {
+func (d *Coordinator) readLocal(ctx context.Context, id string, after int, wait time.Duration) (runner.Page, error) {
 	page, err := d.Runner.Read(ctx, id, after, wait)
-	if err == nil && len(page.Results) == 0 && (d.claimsUncertain.Load() || !d.Registry.Held()) {
+	if err == nil && len(page.Results) == 0 && (d.claimsUncertain.Load() || !d.Registry.LeaseHeld()) {
 		// This instance may have lost the batch, and the new owner may have listed
 		// more results.
-		err = runner.ErrNotHere
+		err = runner.ErrNotRunHere
 	}
 	return page, err
 }
 
 // Read returns the results of a batch from position after on. It waits up to wait for
 // the first one.
-func (d *Desk) Read(ctx context.Context, id string, after int, wait time.Duration) (runner.Page, error) {
+func (d *Coordinator) Read(ctx context.Context, id string, after int, wait time.Duration) (runner.Page, error) {
 	began := d.Timer.Now()
 	page, way, err := d.read(ctx, id, after, wait)
 	fields := log.Fields{
@@ -58,9 +58,9 @@
 
 // read returns results and where they came from. It tries this instance, the hinted
 // owner, the ledger reader and the ledger, each if the one before failed.
-func (d *Desk) read(ctx context.Context, id string, after int, wait time.Duration) (runner.Page, string, error) {
+func (d *Coordinator) read(ctx context.Context, id string, after int, wait time.Duration) (runner.Page, string, error) {
 	page, err := d.readLocal(ctx, id, after, wait)
-	if !errors.Is(err, runner.ErrNotHere) {
+	if !errors.Is(err, runner.ErrNotRunHere) {
 		return page, wayHere, err
 	}
 	if owner, ok := d.hintedOwner(id); ok {
@@ -86,7 +86,7 @@
 
 // readStored reads results from the owner that the ledger names, or else from the
 // ledger itself.
-func (d *Desk) readStored(ctx context.Context, id string, after int) (runner.Page, error) {
+func (d *Coordinator) readStored(ctx context.Context, id string, after int) (runner.Page, error) {
 	if rec := d.finished.get(id); rec != nil {
 		return pageOf(rec, after), nil
 	}
@@ -107,20 +107,20 @@
 }
 
 func pageOf(rec *ledger.Record, after int) runner.Page {
-	return runner.PageOf(len(rec.Submission.Items), rec.Results, after)
+	return runner.NewPage(len(rec.Submission.Items), rec.Results, after)
 }
 
 // ledgerReader returns the instance that reads a batch from the ledger on behalf of
 // all, if it is another one. The pages of a batch are read at different instances,
 // and without it each of them would list the whole batch.
-func (d *Desk) ledgerReader(id string) (registry.Member, bool) {
-	m := First(d.Registry.Members(), id)
+func (d *Coordinator) ledgerReader(id string) (registry.Member, bool) {
+	m := FirstRanked(d.Registry.Members(), id)
 	return m, m.Name != "" && m.Name != d.Ledger.Self.Instance
 }
 
 // load reads a batch from the ledger, or from the cache of finished batches: a
 // trainer reads page after page, and each would cost a listing.
-func (d *Desk) load(ctx context.Context, id string) (*ledger.Record, error) {
+func (d *Coordinator) load(ctx context.Context, id string) (*ledger.Record, error) {
 	if rec := d.finished.get(id); rec != nil {
 		return rec, nil
 	}
@@ -140,9 +140,9 @@
 }
 
 // Body returns the body of an item whose result is not listed yet.
-func (d *Desk) Body(ctx context.Context, id, item string) ([]byte, error) {
+func (d *Coordinator) Body(ctx context.Context, id, item string) ([]byte, error) {
 	body, ok, err := d.Runner.Body(id, item)
-	if errors.Is(err, runner.ErrNotHere) {
+	if errors.Is(err, runner.ErrNotRunHere) {
 		body, ok, err = d.bodyElsewhere(ctx, id, item)
 	}
 	if err != nil {
@@ -154,7 +154,7 @@
 	return body, nil
 }
 
-func (d *Desk) bodyElsewhere(ctx context.Context, id, item string) ([]byte, bool, error) {
+func (d *Coordinator) bodyElsewhere(ctx context.Context, id, item string) ([]byte, bool, error) {
 	if owner, ok := d.hintedOwner(id); ok {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		body, ok, err := d.Peers.Body(call, owner.Address, id, item)
@@ -176,7 +176,7 @@
 
 // bodyStored reads the body of an item from the owner that the ledger names, or else
 // from the ledger itself.
-func (d *Desk) bodyStored(ctx context.Context, id, item string) ([]byte, bool, error) {
+func (d *Coordinator) bodyStored(ctx context.Context, id, item string) ([]byte, bool, error) {
 	if d.finished.get(id) == nil {
 		if owner, ok := d.remoteOwner(ctx, id); ok {
 			call, cancel := context.WithTimeout(ctx, callTimeout)
@@ -191,6 +191,6 @@
 	if err != nil {
 		return nil, false, err
 	}
-	body, ok := runner.BodyOf(rec.Submission, rec.Results, item)
+	body, ok := runner.UnlistedBody(rec.Submission, rec.Results, item)
 	return body, ok, nil
 }
--- a/internal/batch/desk/takeover.go
+++ b/internal/batch/coordinator/takeover.go
@@ -1,4 +1,4 @@
-package desk
+package coordinator
 
 import (
 	"context"
@@ -44,7 +44,7 @@
 // Run takes over batches whose owner is gone until t dies. gone is signalled when an
 // instance leaves the registry's view, and once when the view is first read, so that a
 // restarted instance resumes the batches of its previous incarnation.
-func (d *Desk) Run(t *tomb.Tomb, gone <-chan struct{}) error {
+func (d *Coordinator) Run(t *tomb.Tomb, gone <-chan struct{}) error {
 	ctx := t.Context(context.Background())
 	// A random first delay spreads the sweeps of instances that start together.
 	next := d.Timer.Once(time.Duration(rand.Int64N(int64(sweepInterval))))
@@ -78,9 +78,9 @@
 var errNotReady = errors.New("no configuration yet")
 
 // sweep takes over the batches without a live owner whose successor is this instance.
-// After Doubt it first drops the batches that this instance no longer owns.
-func (d *Desk) sweep(ctx context.Context, freshness keyvalue.Freshness) error {
-	if !d.Registry.Synced() || d.Leaving() || !d.Registry.Able() && len(d.Runner.Claims()) == 0 {
+// After RecheckClaims it first drops the batches that this instance no longer owns.
+func (d *Coordinator) sweep(ctx context.Context, freshness keyvalue.Consistency) error {
+	if !d.Registry.Synced() || d.Leaving() || !d.Registry.Eligible() && len(d.Runner.Claims()) == 0 {
 		// Only able instances are successors; the sweep of any other would find nothing
 		// to take over.
 		return nil
@@ -93,10 +93,10 @@
 		freshness = keyvalue.Fresh
 	}
 	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
-	claims, err := d.Ledger.Open(ctx, freshness)
+	claims, err := d.Ledger.OpenBatches(ctx, freshness)
 	cancel()
 	if err != nil {
-		d.Journal.Detail("open batches not listed", log.Fields{
+		d.Journal.Debug("open batches not listed", log.Fields{
 			"error": err.Error(),
 		})
 		return err
@@ -112,13 +112,13 @@
 	return nil
 }
 
-// Doubt makes the next sweep look up all claims of this instance. It is called after
+// RecheckClaims makes the next sweep look up all claims of this instance. It is called after
 // the lease of this instance has ended, since other instances may own its batches now
 // and list results that reads here would miss.
-func (d *Desk) Doubt() { d.claimsUncertain.Store(true) }
+func (d *Coordinator) RecheckClaims() { d.claimsUncertain.Store(true) }
 
 // dropStaleClaims drops the batches that have another owner by now or are ended.
-func (d *Desk) dropStaleClaims(claims []ledger.Claim) {
+func (d *Coordinator) dropStaleClaims(claims []ledger.Claim) {
 	d.claimsUncertain.Store(false)
 	revisions := make(map[string]uint64, len(claims))
 	for _, c := range claims {
@@ -126,14 +126,14 @@
 	}
 	for _, c := range d.Runner.Claims() {
 		if revisions[c.Batch] != c.Revision {
-			d.Runner.Lose(c.Batch, ledger.ErrFenced)
+			d.Runner.Drop(c.Batch, ledger.ErrFenced)
 		}
 	}
 }
 
 // orphan reports whether this instance should take over a batch: it owns the batch and does
 // not run it, or the owner is gone and this instance is its successor.
-func (d *Desk) orphan(c ledger.Claim) bool {
+func (d *Coordinator) orphan(c ledger.Claim) bool {
 	if c.Owner == d.Ledger.Self {
 		return !d.Runner.Has(c.Batch)
 	}
@@ -141,20 +141,20 @@
 		// A restarted instance resumes the batches of its previous incarnation itself.
 		return m.Incarnation != c.Owner.Incarnation && m.Incarnation == d.Ledger.Self.Incarnation
 	}
-	return d.Inherits(c.Owner.Instance)
+	return d.IsSuccessorOf(c.Owner.Instance)
 }
 
-// Inherits reports whether this instance is the successor of another one, or is that
+// IsSuccessorOf reports whether this instance is the successor of another one, or is that
 // one itself. The successor alone lists the ledger after a death; if all instances
 // did, the number of listings would grow with the square of the fleet.
-func (d *Desk) Inherits(name string) bool {
-	successor := First(registry.Without(d.Registry.Members(), name), name)
+func (d *Coordinator) IsSuccessorOf(name string) bool {
+	successor := FirstRanked(registry.Without(d.Registry.Members(), name), name)
 	return name == d.Ledger.Self.Instance || successor.Name == d.Ledger.Self.Instance
 }
 
-// First returns the able instance that ranks first for a key by rendezvous hashing, or
+// FirstRanked returns the able instance that ranks first for a key by rendezvous hashing, or
 // a member without a name if no instance is able.
-func First(members []registry.Member, key string) registry.Member {
+func FirstRanked(members []registry.Member, key string) registry.Member {
 	if first := registry.Ranked(members, key, 1); len(first) > 0 {
 		return first[0]
 	}
@@ -166,7 +166,7 @@
 // longer than the lease lasts. Taking the batch over would repeat the work that the
 // owner has done. An owner that answers gets some time to appear in the registry again,
 // by way of the other instances if it does not reach the service.
-func (d *Desk) ownerAlive(c ledger.Claim) bool {
+func (d *Coordinator) ownerAlive(c ledger.Claim) bool {
 	if c.Owner.Instance == d.Ledger.Self.Instance || c.Owner.Address == "" {
 		return false
 	}
@@ -196,15 +196,15 @@
 }
 
 // takeOver acquires a batch unless its owner turns out to be alive.
-func (d *Desk) takeOver(seen ledger.Claim) {
+func (d *Coordinator) takeOver(seen ledger.Claim) {
 	if !d.ownerAlive(seen) {
 		d.acquire(seen)
 	}
 }
 
-// Inherit acquires batches of an owner that is known to be lost and whose lease has
+// AcquireFrom acquires batches of an owner that is known to be lost and whose lease has
 // ended.
-func (d *Desk) Inherit(owner ledger.Owner, batches []string) {
+func (d *Coordinator) AcquireFrom(owner ledger.Owner, batches []string) {
 	if d.Leaving() || d.Config.Current() == nil {
 		return
 	}
@@ -214,13 +214,13 @@
 }
 
 // acquireFrom acquires a batch if it still belongs to the given owner.
-func (d *Desk) acquireFrom(owner ledger.Owner, id string) {
+func (d *Coordinator) acquireFrom(owner ledger.Owner, id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), sweepTimeout)
 	defer cancel()
 	claim, err := d.Ledger.Find(ctx, id)
 	if err != nil {
 		// The sweep that follows the end of the owner's lease tries again.
-		d.Journal.Detail("batch of a lost owner not read", log.Fields{
+		d.Journal.Debug("batch of a lost owner not read", log.Fields{
 			"request_id": id,
 			"error":      err.Error(),
 		})
@@ -233,13 +233,13 @@
 
 // acquire makes this instance the owner of a batch in the ledger, unless the owner's key
 // in the registry still exists, and resumes the batch.
-func (d *Desk) acquire(seen ledger.Claim) {
+func (d *Coordinator) acquire(seen ledger.Claim) {
 	ctx, cancel := context.WithTimeout(context.Background(), sweepTimeout)
 	defer cancel()
 	claim := seen
 	var err error
 	if seen.Owner != d.Ledger.Self {
-		aliveKey := registry.Key(seen.Owner.Instance)
+		aliveKey := registry.InstanceKey(seen.Owner.Instance)
 		if seen.Owner.Instance == d.Ledger.Self.Instance {
 			aliveKey = ""
 		}
@@ -252,7 +252,7 @@
 		return
 	}
 	if err != nil {
-		d.Journal.Trouble("take-over failed", err, log.Fields{
+		d.Journal.Warn("take-over failed", err, log.Fields{
 			"request_id": seen.Batch,
 			"owner":      seen.Owner.Instance,
 		})
@@ -261,7 +261,7 @@
 		d.takeOverFailed.Set()
 		return
 	}
-	d.announceOwner(News{
+	d.announceOwner(OwnerHint{
 		Batch: claim.Batch,
 		Owner: claim.Owner,
 	})
@@ -269,9 +269,9 @@
 
 // HandOver gives the batches of this instance, which is stopping, to other instances,
 // with the results and texts that they have so far.
-func (d *Desk) HandOver(ctx context.Context) {
+func (d *Coordinator) HandOver(ctx context.Context) {
 	for _, c := range d.Runner.Claims() {
-		to := First(d.Registry.Members(), c.Batch)
+		to := FirstRanked(d.Registry.Members(), c.Batch)
 		if to.Name == "" {
 			continue
 		}
@@ -289,7 +289,7 @@
 			"to":         to.Name,
 		}
 		if err != nil {
-			d.Journal.Trouble("hand-over not finished", err, fields)
+			d.Journal.Warn("hand-over not finished", err, fields)
 			continue
 		}
 		d.Journal.Decision("hand_over", fields)
@@ -300,7 +300,7 @@
 // write was stored, but whose wait for the answer timed out, does not know of its batch
 // until its next sweep, and the trainer would be idle for seconds. When the trainer
 // retries, the batch is found in the ledger, and with it its owner.
-func (d *Desk) ensureOwnerRuns(id string) {
+func (d *Coordinator) ensureOwnerRuns(id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), sweepTimeout)
 	defer cancel()
 	owner, err := d.findOwner(ctx, id)
@@ -316,7 +316,7 @@
 		err = d.Peers.Adopt(ctx, owner.Address, id)
 	}
 	if err != nil {
-		d.Journal.Detail("owner not told to adopt its batch", log.Fields{
+		d.Journal.Debug("owner not told to adopt its batch", log.Fields{
 			"request_id": id,
 			"owner":      owner.Instance,
 			"error":      err.Error(),
@@ -325,7 +325,7 @@
 }
 
 // Adopt begins a batch that this instance owns by the ledger and does not run yet.
-func (d *Desk) Adopt(ctx context.Context, id string) error {
+func (d *Coordinator) Adopt(ctx context.Context, id string) error {
 	if d.Runner.Has(id) {
 		return nil
 	}
--- a/internal/batch/desk/takeover_test.go
+++ b/internal/batch/coordinator/takeover_test.go
@@ -1,4 +1,4 @@
-package desk
+package coordinator
 
 import (
 	"context"
@@ -22,11 +22,11 @@
 	cfg := catalog.Configuration{
 		Version: 1,
 	}
-	d.Config.Take(cfg.WithIndex())
-	d.Runner.Holder.Take(cfg.WithIndex())
+	d.Config.Update(cfg.WithIndex())
+	d.Runner.Holder.Update(cfg.WithIndex())
 	lost := ledger.Owner{Instance: "other", Incarnation: "1", Address: "other"}
 	owner := &ledger.Ledger{
-		Space: store,
+		Store: store,
 		Self:  lost,
 	}
 	sub := &submission.Submission{
@@ -38,7 +38,7 @@
 	is.NoErr(err)
 	written, err := store.Commit(ctx, keyvalue.Transaction{
 		Writes: []keyvalue.Write{
-			{Key: registry.Key("other"), Value: []byte("{}")},
+			{Key: registry.InstanceKey("other"), Value: []byte("{}")},
 		},
 	})
 	is.NoErr(err)
@@ -46,12 +46,12 @@
 	d.acquireFrom(lost, "b")
 	is.Equal(d.Runner.Has("b"), false) // the key of its owner exists
 	_, err = store.Commit(ctx, keyvalue.Transaction{
-		Removes: []string{registry.Key("other")},
+		Removes: []string{registry.InstanceKey("other")},
 	})
 	is.NoErr(err)
 	d.acquireFrom(ledger.Owner{Instance: "third"}, "b")
 	is.Equal(d.Runner.Has("b"), false) // it has another owner
 	d.acquireFrom(lost, "gone")
-	d.Inherit(lost, []string{"b"})
+	d.AcquireFrom(lost, []string{"b"})
 	is.True(eventually(func() bool { return d.Runner.Has("b") }))
 }
--- a/internal/batch/ledger/append.go
+++ b/internal/batch/ledger/append.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return c, err
 	}
-	_, err = l.Space.Commit(ctx, tx)
+	_, err = l.Store.Commit(ctx, tx)
 	if err = checkAppended(err, chunk); err != nil {
 		return c, err
 	}
@@ -34,7 +34,7 @@
 // is unchanged.
 func (c Claim) newTransaction(progress []submission.Progress) (keyvalue.Transaction, error) {
 	tx := keyvalue.Transaction{
-		Expects: []keyvalue.Expect{
+		Expects: []keyvalue.Condition{
 			{Key: openPrefix + c.Batch, Revision: c.Revision},
 		},
 	}
@@ -57,7 +57,7 @@
 		Key:   chunkKey(c.Batch, c.Chunks),
 		Value: data,
 	}
-	tx.Expects = append(tx.Expects, keyvalue.Expect{
+	tx.Expects = append(tx.Expects, keyvalue.Condition{
 		Key: chunk.Key,
 	})
 	tx.Writes = append(tx.Writes, chunk)
@@ -68,9 +68,9 @@
 // versions and score.
 const resultOverheadBytes = 256
 
-// Fitting returns how many of the leading results make one chunk: as many as fit into
+// ChunkLen returns how many of the leading results make one chunk: as many as fit into
 // one value, and at least one.
-func Fitting(results []submission.Result) int {
+func ChunkLen(results []submission.Result) int {
 	size := 0
 	for i, r := range results {
 		size += len(r.Text) + resultOverheadBytes
@@ -133,7 +133,7 @@
 		Key:   openPrefix + c.Batch,
 		Value: owner,
 	})
-	_, err = l.Space.Commit(ctx, tx)
+	_, err = l.Store.Commit(ctx, tx)
 	if errors.Is(err, keyvalue.ErrConflict) {
 		return ErrFenced
 	}
--- a/internal/batch/ledger/append_test.go
+++ b/internal/batch/ledger/append_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/egretbend/egretbend/internal/batch/submission"
 	"github.com/egretbend/egretbend/internal/kernel/timer"
-	"github.com/egretbend/egretbend/internal/standin/space"
+	"github.com/egretbend/egretbend/internal/standin/memorystore"
 )
 
 // Guards against results that are too large for one value. While the key-value service
@@ -25,15 +25,15 @@
 	}
 	chunks := 0
 	for len(results) > 0 {
-		n := Fitting(results)
+		n := ChunkLen(results)
 		is.True(n > 0 && n*len(long.Text) <= maxValueBytes)
 		results = results[n:]
 		chunks++
 	}
 	is.Equal(chunks, 5)
 	huge := submission.Result{Text: strings.Repeat("x", 2*maxValueBytes)}
-	is.Equal(Fitting([]submission.Result{huge, huge}), 1) // at least one, whatever its size
-	is.Equal(Fitting(nil), 0)
+	is.Equal(ChunkLen([]submission.Result{huge, huge}), 1) // at least one, whatever its size
+	is.Equal(ChunkLen(nil), 0)
 }
 
 // Guards against losing all progress when it is too large for one value. A step of two
@@ -44,7 +44,7 @@
 	is := is.New(t)
 	ctx := context.Background()
 	l := &Ledger{
-		Space: &space.Space{
+		Store: &memorystore.Store{
 			Timer: timer.Real{},
 		},
 		Self:  Owner{Instance: "i", Incarnation: "1"},
--- a/internal/batch/ledger/ledger.go
+++ b/internal/batch/ledger/ledger.go
@@ -42,9 +42,9 @@
 	ErrExists = errors.New("the batch was accepted before")
 	// ErrUnknown means that there is no such batch.
 	ErrUnknown = errors.New("no such batch")
-	// ErrUnsettled means that the outcome of a write is unknown: it may be done, or may
+	// ErrOutcomeUnknown means that the outcome of a write is unknown: it may be done, or may
 	// still be done later.
-	ErrUnsettled = errors.New("it is not known whether the write was done")
+	ErrOutcomeUnknown = errors.New("it is not known whether the write was done")
 	// ErrFenced means that another process owns the batch now, or that the batch is
 	// ended.
 	ErrFenced = errors.New("the batch has another owner or is ended")
@@ -67,9 +67,9 @@
 	// Chunks is the number of chunks of results that the holder of the claim has written
 	// or read.
 	Chunks int
-	// Found reports that Accept found the batch in the ledger, accepted by this process
+	// AlreadyAccepted reports that Accept found the batch in the ledger, accepted by this process
 	// before, so that results may be stored already.
-	Found bool
+	AlreadyAccepted bool
 }
 
 // Record is everything that is stored of a batch.
@@ -84,7 +84,7 @@
 
 // Ledger reads and writes batches on behalf of one process.
 type Ledger struct {
-	Space keyvalue.Space
+	Store keyvalue.TransactionalStore
 	Self  Owner
 	// Pause waits between two lookups of a write without an answer.
 	Pause func(time.Duration)
@@ -106,7 +106,7 @@
 		return Claim{}, err
 	}
 	tx := keyvalue.Transaction{
-		Expects: []keyvalue.Expect{
+		Expects: []keyvalue.Condition{
 			{Key: openPrefix + sub.ID},
 			{Key: partKey(sub.ID, 0)},
 		},
@@ -125,7 +125,7 @@
 			Value: part,
 		})
 	}
-	rev, err := l.Space.Commit(ctx, tx)
+	rev, err := l.Store.Commit(ctx, tx)
 	var conflict *keyvalue.ConflictError
 	switch {
 	case err == nil:
@@ -136,7 +136,7 @@
 		}, nil
 	case errors.As(err, &conflict):
 		return l.claimIfOurs(conflict.Item(openPrefix+sub.ID), sub.ID)
-	case errors.Is(err, keyvalue.ErrLost):
+	case errors.Is(err, keyvalue.ErrOutcomeUnknown):
 		return l.resolveAccept(ctx, sub.ID)
 	}
 	return Claim{}, err
@@ -150,10 +150,10 @@
 		return Claim{}, ErrExists
 	}
 	return Claim{
-		Batch:    id,
-		Owner:    owner,
-		Revision: item.Revision,
-		Found:    true,
+		Batch:           id,
+		Owner:           owner,
+		Revision:        item.Revision,
+		AlreadyAccepted: true,
 	}, nil
 }
 
@@ -162,12 +162,12 @@
 // later.
 func (l *Ledger) resolveAccept(ctx context.Context, id string) (Claim, error) {
 	for range resolveAttempts {
-		item, err := l.Space.Get(ctx, openPrefix+id)
+		item, err := l.Store.Get(ctx, openPrefix+id)
 		if err == nil {
 			return l.claimIfOurs(item, id)
 		}
 		if errors.Is(err, keyvalue.ErrNotFound) {
-			if _, err := l.Space.Get(ctx, partKey(id, 0)); err == nil {
+			if _, err := l.Store.Get(ctx, partKey(id, 0)); err == nil {
 				return Claim{}, ErrExists
 			}
 		}
@@ -176,12 +176,12 @@
 		}
 		l.Pause(resolvePause)
 	}
-	return Claim{}, ErrUnsettled
+	return Claim{}, ErrOutcomeUnknown
 }
 
 // End ends a batch. It may be repeated.
 func (l *Ledger) End(ctx context.Context, id string, now time.Time) error {
-	item, err := l.Space.Get(ctx, openPrefix+id)
+	item, err := l.Store.Get(ctx, openPrefix+id)
 	if errors.Is(err, keyvalue.ErrNotFound) {
 		return l.checkEnded(ctx, id)
 	}
@@ -195,7 +195,7 @@
 // service.
 func (l *Ledger) EndClaimed(ctx context.Context, c Claim, now time.Time) error {
 	err := l.endAtRevision(ctx, c.Batch, c.Revision, now)
-	if errors.Is(err, ErrFenced) || errors.Is(err, keyvalue.ErrLost) {
+	if errors.Is(err, ErrFenced) || errors.Is(err, keyvalue.ErrOutcomeUnknown) {
 		return l.End(ctx, c.Batch, now)
 	}
 	return err
@@ -208,8 +208,8 @@
 	if err != nil {
 		return err
 	}
-	_, err = l.Space.Commit(ctx, keyvalue.Transaction{
-		Expects: []keyvalue.Expect{
+	_, err = l.Store.Commit(ctx, keyvalue.Transaction{
+		Expects: []keyvalue.Condition{
 			{Key: openPrefix + id, Revision: revision},
 		},
 		Writes: []keyvalue.Write{
@@ -229,7 +229,7 @@
 // checkEnded returns nil if the batch is ended, and ErrUnknown if there is no such
 // batch.
 func (l *Ledger) checkEnded(ctx context.Context, id string) error {
-	_, err := l.Space.Get(ctx, endedPrefix+id)
+	_, err := l.Store.Get(ctx, endedPrefix+id)
 	if errors.Is(err, keyvalue.ErrNotFound) {
 		return ErrUnknown
 	}
@@ -238,7 +238,7 @@
 
 // Find returns the claim on an open batch, or ErrUnknown.
 func (l *Ledger) Find(ctx context.Context, id string) (Claim, error) {
-	item, err := l.Space.Get(ctx, openPrefix+id)
+	item, err := l.Store.Get(ctx, openPrefix+id)
 	if errors.Is(err, keyvalue.ErrNotFound) {
 		return Claim{}, ErrUnknown
 	}
@@ -259,9 +259,9 @@
 	return c, nil
 }
 
-// Open lists the open batches.
-func (l *Ledger) Open(ctx context.Context, f keyvalue.Freshness) ([]Claim, error) {
-	listing, err := l.Space.Range(ctx, openPrefix, f)
+// OpenBatches lists the open batches.
+func (l *Ledger) OpenBatches(ctx context.Context, f keyvalue.Consistency) ([]Claim, error) {
+	listing, err := l.Store.Range(ctx, openPrefix, f)
 	if err != nil {
 		return nil, err
 	}
@@ -287,15 +287,15 @@
 	if err != nil {
 		return Claim{}, err
 	}
-	expects := []keyvalue.Expect{
+	expects := []keyvalue.Condition{
 		{Key: openPrefix + seen.Batch, Revision: seen.Revision},
 	}
 	if livenessKey != "" {
-		expects = append(expects, keyvalue.Expect{
+		expects = append(expects, keyvalue.Condition{
 			Key: livenessKey,
 		})
 	}
-	rev, err := l.Space.Commit(ctx, keyvalue.Transaction{
+	rev, err := l.Store.Commit(ctx, keyvalue.Transaction{
 		Expects: expects,
 		Writes: []keyvalue.Write{
 			{Key: openPrefix + seen.Batch, Value: owner},
@@ -313,7 +313,7 @@
 
 // Load reads everything that is stored of a batch, or returns ErrUnknown.
 func (l *Ledger) Load(ctx context.Context, id string) (*Record, error) {
-	listing, err := l.Space.Range(ctx, batchPrefix+id+"/", keyvalue.Fresh)
+	listing, err := l.Store.Range(ctx, batchPrefix+id+"/", keyvalue.Fresh)
 	if err != nil {
 		return nil, err
 	}
@@ -350,11 +350,11 @@
 	return rec, err
 }
 
-// Forget removes everything that is stored of a batch, once nobody may ask for it any
+// Delete removes everything that is stored of a batch, once nobody may ask for it any
 // more. The key that lists the batch as ended is removed last, so that a removal that
 // failed halfway is found and repeated.
-func (l *Ledger) Forget(ctx context.Context, id string) error {
-	listing, err := l.Space.Range(ctx, batchPrefix+id+"/", keyvalue.Stale)
+func (l *Ledger) Delete(ctx context.Context, id string) error {
+	listing, err := l.Store.Range(ctx, batchPrefix+id+"/", keyvalue.Stale)
 	if err != nil {
 		return err
 	}
@@ -365,7 +365,7 @@
 	keys = append(keys, endedPrefix+id)
 	for len(keys) > 0 {
 		n := min(len(keys), keyvalue.MaxEntries)
-		if _, err := l.Space.Commit(ctx, keyvalue.Transaction{
+		if _, err := l.Store.Commit(ctx, keyvalue.Transaction{
 			Removes: keys[:n],
 		}); err != nil {
 			return err
@@ -375,9 +375,9 @@
 	return nil
 }
 
-// Ended returns the ended batches with the times at which they ended.
-func (l *Ledger) Ended(ctx context.Context) (map[string]time.Time, error) {
-	listing, err := l.Space.Range(ctx, endedPrefix, keyvalue.Stale)
+// EndedBatches returns the ended batches with the times at which they ended.
+func (l *Ledger) EndedBatches(ctx context.Context) (map[string]time.Time, error) {
+	listing, err := l.Store.Range(ctx, endedPrefix, keyvalue.Stale)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/batch/ledger/proof_test.go
+++ b/internal/batch/ledger/proof_test.go
@@ -14,17 +14,17 @@
 	"github.com/egretbend/egretbend/internal/batch/submission"
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
-	"github.com/egretbend/egretbend/internal/standin/proof"
-	"github.com/egretbend/egretbend/internal/standin/space"
+	"github.com/egretbend/egretbend/internal/standin/memorystore"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
 // unconditionalSpace is a key-value service that ignores the conditions of transactions.
-type unconditionalSpace struct{ *space.Space }
+type unconditionalSpace struct{ *memorystore.Store }
 
-// Commit implements keyvalue.Space.
+// Commit implements keyvalue.TransactionalStore.
 func (c unconditionalSpace) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
 	tx.Expects = nil
-	return c.Space.Commit(ctx, tx)
+	return c.Store.Commit(ctx, tx)
 }
 
 // process is one process with its ledger and its view of the batch.
@@ -50,15 +50,15 @@
 // the service loses answers and carries out calls late. It checks what readers have
 // seen: the result at a position never changes once it was listed, and only one process
 // is told that it accepted the batch first.
-func runHistory(t *rapid.T, wrap func(*space.Space) keyvalue.Space) {
+func runHistory(t *rapid.T, wrap func(*memorystore.Store) keyvalue.TransactionalStore) {
 	clock := &timer.Manual{}
-	store := &space.Space{
+	store := &memorystore.Store{
 		Timer: clock,
 	}
-	fault := space.None
-	store.Fault = func(c space.Call) space.Fault {
-		if c != space.Commit {
-			return space.None
+	fault := memorystore.None
+	store.Fault = func(c memorystore.Operation) memorystore.Fault {
+		if c != memorystore.Commit {
+			return memorystore.None
 		}
 		return fault
 	}
@@ -66,7 +66,7 @@
 	for i := range 3 {
 		owners = append(owners, &process{
 			ledger: ledger.Ledger{
-				Space: wrap(store),
+				Store: wrap(store),
 				Self: ledger.Owner{
 					Instance:    fmt.Sprint("instance-", i),
 					Incarnation: "1",
@@ -96,7 +96,7 @@
 	}
 	made := 0
 	for range rapid.IntRange(1, 40).Draw(t, "steps") {
-		fault = rapid.SampledFrom([]space.Fault{space.None, space.None, space.Down, space.LostBefore, space.LostAfter, space.Late}).Draw(t, "fault")
+		fault = rapid.SampledFrom([]memorystore.Fault{memorystore.None, memorystore.None, memorystore.Down, memorystore.LostBefore, memorystore.LostAfter, memorystore.Delayed}).Draw(t, "fault")
 		o := rapid.SampledFrom(owners).Draw(t, "owner")
 		switch rapid.SampledFrom([]string{"accept", "append", "append", "take", "read", "settle", "end"}).Draw(t, "action") {
 		case "accept":
@@ -107,7 +107,7 @@
 			if err != nil {
 				continue
 			}
-			if !c.Found {
+			if !c.AlreadyAccepted {
 				accepted[o] = true
 			}
 			o.becomeOwner(t, c)
@@ -144,7 +144,7 @@
 				read(rec.Results)
 			}
 		case "settle":
-			store.Settle()
+			store.ApplyLate()
 		case "end":
 			_ = o.ledger.End(ctx, "b", time.Unix(1, 0))
 		}
@@ -159,15 +159,15 @@
 // writes seconds later. A trainer that has read a result at a position must find it
 // there forever, at any instance.
 func TestPositionsNeverChange(t *testing.T) {
-	proof.Check(t, func(t *rapid.T) {
-		runHistory(t, func(s *space.Space) keyvalue.Space { return s })
+	property.Check(t, func(t *rapid.T) {
+		runHistory(t, func(s *memorystore.Store) keyvalue.TransactionalStore { return s })
 	})
 }
 
 // Shows that the property depends on the conditions: without those on claim and chunk,
 // an owner that was paused overwrites what its successor has listed.
 func TestPositionsChangeWithoutConditions(t *testing.T) {
-	proof.Refute(t, func(t *rapid.T) {
-		runHistory(t, func(s *space.Space) keyvalue.Space { return unconditionalSpace{s} })
+	property.CheckFails(t, func(t *rapid.T) {
+		runHistory(t, func(s *memorystore.Store) keyvalue.TransactionalStore { return unconditionalSpace{s} })
 	})
 }
--- a/internal/batch/runner/backoff_test.go
+++ b/internal/batch/runner/backoff_test.go
@@ -19,10 +19,10 @@
 func TestItemThatCrashesEnginesIsDelayed(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int32
-	b := newTestBench(t, func(_ context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		if g.Item.ID == "bad" {
 			runs.Add(1)
-			return engine.ErrCut
+			return engine.ErrConnectionLost
 		}
 		return emitEvents(0, 1, 5, emit)
 	})
@@ -38,14 +38,14 @@
 // other, although it made progress at each.
 func TestItemWithProgressIsNotDelayed(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		if g.After == 9 {
 			return emitEvents(9, 10, 5, emit)
 		}
 		if err := emitEvents(g.After, g.After+1, 5, emit); err != nil {
 			return err
 		}
-		return engine.ErrBroken
+		return engine.ErrIncompleteResponse
 	})
 	is.NoErr(b.submit("x"))
 	start := b.clock.Now()
--- a/internal/batch/runner/batch.go
+++ b/internal/batch/runner/batch.go
@@ -161,7 +161,7 @@
 // that were just listed. The caller holds b.mu.
 func (b *Batch) answersReads(now timer.Instant) bool {
 	if b.stepDoneAt == 0 {
-		return b.open == 0 || schedule.Tell(b.describePending(now))
+		return b.open == 0 || schedule.ShouldAnswerReads(b.describePending(now))
 	}
 	// The results that end the step may not be written yet. If the trainer were
 	// answered with other results, it would see those that end the step half a
@@ -193,15 +193,15 @@
 // scheduled. The caller holds b.mu.
 func (b *Batch) describePending(now timer.Instant) schedule.Pending {
 	return schedule.Pending{
-		Results: len(b.pending),
-		Whole:   b.pendingCompletesGroup,
-		Last:    b.open == 0,
-		Oldest:  now.Sub(b.oldestPendingAt),
+		Results:        len(b.pending),
+		CompletesGroup: b.pendingCompletesGroup,
+		NoMoreResults:  b.open == 0,
+		OldestAge:      now.Sub(b.oldestPendingAt),
 
-		WholeGroups: b.completeGroups,
-		Wanted:      b.sub.WantedGroups,
-		Again:       len(b.carriedOver),
-		Reading:     b.describeRead(now),
+		WholeGroups:  b.completeGroups,
+		WantedGroups: b.sub.WantedGroups,
+		CarriedOver:  len(b.carriedOver),
+		Reading:      b.describeRead(now),
 	}
 }
 
--- a/internal/batch/runner/changes.go
+++ b/internal/batch/runner/changes.go
@@ -10,8 +10,8 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// Copies finds the copy of what an earlier owner had made of a batch.
-type Copies interface {
+// CopyFinder finds the copy of what an earlier owner had made of a batch.
+type CopyFinder interface {
 	Find(ctx context.Context, batch string) standby.Copy
 }
 
@@ -39,7 +39,7 @@
 }
 
 // Changes implements standby.Work.
-func (r *Runner) Changes(since standby.Marks) (open []string, deltas []standby.Delta, updated standby.Marks) {
+func (r *Runner) Changes(since standby.Marks) (open []string, deltas []standby.BatchDelta, updated standby.Marks) {
 	batches := r.allBatches()
 	updated = make(standby.Marks, len(batches))
 	for _, b := range batches {
@@ -59,8 +59,8 @@
 
 // changesSince returns what has changed since the given marks, and the marks of a
 // receiver that has these changes. The caller holds b.mu.
-func (b *Batch) changesSince(since map[string]int) (standby.Delta, map[string]int) {
-	d := standby.Delta{
+func (b *Batch) changesSince(since map[string]int) (standby.BatchDelta, map[string]int) {
+	d := standby.BatchDelta{
 		Batch: b.sub.ID,
 		Whole: since == nil,
 	}
@@ -69,8 +69,8 @@
 		mark, known := since[id]
 		switch {
 		case t.phase == finished:
-			marks[id] = standby.Done
-			if mark != standby.Done && !t.stored {
+			marks[id] = standby.ResultReceived
+			if mark != standby.ResultReceived && !t.stored {
 				d.Pieces = append(d.Pieces, t.resultPiece(mark))
 			}
 		case t.lastEvent > 0 || t.failures > 0 || known && mark > 0:
@@ -80,7 +80,7 @@
 			}
 			marks[id] = t.lastEvent
 			if mark < t.lastEvent || since[id] > t.lastEvent || t.failures > 0 {
-				d.Pieces = append(d.Pieces, standby.Piece{
+				d.Pieces = append(d.Pieces, standby.ItemDelta{
 					Item:     id,
 					From:     mark,
 					Events:   slices.Clone(t.events[mark:]),
@@ -96,9 +96,9 @@
 // resultPiece returns the result of a finished item for a receiver that has the
 // first mark events of it. Where the events are known here, those that the
 // receiver lacks are sent in place of the text.
-func (t *task) resultPiece(mark int) standby.Piece {
+func (t *task) resultPiece(mark int) standby.ItemDelta {
 	end := *t.final
-	p := standby.Piece{
+	p := standby.ItemDelta{
 		Item:   t.item.ID,
 		Result: &end,
 	}
--- a/internal/batch/runner/changes_test.go
+++ b/internal/batch/runner/changes_test.go
@@ -15,13 +15,13 @@
 	"github.com/egretbend/egretbend/internal/outside/engine"
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 	"github.com/egretbend/egretbend/internal/route/catalog"
-	"github.com/egretbend/egretbend/internal/standin/space"
+	"github.com/egretbend/egretbend/internal/standin/memorystore"
 )
 
 // fixedCopies finds the same copy of any batch.
 type fixedCopies standby.Copy
 
-// Find implements Copies.
+// Find implements CopyFinder.
 func (c fixedCopies) Find(context.Context, string) standby.Copy { return standby.Copy(c) }
 
 // Guards against texts that are generated again although the owner's successor
@@ -30,19 +30,19 @@
 	is := is.New(t)
 	var mu sync.Mutex
 	after := map[string]int{}
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		mu.Lock()
 		after[g.Item.ID] = g.After
 		mu.Unlock()
 		return emitEvents(g.After, 6, 5, emit)
 	})
 	other := &ledger.Ledger{
-		Space: b.store,
+		Store: b.store,
 		Self:  ledger.Owner{Instance: "lost", Incarnation: "1"},
 	}
 	seen, err := other.Accept(context.Background(), b.newSubmission("x", "y", "z"))
 	is.NoErr(err)
-	b.runner.Copies = fixedCopies{
+	b.runner.CopyFinder = fixedCopies{
 		Results: []submission.Result{
 			{Item: "x", State: submission.Completed, Text: "whole", Versions: []uint64{5}, Score: "proof"},
 			{Item: "of another batch", State: submission.Completed},
@@ -86,7 +86,7 @@
 	is.Equal(len(d.Pieces), 1)
 	is.Equal(d.Pieces[0].Result.Text, "e1\ne2")
 	is.Equal(len(d.Pieces[0].Events), 0)
-	is.Equal(marks["x"], standby.Done)
+	is.Equal(marks["x"], standby.ResultReceived)
 }
 
 // Guards against the loss of all texts of a batch whose owner stops while the
@@ -94,7 +94,7 @@
 // keep their copies.
 func TestFailedHandOverKeepsCopies(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Attempt, emit func(Event) error) error {
 		if err := emitEvents(0, 3, 5, emit); err != nil {
 			return err
 		}
@@ -106,9 +106,9 @@
 		_, news, _ := b.runner.Changes(nil)
 		return len(news) == 1 && len(news[0].Pieces) == 1 && len(news[0].Pieces[0].Events) == 3
 	}))
-	b.store.Fault = func(space.Call) space.Fault { return space.Down }
+	b.store.Fault = func(memorystore.Operation) memorystore.Fault { return memorystore.Down }
 	err := b.runner.HandOver(context.Background(), "b", ledger.Owner{Instance: "next"})
-	is.True(errors.Is(err, keyvalue.ErrDown))
+	is.True(errors.Is(err, keyvalue.ErrUnavailable))
 	open, news, _ := b.runner.Changes(nil)
 	is.Equal(open, []string{"b"})
 	is.Equal(len(news[0].Pieces[0].Events), 3)
@@ -119,7 +119,7 @@
 func TestChangesContainOnlyNewPieces(t *testing.T) {
 	is := is.New(t)
 	goOn := make(chan struct{})
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		if err := emitEvents(0, 3, 5, emit); err != nil || g.Item.ID == "x" {
 			return err
 		}
@@ -148,7 +148,7 @@
 	var runs atomic.Int32
 	owner := func(fails int32) *testBench {
 		failUntil := runs.Load() + fails
-		return newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Generation, _ func(Event) error) error {
+		return newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Attempt, _ func(Event) error) error {
 			if runs.Load() < failUntil {
 				runs.Add(1)
 				return engine.ErrAttemptFailed
@@ -163,7 +163,7 @@
 	var copies standby.Copies
 	is.True(eventually(func() bool {
 		open, news, _ := first.runner.Changes(nil)
-		is.NoErr(copies.Take(standby.Heartbeat{Open: open, Deltas: news}, 1))
+		is.NoErr(copies.Apply(standby.Heartbeat{Open: open, Deltas: news}, 1))
 		found, _ := copies.Find("b")
 		return len(found.Progress) == 1
 	}))
@@ -171,12 +171,12 @@
 
 	second := owner(10)
 	other := &ledger.Ledger{
-		Space: second.store,
+		Store: second.store,
 		Self:  ledger.Owner{Instance: "lost", Incarnation: "1"},
 	}
 	seen, err := other.Accept(context.Background(), second.newSubmission("bad"))
 	is.NoErr(err)
-	second.runner.Copies = fixedCopies(found)
+	second.runner.CopyFinder = fixedCopies(found)
 	claim, err := second.runner.Ledger.TakeOver(context.Background(), seen, "")
 	is.NoErr(err)
 	is.NoErr(second.runner.Adopt(context.Background(), claim))
--- a/internal/batch/runner/dispatch.go
+++ b/internal/batch/runner/dispatch.go
@@ -53,7 +53,7 @@
 		if picked < 0 {
 			return
 		}
-		engines[picked].Room--
+		engines[picked].FreeSlots--
 		engines[picked].Reserved += need.Memory
 		b.queue = slices.Delete(b.queue, i, i+1)
 		r.startAttempt(b, t, candidates[picked].u, need, now)
@@ -77,15 +77,15 @@
 	t.reserved = need.Memory
 	u.Reserve(t.reserved)
 	u.Begin()
-	g := Generation{
-		Batch:  b.sub,
-		Item:   t.item,
-		Route:  b.route,
-		After:  t.lastEvent,
-		Oldest: b.sub.OldestVersion,
-		Left:   b.timeLeft(now),
-		Urgent: !need.Short() || b.carriedOver[t.item.Group],
-		Heard:  func(report engine.Report) { u.Heard(report, r.Timer.Now()) },
+	g := Attempt{
+		Batch:         b.sub,
+		Item:          t.item,
+		Route:         b.route,
+		After:         t.lastEvent,
+		OldestVersion: b.sub.OldestVersion,
+		TimeLeft:      b.timeLeft(now),
+		Urgent:        !need.Short() || b.carriedOver[t.item.Group],
+		OnLoadReport:  func(report engine.LoadReport) { u.RecordReport(report, r.Timer.Now()) },
 	}
 	go func() {
 		defer cancel()
@@ -118,7 +118,7 @@
 	}
 	now := r.Timer.Now()
 	t.timings.addPause(now.Sub(t.lastEventAt), b.medianPace)
-	t.upstream.Made(now)
+	t.upstream.RecordEvent(now)
 	if !t.addEvent(e, now) {
 		return errOutOfOrder
 	}
@@ -160,7 +160,7 @@
 		})
 	}
 	switch {
-	case errors.Is(err, engine.ErrImpossible):
+	case errors.Is(err, engine.ErrUnservable):
 		r.markDead(b, t, "impossible", now)
 	case errors.Is(err, engine.ErrAttemptFailed):
 		t.failures++
@@ -169,7 +169,7 @@
 		}
 	case errors.Is(err, errStaleWeights):
 		t.discardEvents()
-	case errors.Is(err, engine.ErrBroken) && !t.moving && t.attemptEvents == 0:
+	case errors.Is(err, engine.ErrIncompleteResponse) && !t.moving && t.attemptEvents == 0:
 		t.backoff.engineLost(now)
 	}
 	if t.phase != finished {
@@ -187,16 +187,16 @@
 	var refused *engine.RefusedError
 	pace, _ := t.pace(minPaceEvents)
 	switch {
-	case err == nil, errors.Is(err, engine.ErrAttemptFailed), errors.Is(err, engine.ErrImpossible):
-		u.Measured(pace, now)
+	case err == nil, errors.Is(err, engine.ErrAttemptFailed), errors.Is(err, engine.ErrUnservable):
+		u.RecordPace(pace, now)
 		u.Succeeded(0)
 	case errors.Is(err, engine.ErrMisdirected):
 		u.MarkLeaving()
-		u.Ended()
+		u.Cancelled()
 	case errors.As(err, &refused), errors.Is(err, errStaleWeights):
-		u.Rest(now)
-		u.Ended()
-	case t.moving && t.stalled && !u.Lives(now):
+		u.RecordRefusal(now)
+		u.Cancelled()
+	case t.moving && t.stalled && !u.Alive(now):
 		// None of the engine's streams has made an event lately: it does not
 		// respond at all. If this counted like an ordinary failure, the engine
 		// would get and delay five more items.
@@ -204,10 +204,10 @@
 	case t.moving && t.stalled:
 		u.Failed(now)
 	case t.moving:
-		u.Measured(pace, now)
-		u.Ended()
+		u.RecordPace(pace, now)
+		u.Cancelled()
 	case errors.Is(err, context.Canceled):
-		u.Ended()
+		u.Cancelled()
 	case errors.Is(err, engine.ErrNotSent):
 		u.Unreachable(now)
 	default:
@@ -250,11 +250,11 @@
 	scored := t.timings.lap(now)
 	t.timings.scored += scored
 	if t.item.Reward != nil {
-		r.scoring.Took(scored)
+		r.scoring.Record(scored)
 	}
 	r.Metrics.itemFinished(now.Sub(b.startedAt))
-	r.lengths.Finished(t.item.Estimate(), t.lastEvent)
-	r.lengths.Capped(t.item.MostTokens, t.lastEvent)
+	r.lengths.Record(t.item.Estimate(), t.lastEvent)
+	r.lengths.RecordLimited(t.item.MostTokens, t.lastEvent)
 	fields := log.Fields{
 		"request_id": t.item.ID,
 		"batch":      b.sub.ID,
@@ -272,9 +272,9 @@
 	b.finish(t, t.result(score), now)
 }
 
-// Lose drops a batch that another process took over or ended, or that is not to
+// Drop drops a batch that another process took over or ended, or that is not to
 // be run here any longer.
-func (r *Runner) Lose(id string, err error) {
+func (r *Runner) Drop(id string, err error) {
 	b := r.find(id)
 	if b == nil {
 		return
@@ -287,7 +287,7 @@
 	r.mu.Lock()
 	delete(r.batches, b.sub.ID)
 	r.mu.Unlock()
-	r.Journal.Trouble("batch lost", err, log.Fields{
+	r.Journal.Warn("batch lost", err, log.Fields{
 		"request_id": b.sub.ID,
 	})
 }
--- a/internal/batch/runner/doc.go
+++ b/internal/batch/runner/doc.go
@@ -1,7 +1,7 @@
 // Package runner runs the batches that this process owns.
 //
-//	err := r.Submit(ctx, sub, route)       // accepted and started, or ledger.ErrExists
-//	page, err := r.Read(ctx, id, 0, wait)  // ErrNotHere if another process runs it
+//	err := r.Submit(ctx, sub, route)      // accepted and started, or ledger.ErrExists
+//	page, err := r.Read(ctx, id, 0, wait) // ErrNotRunHere if another process runs it
 //	err = r.End(ctx, id)
 //
 // A Runner starts one attempt for each item of a Batch: the Generator streams
--- a/internal/batch/runner/engines.go
+++ b/internal/batch/runner/engines.go
@@ -15,13 +15,13 @@
 	u *catalog.Upstream
 }
 
-// Division tells which engines are assigned to which model while several models
+// EngineAssignment tells which engines are assigned to which model while several models
 // are in use.
-type Division interface {
-	// Sets returns the model that each engine of a service is assigned to, by the
+type EngineAssignment interface {
+	// ModelsByEngine returns the model that each engine of a service is assigned to, by the
 	// engine's ID, or nil if every engine serves all models. sure says that this
 	// instance has heard of the current steps of all models by now.
-	Sets(service string, sure bool) map[string]string
+	ModelsByEngine(service string, sure bool) map[string]string
 }
 
 // stepPropagationTime is the longest time until all instances know of a new step.
@@ -30,10 +30,10 @@
 // engineModels returns the model that each engine of the batch's service is
 // assigned to, by the engine's ID, or nil if every engine serves all models.
 func (r *Runner) engineModels(b *Batch, now timer.Instant) map[string]string {
-	if r.Division == nil || b.sub.Model == "" {
+	if r.EngineAssignment == nil || b.sub.Model == "" {
 		return nil
 	}
-	return r.Division.Sets(b.service, now.Sub(b.startedAt) >= stepPropagationTime)
+	return r.EngineAssignment.ModelsByEngine(b.service, now.Sub(b.startedAt) >= stepPropagationTime)
 }
 
 // isLent reports whether an engine that is assigned to the given model is only
@@ -43,10 +43,10 @@
 // freeSlots returns how many more requests an engine takes. One that refused a
 // request a moment ago takes none.
 func freeSlots(u *catalog.Upstream, now timer.Instant) float64 {
-	if u.Resting(now) {
+	if u.BackingOff(now) {
 		return 0
 	}
-	return u.Room(now)
+	return u.FreeSlots(now)
 }
 
 // neverReported is the age of the load report of an engine that has sent none.
@@ -68,14 +68,14 @@
 	candidates := r.usableCandidates(b, now)
 	own := 0
 	for _, c := range candidates {
-		if !c.Lent {
+		if !c.OtherModel {
 			own += c.Slots
 		}
 	}
-	if !schedule.Crowds(b.open, own) {
+	if !schedule.CrowdsOwnEngines(b.open, own) {
 		return candidates
 	}
-	return slices.DeleteFunc(candidates, func(c candidate) bool { return !c.Open() })
+	return slices.DeleteFunc(candidates, func(c candidate) bool { return !c.OpenToCrowdedStep() })
 }
 
 // usableCandidates returns the usable engines whose weights are new enough for
@@ -95,14 +95,14 @@
 		}
 		candidates = append(candidates, candidate{
 			Engine: schedule.Engine{
-				Room:     freeSlots(u, now),
-				Slots:    max(1, u.Slots),
-				Pace:     u.Against(medianPace, now),
-				Near:     u.FailureDomain == r.FailureDomain,
-				Memory:   memory,
-				Reserved: u.Reserved(),
-				Lent:     b.isLent(models[u.ID]),
-				Told:     reportAge(u, now),
+				FreeSlots:         freeSlots(u, now),
+				Slots:             max(1, u.Slots),
+				Pace:              u.RelativePace(medianPace, now),
+				SameFailureDomain: u.FailureDomain == r.FailureDomain,
+				Memory:            memory,
+				Reserved:          u.Reserved(),
+				OtherModel:        b.isLent(models[u.ID]),
+				ReportAge:         reportAge(u, now),
 			},
 			u: u,
 		})
@@ -142,10 +142,10 @@
 		if avoid == nil || candidates[i].u != avoid {
 			continue
 		}
-		saved := engines[i].Room
-		engines[i].Room = 0
+		saved := engines[i].FreeSlots
+		engines[i].FreeSlots = 0
 		picked := schedule.Pick(engines, need)
-		engines[i].Room = saved
+		engines[i].FreeSlots = saved
 		if picked >= 0 {
 			return picked
 		}
@@ -158,9 +158,9 @@
 func (r *Runner) needOf(b *Batch, t *task, medianPace time.Duration, now timer.Instant) schedule.Need {
 	left := max(0, r.lengths.Events(t.tokens)-float64(t.lastEvent))
 	return schedule.Need{
-		Lasts:   time.Duration(left * float64(medianPace)),
-		Waited:  now.Sub(b.startedAt),
-		Hurried: b.overloaded,
-		Memory:  t.memoryNeed(),
+		ExpectedDuration: time.Duration(left * float64(medianPace)),
+		Waited:           now.Sub(b.startedAt),
+		Overloaded:       b.overloaded,
+		Memory:           t.memoryNeed(),
 	}
 }
--- a/internal/batch/runner/estimate.go
+++ b/internal/batch/runner/estimate.go
@@ -14,12 +14,12 @@
 	if b.sub.WantedGroups == 0 || b.stepDoneAt != 0 || b.medianPace <= 0 || !r.lengths.Known() {
 		return
 	}
-	e := schedule.Ending{
-		Missing: b.sub.WantedGroups - b.completeGroups,
+	e := schedule.StepEnd{
+		MissingGroups: b.sub.WantedGroups - b.completeGroups,
 	}
 	for group, left := range r.groupTimesLeft(b, now) {
 		if b.carriedOver[group] {
-			e.Again = append(e.Again, left)
+			e.CarriedOver = append(e.CarriedOver, left)
 		} else {
 			e.Groups = append(e.Groups, left)
 		}
@@ -60,13 +60,13 @@
 // generated. The caller holds b.mu.
 func (r *Runner) generationTimeLeft(b *Batch, t *task, now timer.Instant) time.Duration {
 	p := schedule.Progress{
-		Made:     t.lastEvent,
-		Expected: r.lengths.Events(t.tokens),
-		Most:     r.lengths.Most(t.item.MostTokens),
+		TotalEvents:    t.lastEvent,
+		ExpectedEvents: r.lengths.Events(t.tokens),
+		MaxEvents:      r.lengths.MaxEvents(t.item.MostTokens),
 	}
 	pace := b.medianPace.Seconds()
 	if t.phase == running {
-		pace *= t.upstream.Against(b.medianPace.Seconds(), now)
+		pace *= t.upstream.RelativePace(b.medianPace.Seconds(), now)
 	}
 	return time.Duration(p.Remaining() * pace * float64(time.Second))
 }
--- a/internal/batch/runner/list_test.go
+++ b/internal/batch/runner/list_test.go
@@ -60,14 +60,14 @@
 			Text: strings.Repeat("x", 130<<10),
 		})
 	}
-	p := PageOf(20, listed, 12)
+	p := NewPage(20, listed, 12)
 	is.Equal(p.Next, 18)
 	data, err := json.Marshal(p.Results)
 	is.NoErr(err)
 	is.True(len(data) < 1_000_000) // the most that callers accept
-	is.Equal(PageOf(20, listed, 18).Next, 20)
+	is.Equal(NewPage(20, listed, 18).Next, 20)
 	large := []submission.Result{{Text: strings.Repeat("x", 2<<20)}}
-	is.Equal(PageOf(1, large, 0).Next, 1) // at least one
+	is.Equal(NewPage(1, large, 0).Next, 1) // at least one
 }
 
 // Guards against a read that is answered, near the end of a step, with results
--- a/internal/batch/runner/move.go
+++ b/internal/batch/runner/move.go
@@ -19,7 +19,7 @@
 			continue
 		}
 		if pace, ok := t.pace(paceEvents); ok {
-			t.upstream.Measured(pace, now)
+			t.upstream.RecordPace(pace, now)
 		}
 	}
 }
@@ -28,14 +28,14 @@
 // batch's lock.
 func (r *Runner) progressOf(t *task, medianPace time.Duration, now timer.Instant) schedule.Progress {
 	return schedule.Progress{
-		Waited:   now.Sub(t.lastEventAt),
-		Ran:      now.Sub(t.attemptStart),
-		Events:   t.attemptEvents,
-		Made:     t.lastEvent,
-		Moves:    t.moves,
-		Expected: r.lengths.Events(t.tokens),
-		Most:     r.lengths.Most(t.item.MostTokens),
-		Pace:     t.upstream.Against(medianPace.Seconds(), now),
+		SinceLastEvent: now.Sub(t.lastEventAt),
+		Ran:            now.Sub(t.attemptStart),
+		Events:         t.attemptEvents,
+		TotalEvents:    t.lastEvent,
+		Moves:          t.moves,
+		ExpectedEvents: r.lengths.Events(t.tokens),
+		MaxEvents:      r.lengths.MaxEvents(t.item.MostTokens),
+		Pace:           t.upstream.RelativePace(medianPace.Seconds(), now),
 	}
 }
 
@@ -55,17 +55,17 @@
 		to := -1
 		for i := range candidates {
 			e := &candidates[i]
-			if e.u != t.upstream && e.Room >= 1 && e.Pace <= maxRescuePace {
+			if e.u != t.upstream && e.FreeSlots >= 1 && e.Pace <= maxRescuePace {
 				to = i
 				break
 			}
 		}
 		p := r.progressOf(t, medianPace, now)
-		if !schedule.Move(p, medianPace, to >= 0) {
+		if !schedule.ShouldMove(p, medianPace, to >= 0) {
 			continue
 		}
-		candidates[to].Room--
-		t.stalled = p.Waited > medianPace*3
+		candidates[to].FreeSlots--
+		t.stalled = p.SinceLastEvent > medianPace*3
 		r.moveItem(b, t, p, medianPace, "failing")
 	}
 }
@@ -98,7 +98,7 @@
 			continue
 		}
 		p := r.progressOf(t, medianPace, now)
-		if gain := schedule.Gain(p, medianPace, engines[to].Pace); gain > 0 {
+		if gain := schedule.MoveGain(p, medianPace, engines[to].Pace); gain > 0 {
 			moves = append(moves, proposedMove{
 				t:    t,
 				p:    p,
@@ -109,10 +109,10 @@
 	sort.Slice(moves, func(i, j int) bool { return moves[i].gain > moves[j].gain })
 	for _, m := range moves {
 		to := pickAvoiding(engines, candidates, m.t.upstream, schedule.Need{})
-		if to < 0 || schedule.Gain(m.p, medianPace, engines[to].Pace) == 0 {
+		if to < 0 || schedule.MoveGain(m.p, medianPace, engines[to].Pace) == 0 {
 			return
 		}
-		engines[to].Room--
+		engines[to].FreeSlots--
 		m.t.stalled = false
 		r.moveItem(b, m.t, m.p, medianPace, "faster")
 	}
@@ -132,7 +132,7 @@
 		"from":       t.upstream.ID,
 		"why":        reason,
 		"after":      t.lastEvent,
-		"waited_ms":  p.Waited.Milliseconds(),
+		"waited_ms":  p.SinceLastEvent.Milliseconds(),
 		"ran_ms":     p.Ran.Milliseconds(),
 		"events":     p.Events,
 		"pace":       p.Pace,
--- a/internal/batch/runner/move_test.go
+++ b/internal/batch/runner/move_test.go
@@ -19,7 +19,7 @@
 	is := is.New(t)
 	const length = 100
 	var b *testBench
-	b = newTestBench(t, func(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b = newTestBench(t, func(ctx context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		if u.ID != "old" {
 			return emitEvents(g.After, length, 5, emit)
 		}
@@ -33,11 +33,11 @@
 		}
 		return nil
 	})
-	b.runner.Book.Update([]catalog.Listed{
+	b.runner.Book.Update([]catalog.Entry{
 		{ID: "old", Service: "s", Address: "old", Slots: 2, Versions: map[string]uint64{"m": 5}},
 		{ID: "three", Service: "s", Address: "three", Slots: 2, Versions: map[string]uint64{"m": 5}},
 	}, nil)
-	b.runner.lengths.Finished(80*length, length)
+	b.runner.lengths.Record(80*length, length)
 	var fast []*catalog.Upstream
 	for _, u := range b.runner.Book.Group("s").Upstreams {
 		pace := 50 * time.Millisecond
@@ -48,7 +48,7 @@
 			u.Begin()
 			u.Begin()
 		}
-		u.Measured(pace, b.clock.Now())
+		u.RecordPace(pace, b.clock.Now())
 	}
 	sub := b.newSubmission("x")
 	sub.Items[0].ExpectedTokens = 80 * length
@@ -59,7 +59,7 @@
 		return len(b.generator.calls) == 1
 	})
 	timer.Wait(timer.Real{}, 30*time.Millisecond, nil) // the old engine makes some events
-	fast[0].Ended()
+	fast[0].Cancelled()
 	got := b.waitForResults(1)
 	is.Equal(len(got), 1)
 	b.generator.mu.Lock()
@@ -92,7 +92,7 @@
 // each further item would stall there for a third of a second.
 func TestUnresponsiveEngineGetsNoMoreItems(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(ctx context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		if u.ID == "one" {
 			<-ctx.Done()
 			return ctx.Err()
@@ -103,7 +103,7 @@
 	is.Equal(len(b.waitForResults(3)), 3)
 	for _, u := range b.runner.Book.Group("s").Upstreams {
 		if u.ID == "one" {
-			is.True(u.Out(b.clock.Now()))
+			is.True(u.Ejected(b.clock.Now()))
 		}
 	}
 }
--- a/internal/batch/runner/prepare.go
+++ b/internal/batch/runner/prepare.go
@@ -21,12 +21,12 @@
 // requested any longer.
 var errNotRequested = errors.New("the batch is not stored and no longer requested")
 
-// Prepare starts a batch that can't be stored now because the key-value service
+// StartUnstored starts a batch that can't be stored now because the key-value service
 // is unavailable. Nothing of the batch can be read before it is stored, and the
 // caller must not be told that it has not run. The trainer waits until the
 // service is back. Since the items are generated in the meantime, its step then
 // ends as if the batch had been accepted at once.
-func (r *Runner) Prepare(sub *submission.Submission, route catalog.Route) {
+func (r *Runner) StartUnstored(sub *submission.Submission, route catalog.Route) {
 	now := r.Timer.Now()
 	if b := r.find(sub.ID); b != nil && !b.isLost() {
 		b.mu.Lock()
@@ -40,8 +40,8 @@
 	r.startBatch(b, route, "prepare")
 }
 
-// Prepared reports whether a batch runs here without being stored.
-func (r *Runner) Prepared(id string) bool {
+// RunsUnstored reports whether a batch runs here without being stored.
+func (r *Runner) RunsUnstored(id string) bool {
 	b := r.find(id)
 	if b == nil {
 		return false
@@ -86,7 +86,7 @@
 	unstored := b.unstored
 	b.mu.Unlock()
 	if unstored {
-		r.Lose(id, cause)
+		r.Drop(id, cause)
 	}
 }
 
--- a/internal/batch/runner/prepare_property_test.go
+++ b/internal/batch/runner/prepare_property_test.go
@@ -11,8 +11,8 @@
 	"github.com/egretbend/egretbend/internal/batch/ledger"
 	"github.com/egretbend/egretbend/internal/batch/submission"
 	"github.com/egretbend/egretbend/internal/route/catalog"
-	"github.com/egretbend/egretbend/internal/standin/proof"
-	"github.com/egretbend/egretbend/internal/standin/space"
+	"github.com/egretbend/egretbend/internal/standin/memorystore"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
 // historyCount is the number of random histories that the test runs; each takes
@@ -25,39 +25,39 @@
 // can be read again after any crash. At the end, if this instance has the batch,
 // each of its items must be there once.
 func TestPreparedBatchShowsOnlyStoredResults(t *testing.T) {
-	proof.CheckN(t, historyCount, func(rt *rapid.T) {
+	property.CheckN(t, historyCount, func(rt *rapid.T) {
 		is := is.New(t)
 		ctx := context.Background()
-		b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+		b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
 			return emitEvents(g.After, 3, 5, emit)
 		})
 		var fault atomic.Int32
-		b.store.Fault = func(space.Call) space.Fault { return space.Fault(fault.Load()) }
+		b.store.Fault = func(memorystore.Operation) memorystore.Fault { return memorystore.Fault(fault.Load()) }
 		sub := b.newSubmission("x", "y", "z")
 		other := &ledger.Ledger{
-			Space: b.store,
+			Store: b.store,
 			Self: ledger.Owner{
 				Instance: "other",
 			},
 			Pause: b.runner.Ledger.Pause,
 		}
 		for range rapid.IntRange(1, 12).Draw(rt, "steps") {
-			fault.Store(int32(rapid.IntRange(int(space.None), int(space.Late)).Draw(rt, "fault")))
+			fault.Store(int32(rapid.IntRange(int(memorystore.None), int(memorystore.Delayed)).Draw(rt, "fault")))
 			switch rapid.IntRange(0, 4).Draw(rt, "action") {
 			case 0, 1:
 				if b.runner.Submit(ctx, sub, b.route) != nil {
-					b.runner.Prepare(sub, b.route)
+					b.runner.StartUnstored(sub, b.route)
 				}
 			case 2:
 				_, _ = other.Accept(ctx, sub)
 			case 3:
-				b.store.Settle()
+				b.store.ApplyLate()
 			case 4:
 				page, err := b.runner.Read(ctx, "b", 0, 0)
 				if err != nil {
 					continue
 				}
-				fault.Store(int32(space.None))
+				fault.Store(int32(memorystore.None))
 				rec, err := b.runner.Ledger.Load(ctx, "b")
 				is.NoErr(err)
 				is.True(len(rec.Results) >= len(page.Results))
@@ -66,8 +66,8 @@
 				}
 			}
 		}
-		fault.Store(int32(space.None))
-		b.store.Settle()
+		fault.Store(int32(memorystore.None))
+		b.store.ApplyLate()
 		_ = b.runner.Submit(ctx, sub, b.route)
 		claim, err := b.runner.Ledger.Find(ctx, "b")
 		is.NoErr(err)
--- a/internal/batch/runner/prepare_test.go
+++ b/internal/batch/runner/prepare_test.go
@@ -11,7 +11,7 @@
 	"github.com/egretbend/egretbend/internal/batch/ledger"
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 	"github.com/egretbend/egretbend/internal/route/catalog"
-	"github.com/egretbend/egretbend/internal/standin/space"
+	"github.com/egretbend/egretbend/internal/standin/memorystore"
 )
 
 // The key-value service is unavailable for longer than a step may wait. The items
@@ -20,14 +20,14 @@
 // is stored all of them are listed.
 func TestUnstoredBatchIsGeneratedButNotReadable(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, _ Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, _ Attempt, emit func(Event) error) error {
 		return emitEvents(0, 3, 5, emit)
 	})
-	b.store.Fault = func(space.Call) space.Fault { return space.Down }
+	b.store.Fault = func(memorystore.Operation) memorystore.Fault { return memorystore.Down }
 	sub := b.newSubmission("x", "y")
 	err := b.runner.Submit(context.Background(), sub, b.route)
-	is.True(errors.Is(err, keyvalue.ErrDown))
-	b.runner.Prepare(sub, b.route)
+	is.True(errors.Is(err, keyvalue.ErrUnavailable))
+	b.runner.StartUnstored(sub, b.route)
 	generated := func() bool {
 		batch := b.runner.find("b")
 		batch.mu.Lock()
@@ -36,9 +36,9 @@
 	}
 	is.True(eventually(generated))
 	_, err = b.runner.Read(context.Background(), "b", 0, 0)
-	is.True(errors.Is(err, ErrNotHere))
+	is.True(errors.Is(err, ErrNotRunHere))
 	_, _, err = b.runner.Body("b", "x")
-	is.True(errors.Is(err, ErrNotHere))
+	is.True(errors.Is(err, ErrNotRunHere))
 	is.Equal(b.runner.Has("b"), false)
 	is.Equal(len(b.runner.Claims()), 0)
 
@@ -53,12 +53,12 @@
 func TestPreparedBatchEndsWhenNotRequested(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan struct{}, 1)
-	b := newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Generation, _ func(Event) error) error {
+	b := newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Attempt, _ func(Event) error) error {
 		<-ctx.Done()
 		ended <- struct{}{}
 		return ctx.Err()
 	})
-	b.runner.Prepare(b.newSubmission("x"), b.route)
+	b.runner.StartUnstored(b.newSubmission("x"), b.route)
 	<-ended
 	is.True(eventually(func() bool { return b.runner.find("b") == nil }))
 }
@@ -67,14 +67,14 @@
 // it runs here without being stored.
 func TestPreparedBatchYieldsToItsOwner(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Generation, _ func(Event) error) error {
+	b := newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, _ Attempt, _ func(Event) error) error {
 		<-ctx.Done()
 		return ctx.Err()
 	})
 	sub := b.newSubmission("x")
-	b.runner.Prepare(sub, b.route)
+	b.runner.StartUnstored(sub, b.route)
 	other := &ledger.Ledger{
-		Space: b.store,
+		Store: b.store,
 		Self: ledger.Owner{
 			Instance: "other",
 		},
@@ -90,11 +90,11 @@
 // generated.
 func TestPreparedBatchIsFoundInTheLedger(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, _ Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, _ Attempt, emit func(Event) error) error {
 		return emitEvents(0, 3, 5, emit)
 	})
 	sub := b.newSubmission("x")
-	b.runner.Prepare(sub, b.route)
+	b.runner.StartUnstored(sub, b.route)
 	claim, err := b.runner.Ledger.Accept(context.Background(), sub)
 	is.NoErr(err)
 	is.NoErr(b.runner.Adopt(context.Background(), claim))
@@ -104,14 +104,14 @@
 
 // endingSpace ends a batch just before it is read.
 type endingSpace struct {
-	*space.Space
+	*memorystore.Store
 	endBatch func()
 }
 
-// Range implements keyvalue.Space.
-func (s *endingSpace) Range(ctx context.Context, prefix string, f keyvalue.Freshness) (keyvalue.Listing, error) {
+// Range implements keyvalue.TransactionalStore.
+func (s *endingSpace) Range(ctx context.Context, prefix string, f keyvalue.Consistency) (keyvalue.Listing, error) {
 	s.endBatch()
-	return s.Space.Range(ctx, prefix, f)
+	return s.Store.Range(ctx, prefix, f)
 }
 
 // A trainer's submission arrives again just as its batch ends. If the trainer
@@ -125,8 +125,8 @@
 	l := *b.runner.Ledger
 	_, err := l.Accept(ctx, sub)
 	is.NoErr(err)
-	b.runner.Ledger.Space = &endingSpace{
-		Space:    b.store,
+	b.runner.Ledger.Store = &endingSpace{
+		Store:    b.store,
 		endBatch: func() { is.NoErr(l.End(ctx, "b", time.Now())) },
 	}
 	is.True(errors.Is(b.runner.Submit(ctx, sub, b.route), ledger.ErrExists))
--- a/internal/batch/runner/rank.go
+++ b/internal/batch/runner/rank.go
@@ -23,11 +23,11 @@
 	}
 	groupIndex, groups := r.groupWork(b, now)
 	load := schedule.Load{
-		Groups:  groups,
-		Missing: b.sub.WantedGroups - b.completeGroups,
-		Slots:   r.totalSlots(b, now),
-		Others:  earlierWork,
-		Left:    b.route.ResultDeadline - b.age(now),
+		Groups:        groups,
+		MissingGroups: b.sub.WantedGroups - b.completeGroups,
+		Slots:         r.totalSlots(b, now),
+		OtherWork:     earlierWork,
+		UntilDue:      b.route.ResultDeadline - b.age(now),
 	}
 	if len(b.queue) > 0 && now.Sub(b.rankedAt) >= rankInterval {
 		b.rankedAt = now
@@ -46,11 +46,11 @@
 		r.Journal.Decision("overload", log.Fields{
 			"request_id": b.sub.ID,
 			"overloaded": b.overloaded,
-			"missing":    load.Missing,
+			"missing":    load.MissingGroups,
 			"slots":      load.Slots,
-			"left_ms":    load.Left.Milliseconds(),
+			"left_ms":    load.UntilDue.Milliseconds(),
 			"needed_ms":  load.Needed().Milliseconds(),
-			"others_ms":  load.Others.Milliseconds(),
+			"others_ms":  load.OtherWork.Milliseconds(),
 			"age_ms":     b.age(b.rankedAt).Milliseconds(),
 		})
 	}
@@ -69,9 +69,9 @@
 
 // groupWork returns the remaining work of each unfinished group, and the index of
 // each group there by its name. The caller holds b.mu.
-func (r *Runner) groupWork(b *Batch, now timer.Instant) (map[string]int, []schedule.Work) {
+func (r *Runner) groupWork(b *Batch, now timer.Instant) (map[string]int, []schedule.GroupWork) {
 	groupIndex := make(map[string]int)
-	var groups []schedule.Work
+	var groups []schedule.GroupWork
 	for _, t := range b.tasks {
 		if t.phase == finished || t.phase == scoring {
 			continue
@@ -80,8 +80,8 @@
 		if !ok {
 			index = len(groups)
 			groupIndex[t.item.Group] = index
-			groups = append(groups, schedule.Work{
-				Again: b.carriedOver[t.item.Group],
+			groups = append(groups, schedule.GroupWork{
+				CarriedOver: b.carriedOver[t.item.Group],
 			})
 		}
 		remaining := r.generationTimeLeft(b, t, now)
@@ -106,7 +106,7 @@
 			}
 		}
 	}
-	if schedule.Crowds(b.open, own) {
+	if schedule.CrowdsOwnEngines(b.open, own) {
 		return own
 	}
 	return all
--- a/internal/batch/runner/rank_test.go
+++ b/internal/batch/runner/rank_test.go
@@ -20,7 +20,7 @@
 	is := is.New(t)
 	b := newTestBench(t, nil)
 	b.route.ResultDeadline = 7 * time.Second
-	b.runner.lengths.Finished(10_000, 100) // a hundred tokens per event
+	b.runner.lengths.Record(10_000, 100) // a hundred tokens per event
 	sub := b.newSubmission()
 	sub.WantedGroups = 3
 	for _, group := range []string{"large", "small", "middle"} {
--- a/internal/batch/runner/read.go
+++ b/internal/batch/runner/read.go
@@ -29,11 +29,11 @@
 
 // page returns the results from a position on. The caller holds b.mu.
 func (b *Batch) page(after int) Page {
-	return PageOf(len(b.sub.Items), b.listed, after)
+	return NewPage(len(b.sub.Items), b.listed, after)
 }
 
-// PageOf returns the page of all listed results that begins at position after.
-func PageOf(total int, listed []submission.Result, after int) Page {
+// NewPage returns the page of all listed results that begins at position after.
+func NewPage(total int, listed []submission.Result, after int) Page {
 	p := Page{
 		Total: total,
 		Next:  after,
@@ -57,7 +57,7 @@
 func (r *Runner) Read(ctx context.Context, id string, after int, wait time.Duration) (Page, error) {
 	b := r.find(id)
 	if b == nil {
-		return Page{}, ErrNotHere
+		return Page{}, ErrNotRunHere
 	}
 	var done <-chan timer.Instant
 	if wait > 0 {
@@ -98,7 +98,7 @@
 		case <-ctx.Done():
 			return p, ctx.Err()
 		case <-r.tomb.Dying():
-			return Page{}, ErrNotHere
+			return Page{}, ErrNotRunHere
 		}
 	}
 }
@@ -108,14 +108,14 @@
 // wait any longer. The caller holds b.mu.
 func (b *Batch) answer(after int, waits bool, now timer.Instant) (Page, bool, error) {
 	if b.lost || b.unstored {
-		return Page{}, false, ErrNotHere
+		return Page{}, false, ErrNotRunHere
 	}
 	p := b.page(after)
 	if len(p.Results) > 0 {
 		return p, true, nil
 	}
 	if !waits && b.mayLagLedger(now) {
-		return Page{}, false, ErrNotHere
+		return Page{}, false, ErrNotRunHere
 	}
 	return p, !waits || b.ended || p.Next >= p.Total, nil
 }
@@ -125,20 +125,20 @@
 func (r *Runner) Body(id, item string) (body []byte, ok bool, err error) {
 	b := r.find(id)
 	if b == nil {
-		return nil, false, ErrNotHere
+		return nil, false, ErrNotRunHere
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.lost || b.unstored {
-		return nil, false, ErrNotHere
+		return nil, false, ErrNotRunHere
 	}
-	body, ok = BodyOf(b.sub, b.listed, item)
+	body, ok = UnlistedBody(b.sub, b.listed, item)
 	return body, ok && !b.ended, nil
 }
 
-// BodyOf returns the body of an item that is not listed, and false if there is no
+// UnlistedBody returns the body of an item that is not listed, and false if there is no
 // such item.
-func BodyOf(sub *submission.Submission, listed []submission.Result, item string) ([]byte, bool) {
+func UnlistedBody(sub *submission.Submission, listed []submission.Result, item string) ([]byte, bool) {
 	for _, res := range listed {
 		if res.Item == item {
 			return nil, false
@@ -217,12 +217,12 @@
 }
 
 // describeRead describes the read that has waited longest. The caller holds b.mu.
-func (b *Batch) describeRead(now timer.Instant) schedule.Reading {
-	reading := schedule.Reading{
+func (b *Batch) describeRead(now timer.Instant) schedule.PendingRead {
+	reading := schedule.PendingRead{
 		Waited: b.longestWait(now),
 	}
 	if b.expectedEnd != 0 && b.stepDoneAt == 0 {
-		reading.Left = b.expectedEnd.Sub(now)
+		reading.UntilEnd = b.expectedEnd.Sub(now)
 	}
 	return reading
 }
@@ -232,7 +232,7 @@
 func (b *Batch) releaseReads(now timer.Instant) {
 	// Pending results are written and listed for the same reason, which answers
 	// the reads as well.
-	if len(b.pending) == 0 && b.describeRead(now).Turn() {
+	if len(b.pending) == 0 && b.describeRead(now).AnswerEarly() {
 		b.releases++
 		clear(b.waitingReads)
 		b.notifyReaders()
--- a/internal/batch/runner/reward.go
+++ b/internal/batch/runner/reward.go
@@ -22,8 +22,8 @@
 	quarantineRetryPause = time.Second
 )
 
-// Rewards scores texts by reward calls that it sends along the routes.
-type Rewards struct {
+// RewardScorer scores texts by reward calls that it sends along the routes.
+type RewardScorer struct {
 	Config    *catalog.Holder
 	Forwarder *forward.Forwarder
 	Timer     timer.Service
@@ -31,7 +31,7 @@
 
 // Score implements Scorer. It repeats the call until it is answered with a proof,
 // or until upstreams have failed it as often as its route allows.
-func (s *Rewards) Score(ctx context.Context, reward *submission.Reward) (string, error) {
+func (s *RewardScorer) Score(ctx context.Context, reward *submission.Reward) (string, error) {
 	failures := 0
 	for {
 		attempts, pause := 1, rewardRetryPause
@@ -46,7 +46,7 @@
 				Route:  route,
 			})
 			if err == nil && answer.Status < http.StatusMultipleChoices {
-				return answer.Proof, nil
+				return answer.Signature, nil
 			}
 			if err == nil {
 				failures += answer.Failures
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -36,14 +36,14 @@
 	forgetAfter = 150 * time.Second
 )
 
-// ErrNotHere means that another process runs the batch, or that none does.
-var ErrNotHere = errors.New("the batch is not run by this instance")
+// ErrNotRunHere means that another process runs the batch, or that none does.
+var ErrNotRunHere = errors.New("the batch is not run by this instance")
 
 // Generator makes one attempt at an item. emit is called for each complete event,
 // in order, and returns an error to end the attempt. A nil error means that the
 // engine has completed the text. Other errors are those of package engine.
 type Generator interface {
-	Generate(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error
+	Generate(ctx context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error
 }
 
 // Scorer scores a finished text and returns the proof of its score, or
@@ -55,7 +55,7 @@
 // Runner runs the batches that this process owns.
 type Runner struct {
 	Ledger    *ledger.Ledger
-	Book      *catalog.Book
+	Book      *catalog.Upstreams
 	Holder    *catalog.Holder
 	Generator Generator
 	Scorer    Scorer
@@ -64,17 +64,17 @@
 	Metrics   *Metrics
 	// FailureDomain is the failure domain of this process.
 	FailureDomain string
-	// Division assigns engines to models; if it is nil, every engine serves all
+	// EngineAssignment assigns engines to models; if it is nil, every engine serves all
 	// models.
-	Division Division
-	// Copies finds what an earlier owner of a batch had made; if it is nil,
+	EngineAssignment EngineAssignment
+	// CopyFinder finds what an earlier owner of a batch had made; if it is nil,
 	// nothing is found.
-	Copies Copies
+	CopyFinder CopyFinder
 
 	// lengths converts estimates in tokens to events, scoring estimates the time
 	// of reward calls; both learn from finished items.
 	lengths schedule.Lengths
-	scoring schedule.Scoring
+	scoring schedule.ScoringTime
 	tomb    tomb.Tomb
 	// batchStarted wakes watch.
 	batchStarted wake.Signal
@@ -111,7 +111,7 @@
 	if r.attachClaim(claim) {
 		return nil
 	}
-	if claim.Found {
+	if claim.AlreadyAccepted {
 		err := r.Adopt(ctx, claim)
 		if errors.Is(err, ledger.ErrFenced) {
 			// The batch was accepted and has ended since. If it were refused now,
@@ -159,11 +159,11 @@
 // findCopy looks for the copy of a batch in the background.
 func (r *Runner) findCopy(ctx context.Context, id string) <-chan standby.Copy {
 	found := make(chan standby.Copy, 1)
-	if r.Copies == nil {
+	if r.CopyFinder == nil {
 		found <- standby.Copy{}
 		return found
 	}
-	go func() { found <- r.Copies.Find(ctx, id) }()
+	go func() { found <- r.CopyFinder.Find(ctx, id) }()
 	return found
 }
 
@@ -199,7 +199,7 @@
 // startBatch adds a batch to those of this process and starts to work on it.
 func (r *Runner) startBatch(b *Batch, route catalog.Route, decision string) {
 	b.route = route
-	b.service = route.Choose(rand.Float64())
+	b.service = route.ChooseService(rand.Float64())
 	after := route.GiveUpAfter
 	if after == 0 {
 		after = defaultGiveUpAfter
@@ -243,14 +243,14 @@
 func (r *Runner) HandOver(ctx context.Context, id string, to ledger.Owner) error {
 	b := r.find(id)
 	if b == nil {
-		return ErrNotHere
+		return ErrNotRunHere
 	}
 	b.writeMu.Lock()
 	defer b.writeMu.Unlock()
 	b.mu.Lock()
 	if b.over() {
 		b.mu.Unlock()
-		return ErrNotHere
+		return ErrNotRunHere
 	}
 	b.lost = true
 	b.handingOver = true
@@ -304,12 +304,12 @@
 func (r *Runner) End(ctx context.Context, id string) error {
 	b := r.find(id)
 	if b == nil {
-		return ErrNotHere
+		return ErrNotRunHere
 	}
 	b.mu.Lock()
 	if b.unstored {
 		b.mu.Unlock()
-		return ErrNotHere
+		return ErrNotRunHere
 	}
 	if b.endStored {
 		b.mu.Unlock()
@@ -327,7 +327,7 @@
 	b.mu.Unlock()
 	b.writeMu.Unlock()
 	if lost {
-		return ErrNotHere
+		return ErrNotRunHere
 	}
 	if !alreadyEnded {
 		r.Journal.Decision("end", log.Fields{
--- a/internal/batch/runner/runner_test.go
+++ b/internal/batch/runner/runner_test.go
@@ -17,18 +17,18 @@
 	"github.com/egretbend/egretbend/internal/outside/engine"
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 	"github.com/egretbend/egretbend/internal/route/catalog"
-	"github.com/egretbend/egretbend/internal/standin/space"
+	"github.com/egretbend/egretbend/internal/standin/memorystore"
 )
 
 // scriptedGenerator is a Generator that does what a test specifies.
 type scriptedGenerator struct {
 	mu       sync.Mutex
-	calls    []Generation
-	generate func(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error
+	calls    []Attempt
+	generate func(ctx context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error
 }
 
 // Generate implements Generator.
-func (s *scriptedGenerator) Generate(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error {
+func (s *scriptedGenerator) Generate(ctx context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error {
 	s.mu.Lock()
 	s.calls = append(s.calls, g)
 	s.mu.Unlock()
@@ -61,13 +61,13 @@
 // itself.
 type testBench struct {
 	clock     *timer.Manual
-	store     *space.Space
+	store     *memorystore.Store
 	runner    *Runner
 	generator *scriptedGenerator
 	route     catalog.Route
 }
 
-func newTestBench(t *testing.T, do func(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error) *testBench {
+func newTestBench(t *testing.T, do func(ctx context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error) *testBench {
 	b := &testBench{
 		clock: &timer.Manual{},
 		generator: &scriptedGenerator{
@@ -78,20 +78,20 @@
 			Host:        "h",
 			Prefix:      "/",
 			Kind:        catalog.Rollout,
-			Split:       []catalog.Share{{Service: "s", Weight: 1}},
+			Split:       []catalog.WeightedService{{Service: "s", Weight: 1}},
 			Attempts:    2,
 			GiveUpAfter: time.Minute,
 		},
 	}
-	b.store = &space.Space{
+	b.store = &memorystore.Store{
 		Timer: b.clock,
 	}
-	book := &catalog.Book{
+	book := &catalog.Upstreams{
 		Timer: b.clock,
 	}
-	var listed []catalog.Listed
+	var listed []catalog.Entry
 	for _, id := range []string{"one", "two"} {
-		listed = append(listed, catalog.Listed{
+		listed = append(listed, catalog.Entry{
 			ID:       id,
 			Service:  "s",
 			Address:  id,
@@ -101,13 +101,13 @@
 	}
 	book.Update(listed, nil)
 	holder := &catalog.Holder{}
-	holder.Take(catalog.Configuration{
+	holder.Update(catalog.Configuration{
 		Version: 1,
 		Routes:  []catalog.Route{b.route},
 	}.WithIndex())
 	b.runner = &Runner{
 		Ledger: &ledger.Ledger{
-			Space: b.store,
+			Store: b.store,
 			Self: ledger.Owner{
 				Instance:    "i",
 				Incarnation: "1",
@@ -169,7 +169,7 @@
 
 // eventually reports whether a condition holds within some seconds.
 func eventually(holds func() bool) bool {
-	return timer.Until(timer.Real{}, time.Millisecond, 5*time.Second, nil, holds)
+	return timer.Poll(timer.Real{}, time.Millisecond, 5*time.Second, nil, holds)
 }
 
 // An engine breaks off a stream in the middle. The text continues at another
@@ -177,10 +177,10 @@
 // and the versions that made them.
 func TestTextContinuesAtAnotherEngine(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		if g.After == 0 {
 			_ = emitEvents(0, 3, 4, emit)
-			return engine.ErrBroken
+			return engine.ErrIncompleteResponse
 		}
 		return emitEvents(g.After, 6, 5, emit)
 	})
@@ -197,7 +197,7 @@
 // other one long before the step is due.
 func TestStreamLeavesUnresponsiveEngine(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(ctx context.Context, u *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(ctx context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		if g.After == 0 {
 			_ = emitEvents(0, 2, 5, emit)
 			<-ctx.Done()
@@ -221,7 +221,7 @@
 	is := is.New(t)
 	first := true
 	var mu sync.Mutex
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		mu.Lock()
 		version := uint64(5)
 		if first {
@@ -241,7 +241,7 @@
 // as dead and not sent again; its group is complete all the same.
 func TestFailingItemEndsDead(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		if g.Item.ID == "bad" {
 			return engine.ErrAttemptFailed
 		}
@@ -262,39 +262,39 @@
 
 // slowSpace is a key-value service whose writes of results take long.
 type slowSpace struct {
-	*space.Space
+	*memorystore.Store
 	started, proceed chan struct{}
 }
 
-// Commit implements keyvalue.Space.
+// Commit implements keyvalue.TransactionalStore.
 func (s *slowSpace) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
 	if len(tx.Writes) > 0 && strings.Contains(tx.Writes[0].Key, "/result/") {
 		s.started <- struct{}{}
 		<-s.proceed
 		if err := ctx.Err(); err != nil {
-			_, _ = s.Space.Commit(context.Background(), tx)
-			return 0, errors.Join(keyvalue.ErrLost, err)
+			_, _ = s.Store.Commit(context.Background(), tx)
+			return 0, errors.Join(keyvalue.ErrOutcomeUnknown, err)
 		}
 	}
-	return s.Space.Commit(ctx, tx)
+	return s.Store.Commit(ctx, tx)
 }
 
 // lossySpace is a key-value service that carries out all writes but loses the
 // answers to the first writes of results.
 type lossySpace struct {
-	*space.Space
+	*memorystore.Store
 	mu            sync.Mutex
 	repliesToLose int
 }
 
-// Commit implements keyvalue.Space.
+// Commit implements keyvalue.TransactionalStore.
 func (f *lossySpace) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
-	rev, err := f.Space.Commit(ctx, tx)
+	rev, err := f.Store.Commit(ctx, tx)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(tx.Writes) > 0 && strings.Contains(tx.Writes[0].Key, "/result/") && f.repliesToLose > 0 {
 		f.repliesToLose--
-		return 0, keyvalue.ErrLost
+		return 0, keyvalue.ErrOutcomeUnknown
 	}
 	return rev, err
 }
@@ -305,11 +305,11 @@
 // already read.
 func TestReadIsRefusedWhileWriteIsUnconfirmed(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		return emitEvents(0, 1, 5, emit)
 	})
-	b.runner.Ledger.Space = &lossySpace{
-		Space:         b.store,
+	b.runner.Ledger.Store = &lossySpace{
+		Store:         b.store,
 		repliesToLose: 20,
 	}
 	is.NoErr(b.submit("x"))
@@ -318,7 +318,7 @@
 		rec, err := b.runner.Ledger.Load(context.Background(), "b")
 		is.NoErr(err)
 		page, err := b.runner.Read(context.Background(), "b", 0, 0)
-		if len(rec.Results) > 0 && errors.Is(err, ErrNotHere) {
+		if len(rec.Results) > 0 && errors.Is(err, ErrNotRunHere) {
 			refused = true
 		}
 		return err == nil && len(page.Results) > 0
@@ -333,15 +333,15 @@
 // next.
 func TestEndDoesNotCancelWrite(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		return emitEvents(0, 1, 5, emit)
 	})
 	store := &slowSpace{
-		Space:   b.store,
+		Store:   b.store,
 		started: make(chan struct{}),
 		proceed: make(chan struct{}),
 	}
-	b.runner.Ledger.Space = store
+	b.runner.Ledger.Store = store
 	is.NoErr(b.submit("x"))
 	<-store.started
 	ended := make(chan error, 1)
@@ -357,9 +357,9 @@
 	is.Equal(len(page.Results), 1)
 	// Trainers repeat the request to end a batch; the batch stays ended, and the
 	// repetition makes no further call.
-	calls := b.store.Calls(space.Commit)
+	calls := b.store.CallCount(memorystore.Commit)
 	is.NoErr(b.runner.End(context.Background(), "b"))
-	is.Equal(b.store.Calls(space.Commit), calls)
+	is.Equal(b.store.CallCount(memorystore.Commit), calls)
 }
 
 // An instance is told to stop while its items run. Another one must continue
@@ -368,7 +368,7 @@
 	is := is.New(t)
 	reached := make(chan struct{})
 	var once sync.Once
-	b := newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, g Generation, emit func(Event) error) error {
+	b := newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		if g.After > 0 {
 			return emitEvents(g.After, 8, 5, emit)
 		}
@@ -386,7 +386,7 @@
 	is.NoErr(b.runner.HandOver(context.Background(), "b", to))
 	is.Equal(b.runner.Has("b"), false)
 	_, err := b.runner.Read(context.Background(), "b", 0, 0)
-	is.True(errors.Is(err, ErrNotHere))
+	is.True(errors.Is(err, ErrNotRunHere))
 	b.runner.Ledger.Self = to
 	claim, err := b.runner.Ledger.Find(context.Background(), "b")
 	is.NoErr(err)
--- a/internal/batch/runner/task.go
+++ b/internal/batch/runner/task.go
@@ -29,21 +29,21 @@
 	Version uint64
 }
 
-// Generation describes one attempt at an item.
-type Generation struct {
+// Attempt describes one attempt at an item.
+type Attempt struct {
 	Batch *submission.Submission
 	Item  *submission.Item
 	Route catalog.Route
 	// After is the number of the last event that is known; 0 if there is none.
 	After int
-	// Oldest is the oldest weight version that may make events.
-	Oldest uint64
-	// Left is the time until the item is given up.
-	Left time.Duration
+	// OldestVersion is the oldest weight version that may make events.
+	OldestVersion uint64
+	// TimeLeft is the time until the item is given up.
+	TimeLeft time.Duration
 	// Urgent says that the end of the step may depend on the item.
 	Urgent bool
-	// Heard is called with the engine's load, if the engine reports it.
-	Heard func(engine.Report)
+	// OnLoadReport is called with the engine's load, if the engine reports it.
+	OnLoadReport func(engine.LoadReport)
 }
 
 // task is an item and the state of the work on it. The batch's lock guards it.
@@ -152,7 +152,7 @@
 	return submission.Result{
 		Item:     t.item.ID,
 		State:    submission.Completed,
-		Text:     submission.TextOf(t.events),
+		Text:     submission.JoinEvents(t.events),
 		Versions: t.versions,
 		Score:    score,
 	}
--- a/internal/batch/runner/watch.go
+++ b/internal/batch/runner/watch.go
@@ -70,7 +70,7 @@
 	}
 	if b.requestsStopped(now) {
 		b.mu.Unlock()
-		r.Lose(b.sub.ID, errNotRequested)
+		r.Drop(b.sub.ID, errNotRequested)
 		return false
 	}
 	if b.timeLeft(now) <= 0 && b.open > 0 {
--- a/internal/batch/runner/write.go
+++ b/internal/batch/runner/write.go
@@ -51,7 +51,7 @@
 	defer b.writeMu.Unlock()
 	b.mu.Lock()
 	due := b.describePending(r.Timer.Now())
-	if b.over() || b.unstored || !schedule.Write(due) {
+	if b.over() || b.unstored || !schedule.ShouldWrite(due) {
 		active := !b.over()
 		b.mu.Unlock()
 		return active
@@ -59,14 +59,14 @@
 	results := b.pending
 	b.pending, b.pendingCompletesGroup = nil, false
 	var progress []submission.Progress
-	if !due.Ends() {
+	if !due.EndsStep() {
 		// The trainer waits for results that end its step; storing the texts of
 		// unfinished items with them would delay them.
 		progress = b.progress(minProgressEvents)
 	}
 	b.mu.Unlock()
 	for len(results) > 0 {
-		n := ledger.Fitting(results)
+		n := ledger.ChunkLen(results)
 		if !r.appendChunk(b, results[:n], progress) {
 			return false
 		}
@@ -101,10 +101,10 @@
 		over := b.over()
 		b.mu.Unlock()
 		if over || errors.Is(err, ledger.ErrFenced) {
-			r.Lose(b.sub.ID, err)
+			r.Drop(b.sub.ID, err)
 			return false
 		}
-		r.Journal.Trouble("results not written", err, log.Fields{
+		r.Journal.Warn("results not written", err, log.Fields{
 			"request_id": b.sub.ID,
 			"results":    len(results),
 		})
--- a/internal/batch/schedule/doc.go
+++ b/internal/batch/schedule/doc.go
@@ -6,14 +6,15 @@
 // all of its items are finished, and the step ends when the trainer has read as many
 // whole groups as it waits for. Engines stream the output of an item as events.
 //
-// Order, Load.Rank and Pick choose the next item and its engine, Move and Gain decide on
-// moving a stream, and Write, Tell and Reading.Turn on writing results and answering
-// reads. Ending, Lengths and Scoring estimate when items and steps end.
+// Order, Load.Rank and Pick choose the next item and its engine, ShouldMove and MoveGain
+// decide on moving a stream, and ShouldWrite, ShouldAnswerReads and
+// PendingRead.AnswerEarly on writing results and answering reads. StepEnd, Lengths and
+// ScoringTime estimate when items and steps end.
 //
 //	at := schedule.Pick(engines, need)
-//	if schedule.Move(progress, interval, hasFreeEngine) { ... }
-//	if schedule.Gain(progress, interval, pace) > 0 { ... }
-//	if schedule.Write(pending) { ... }
+//	if schedule.ShouldMove(progress, interval, hasFreeEngine) { ... }
+//	if schedule.MoveGain(progress, interval, pace) > 0 { ... }
+//	if schedule.ShouldWrite(pending) { ... }
 //
 // The package is designed for the following load. A step needs nearly all of its groups,
 // so it lasts as long as its slowest items. A twelfth of the items takes most of the
--- a/internal/batch/schedule/end.go
+++ b/internal/batch/schedule/end.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Ending describes the unfinished groups of a step, to estimate when the step ends.
-type Ending struct {
-	// Groups has the expected time until each group is whole, without those in Again.
+// StepEnd describes the unfinished groups of a step, to estimate when the step ends.
+type StepEnd struct {
+	// Groups has the expected time until each group is whole, without those in CarriedOver.
 	Groups []time.Duration
-	// Again has the same for groups that are carried over from an earlier step; the
+	// CarriedOver has the same for groups that are carried over from an earlier step; the
 	// trainer waits for each of them.
-	Again []time.Duration
-	// Missing is the number of further whole groups that the trainer waits for,
-	// including those in Again.
-	Missing int
+	CarriedOver []time.Duration
+	// MissingGroups is the number of further whole groups that the trainer waits for,
+	// including those in CarriedOver.
+	MissingGroups int
 }
 
 // Left returns the expected time until all groups that the trainer waits for are whole,
 // 0 if that is unknown or they are whole already.
-func (e Ending) Left() time.Duration {
+func (e StepEnd) Left() time.Duration {
 	left := time.Duration(0)
-	for _, g := range e.Again {
+	for _, g := range e.CarriedOver {
 		left = max(left, g)
 	}
-	others := e.Missing - len(e.Again)
+	others := e.MissingGroups - len(e.CarriedOver)
 	if others <= 0 {
 		return left
 	}
--- a/internal/batch/schedule/end_test.go
+++ b/internal/batch/schedule/end_test.go
@@ -13,9 +13,9 @@
 func TestEndingLeftCountsWantedGroups(t *testing.T) {
 	is := is.New(t)
 	groups := []time.Duration{5 * time.Second, time.Second, 3 * time.Second}
-	is.Equal(Ending{Groups: groups, Missing: 2}.Left(), 3*time.Second)
-	is.Equal(Ending{Groups: groups, Again: []time.Duration{4 * time.Second}, Missing: 2}.Left(), 4*time.Second)
-	is.Equal(Ending{Groups: groups, Again: []time.Duration{time.Second}, Missing: 4}.Left(), 5*time.Second)
-	is.Equal(Ending{Groups: groups, Missing: 4}.Left(), time.Duration(0)) // the end of some groups is unknown
-	is.Equal(Ending{Groups: groups}.Left(), time.Duration(0))             // all wanted groups are whole already
+	is.Equal(StepEnd{Groups: groups, MissingGroups: 2}.Left(), 3*time.Second)
+	is.Equal(StepEnd{Groups: groups, CarriedOver: []time.Duration{4 * time.Second}, MissingGroups: 2}.Left(), 4*time.Second)
+	is.Equal(StepEnd{Groups: groups, CarriedOver: []time.Duration{time.Second}, MissingGroups: 4}.Left(), 5*time.Second)
+	is.Equal(StepEnd{Groups: groups, MissingGroups: 4}.Left(), time.Duration(0)) // the end of some groups is unknown
+	is.Equal(StepEnd{Groups: groups}.Left(), time.Duration(0))                   // all wanted groups are whole already
 }
--- a/internal/batch/schedule/lengths.go
+++ b/internal/batch/schedule/lengths.go
@@ -25,8 +25,8 @@
 	maxEventsPerToken float64
 }
 
-// Finished records a finished item with its estimate in tokens and its number of events.
-func (l *Lengths) Finished(tokens, events int) {
+// Record records a finished item with its estimate in tokens and its number of events.
+func (l *Lengths) Record(tokens, events int) {
 	if tokens <= 0 || events <= 0 {
 		return
 	}
@@ -39,9 +39,9 @@
 	l.events += float64(events)
 }
 
-// Capped records the number of events of an item that was allowed the given number of
+// RecordLimited records the number of events of an item that was allowed the given number of
 // tokens.
-func (l *Lengths) Capped(allowed, events int) {
+func (l *Lengths) RecordLimited(allowed, events int) {
 	if allowed <= 0 {
 		return
 	}
@@ -50,9 +50,9 @@
 	l.maxEventsPerToken = max(l.maxEventsPerToken, float64(events)/float64(allowed))
 }
 
-// Most returns the largest number of events of an item that is allowed the given number
+// MaxEvents returns the largest number of events of an item that is allowed the given number
 // of tokens, 0 if unknown. Items that end at their token limit reach it.
-func (l *Lengths) Most(allowed int) float64 {
+func (l *Lengths) MaxEvents(allowed int) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.maxEventsPerToken * float64(allowed)
--- a/internal/batch/schedule/place.go
+++ b/internal/batch/schedule/place.go
@@ -6,24 +6,24 @@
 
 // Engine is the state of one engine that a placement depends on.
 type Engine struct {
-	// Room is the number of further requests that the engine takes now.
-	Room float64
+	// FreeSlots is the number of further requests that the engine takes now.
+	FreeSlots float64
 	// Slots is the number of requests that it runs at once in total.
 	Slots int
 	// Pace is its time per event relative to the typical engine: 2 is twice as slow. It
 	// is 1 if unknown.
 	Pace float64
-	// Near reports whether the engine is in the failure domain of this instance.
-	Near bool
+	// SameFailureDomain reports whether the engine is in the failure domain of this instance.
+	SameFailureDomain bool
 	// Memory is the engine's memory for prompts and outputs in tokens, 0 if unknown;
 	// Reserved is what its running streams are expected to need by their end.
 	Memory, Reserved int64
-	// Lent reports whether the engine is assigned to another model that has a step under
+	// OtherModel reports whether the engine is assigned to another model that has a step under
 	// way.
-	Lent bool
-	// Told is the age of the engine's last load report, a long time if it never sent
+	OtherModel bool
+	// ReportAge is the age of the engine's last load report, a long time if it never sent
 	// one.
-	Told time.Duration
+	ReportAge time.Duration
 }
 
 // maxLentReportAge is the greatest age of a load report that still shows free slots at
@@ -34,17 +34,19 @@
 // crowds the engines of its model.
 const crowdedItemsPerSlot = 2
 
-// Crowds reports whether a step with the given number of unfinished items is restricted
+// CrowdsOwnEngines reports whether a step with the given number of unfinished items is restricted
 // to the engines of its model, which have the given number of slots. Steps of several
 // models begin at the same moment, and the instances that run them don't know yet what
 // the others send: if each filled all engines, the engines would get several times the
 // streams that they have slots for, with long ones behind short ones. A smaller step is
 // better off with the fastest of all engines.
-func Crowds(items, slots int) bool { return slots > 0 && items > crowdedItemsPerSlot*slots }
+func CrowdsOwnEngines(items, slots int) bool { return slots > 0 && items > crowdedItemsPerSlot*slots }
 
-// Open reports whether a step that crowds its own engines may send an item to e: e is
+// OpenToCrowdedStep reports whether a step that crowds its own engines may send an item to e: e is
 // not lent, or has recently reported a free slot.
-func (e Engine) Open() bool { return !e.Lent || e.Told <= maxLentReportAge && e.Room >= 1 }
+func (e Engine) OpenToCrowdedStep() bool {
+	return !e.OtherModel || e.ReportAge <= maxLentReportAge && e.FreeSlots >= 1
+}
 
 // Weights of the cost of a placement, as fractions of the typical pace.
 const (
@@ -65,13 +67,13 @@
 // Cost returns the expected time per event of one more item at the engine, relative to
 // an empty typical engine.
 func (e Engine) Cost() float64 {
-	slots := 1 - e.Room/float64(max(1, e.Slots))
+	slots := 1 - e.FreeSlots/float64(max(1, e.Slots))
 	memory := slots
 	if e.Memory > 0 {
 		memory = min(1, float64(e.Reserved)/float64(e.Memory))
 	}
 	cost := e.denoisedPace() * (1 + slotsSlowdown*slots + memorySlowdown*memory)
-	if !e.Near {
+	if !e.SameFailureDomain {
 		cost += otherDomainCost
 	}
 	return cost
@@ -90,13 +92,13 @@
 
 // Need describes the item that a placement is for.
 type Need struct {
-	// Lasts is the item's expected run time at a typical engine; 0 if unknown.
-	Lasts time.Duration
+	// ExpectedDuration is the item's expected run time at a typical engine; 0 if unknown.
+	ExpectedDuration time.Duration
 	// Waited is how long the item could have been running already.
 	Waited time.Duration
-	// Hurried reports that the step can't complete in time, so that no slots are kept
+	// Overloaded reports that the step can't complete in time, so that no slots are kept
 	// free.
-	Hurried bool
+	Overloaded bool
 	// Memory is the memory that the item is expected to need by its end, in tokens.
 	Memory int64
 }
@@ -129,7 +131,7 @@
 func Pick(engines []Engine, n Need) int {
 	best := -1
 	for i, e := range engines {
-		if e.Room < 1 || n.Short() && n.Waited < maxShortItemWait && !n.Hurried && e.closedToShortItems() {
+		if e.FreeSlots < 1 || n.Short() && n.Waited < maxShortItemWait && !n.Overloaded && e.closedToShortItems() {
 			continue
 		}
 		if best < 0 || n.cost(e) < n.cost(engines[best]) {
@@ -140,7 +142,7 @@
 }
 
 // Short reports whether the item is expected to end long before its step.
-func (n Need) Short() bool { return n.Lasts > 0 && n.Lasts < maxShortDuration }
+func (n Need) Short() bool { return n.ExpectedDuration > 0 && n.ExpectedDuration < maxShortDuration }
 
 // cost returns the cost of the item at an engine; lower is better. Short items prefer
 // engines of an older kind that are not failing.
@@ -164,26 +166,26 @@
 // closedToShortItems reports whether e is a fast engine whose free slots are kept for
 // long items.
 func (e Engine) closedToShortItems() bool {
-	return e.Pace <= olderEnginePace && e.Room <= (1-shortItemSlotShare)*float64(e.Slots)
+	return e.Pace <= olderEnginePace && e.FreeSlots <= (1-shortItemSlotShare)*float64(e.Slots)
 }
 
 // Progress describes how far the current attempt of an item has come.
 type Progress struct {
-	// Waited is the time since the last event, or since the attempt began.
-	Waited time.Duration
+	// SinceLastEvent is the time since the last event, or since the attempt began.
+	SinceLastEvent time.Duration
 	// Ran is the time since the attempt began, and Events the number of events that it
 	// made.
 	Ran    time.Duration
 	Events int
-	// Made is the number of events that the item has in total, from all attempts.
-	Made int
+	// TotalEvents is the number of events that the item has in total, from all attempts.
+	TotalEvents int
 	// Moves is how often the item was moved before.
 	Moves int
-	// Expected is the total number of events that the item is expected to have; 0 if
+	// ExpectedEvents is the total number of events that the item is expected to have; 0 if
 	// unknown.
-	Expected float64
-	// Most is the largest number of events that it can have; 0 if unknown.
-	Most float64
+	ExpectedEvents float64
+	// MaxEvents is the largest number of events that it can have; 0 if unknown.
+	MaxEvents float64
 	// Pace is the pace of its engine, as in Engine.
 	Pace float64
 }
@@ -222,18 +224,18 @@
 	longTailShare = 0.5
 )
 
-// Move reports whether an attempt should move to another engine because its own engine
+// ShouldMove reports whether an attempt should move to another engine because its own engine
 // fails it: its stream is stalled or much slower than typical. interval is the typical
 // time between events, 0 if unknown; hasFreeEngine reports whether an engine that is not
 // slow has a free slot.
-func Move(p Progress, interval time.Duration, hasFreeEngine bool) bool {
+func ShouldMove(p Progress, interval time.Duration, hasFreeEngine bool) bool {
 	if !hasFreeEngine || p.Moves >= maxMoves {
 		return false
 	}
 	if interval <= 0 {
 		interval = defaultEventInterval
 	}
-	if p.Waited > max(stallIntervals*interval, minStall) {
+	if p.SinceLastEvent > max(stallIntervals*interval, minStall) {
 		return true
 	}
 	return p.Events >= minPaceEvents && p.Ran/time.Duration(p.Events) > time.Duration(slowStreamFactor*float64(interval))
@@ -241,18 +243,18 @@
 
 // Remaining returns how many further events are expected.
 func (p Progress) Remaining() float64 {
-	made := float64(p.Made)
-	left := max(p.Expected-made, longTailShare*made)
-	if p.Most > made {
-		return min(left, p.Most-made)
+	made := float64(p.TotalEvents)
+	left := max(p.ExpectedEvents-made, longTailShare*made)
+	if p.MaxEvents > made {
+		return min(left, p.MaxEvents-made)
 	}
 	return left
 }
 
-// Gain returns how much earlier an item would end at an engine of the given pace, or
+// MoveGain returns how much earlier an item would end at an engine of the given pace, or
 // zero if moving there is not worth its cost. interval is the typical time between
 // events.
-func Gain(p Progress, interval time.Duration, pace float64) time.Duration {
+func MoveGain(p Progress, interval time.Duration, pace float64) time.Duration {
 	if p.Events < minPaceEvents || p.Moves >= maxOptionalMoves || p.Pace < minPaceRatio*pace {
 		return 0
 	}
--- a/internal/batch/schedule/place_test.go
+++ b/internal/batch/schedule/place_test.go
@@ -18,19 +18,19 @@
 func TestGain(t *testing.T) {
 	is := is.New(t)
 	interval := 50 * time.Millisecond
-	long := Progress{Events: 10, Made: 10, Expected: 110, Pace: 1.3}
-	is.Equal(Gain(long, interval, 1).Round(time.Millisecond), 1500*time.Millisecond)
-	is.Equal(Gain(long, interval, 1.2), time.Duration(0)) // within the noise
-	short := Progress{Events: 10, Made: 10, Expected: 14, Pace: 1.3}
-	is.Equal(Gain(short, interval, 1), time.Duration(0))
-	beyond := Progress{Events: 60, Made: 60, Expected: 20, Pace: 1.3}
-	is.True(Gain(beyond, interval, 1) > 0) // an item beyond its estimate is expected to go on
+	long := Progress{Events: 10, TotalEvents: 10, ExpectedEvents: 110, Pace: 1.3}
+	is.Equal(MoveGain(long, interval, 1).Round(time.Millisecond), 1500*time.Millisecond)
+	is.Equal(MoveGain(long, interval, 1.2), time.Duration(0)) // within the noise
+	short := Progress{Events: 10, TotalEvents: 10, ExpectedEvents: 14, Pace: 1.3}
+	is.Equal(MoveGain(short, interval, 1), time.Duration(0))
+	beyond := Progress{Events: 60, TotalEvents: 60, ExpectedEvents: 20, Pace: 1.3}
+	is.True(MoveGain(beyond, interval, 1) > 0) // an item beyond its estimate is expected to go on
 	justBegun := long
 	justBegun.Events = minPaceEvents - 1
-	is.Equal(Gain(justBegun, interval, 1), time.Duration(0))
+	is.Equal(MoveGain(justBegun, interval, 1), time.Duration(0))
 	movedOften := long
 	movedOften.Moves = maxOptionalMoves
-	is.Equal(Gain(movedOften, interval, 1), time.Duration(0))
+	is.Equal(MoveGain(movedOften, interval, 1), time.Duration(0))
 }
 
 // Guards against using estimates, which are in tokens, as numbers of events.
@@ -38,13 +38,13 @@
 	is := is.New(t)
 	var l Lengths
 	is.Equal(l.Events(800), 0.0)
-	l.Finished(0, 50) // an item without an estimate is ignored
+	l.Record(0, 50) // an item without an estimate is ignored
 	for range 20 {
-		l.Finished(800, 10)
+		l.Record(800, 10)
 	}
 	is.Equal(l.Events(1600), 20.0)
 	for range 10000 {
-		l.Finished(400, 10) // the ratio of tokens to events changes
+		l.Record(400, 10) // the ratio of tokens to events changes
 	}
 	is.True(math.Abs(l.Events(400)-10) < 0.2)
 }
@@ -56,20 +56,20 @@
 func TestShortItemsGoToOlderEngines(t *testing.T) {
 	is := is.New(t)
 	engines := []Engine{
-		{Room: 8, Slots: 8, Pace: 1},
-		{Room: 3, Slots: 8, Pace: 1.3},
-		{Room: 8, Slots: 8, Pace: 4},
-		{Room: 8, Slots: 8, Pace: 1.6}, // has just become slow
+		{FreeSlots: 8, Slots: 8, Pace: 1},
+		{FreeSlots: 3, Slots: 8, Pace: 1.3},
+		{FreeSlots: 8, Slots: 8, Pace: 4},
+		{FreeSlots: 8, Slots: 8, Pace: 1.6}, // has just become slow
 	}
-	short := Need{Lasts: 500 * time.Millisecond}
+	short := Need{ExpectedDuration: 500 * time.Millisecond}
 	is.Equal(Pick(engines, short), 1)
-	is.Equal(Pick(engines, Need{Lasts: 5 * time.Second}), 0)
+	is.Equal(Pick(engines, Need{ExpectedDuration: 5 * time.Second}), 0)
 	is.Equal(Pick(engines, Need{}), 0) // an item of unknown length may be long
-	engines[1].Room = 0
+	engines[1].FreeSlots = 0
 	is.Equal(Pick(engines, short), 0)
-	engines[0].Room, engines[2].Room, engines[3].Room = 4, 0, 0
+	engines[0].FreeSlots, engines[2].FreeSlots, engines[3].FreeSlots = 4, 0, 0
 	is.Equal(Pick(engines, short), -1)
-	is.Equal(Pick(engines, Need{Lasts: 5 * time.Second}), 0)
+	is.Equal(Pick(engines, Need{ExpectedDuration: 5 * time.Second}), 0)
 	short.Waited = maxShortItemWait
 	is.Equal(Pick(engines, short), 0)
 }
@@ -80,10 +80,10 @@
 func TestLongItemsGoWhereMemoryIsFree(t *testing.T) {
 	is := is.New(t)
 	engines := []Engine{
-		{Room: 8, Slots: 12, Pace: 1, Memory: 41_000, Reserved: 36_000},
-		{Room: 12, Slots: 12, Pace: 1.3, Memory: 41_000, Reserved: 4_000},
+		{FreeSlots: 8, Slots: 12, Pace: 1, Memory: 41_000, Reserved: 36_000},
+		{FreeSlots: 12, Slots: 12, Pace: 1.3, Memory: 41_000, Reserved: 4_000},
 	}
-	long := Need{Lasts: 6 * time.Second, Memory: 11_000}
+	long := Need{ExpectedDuration: 6 * time.Second, Memory: 11_000}
 	is.Equal(Pick(engines, long), 0) // a small excess is within the error of estimates
 	engines[0].Reserved = 60_000
 	is.Equal(Pick(engines, long), 1)
@@ -99,15 +99,15 @@
 func TestLongItemsSpreadOverEqualEngines(t *testing.T) {
 	is := is.New(t)
 	engines := []Engine{
-		{Room: 8, Slots: 8, Pace: 0.95, Memory: 74_000},
-		{Room: 8, Slots: 8, Pace: 1, Memory: 74_000},
-		{Room: 5, Slots: 8, Pace: 1.02, Memory: 74_000, Reserved: 3_000}, // has short items
-		{Room: 8, Slots: 8, Pace: 1.06, Memory: 74_000},
+		{FreeSlots: 8, Slots: 8, Pace: 0.95, Memory: 74_000},
+		{FreeSlots: 8, Slots: 8, Pace: 1, Memory: 74_000},
+		{FreeSlots: 5, Slots: 8, Pace: 1.02, Memory: 74_000, Reserved: 3_000}, // has short items
+		{FreeSlots: 8, Slots: 8, Pace: 1.06, Memory: 74_000},
 	}
 	got := make([]int, len(engines))
 	for range 8 {
-		at := Pick(engines, Need{Lasts: 6 * time.Second, Memory: 11_000})
-		engines[at].Room--
+		at := Pick(engines, Need{ExpectedDuration: 6 * time.Second, Memory: 11_000})
+		engines[at].FreeSlots--
 		engines[at].Reserved += 11_000
 		got[at]++
 	}
@@ -142,16 +142,16 @@
 	engines := make([]Engine, 16)
 	for i := range engines {
 		engines[i] = Engine{
-			Room:  8,
-			Slots: 8,
-			Pace:  1,
+			FreeSlots: 8,
+			Slots:     8,
+			Pace:      1,
 		}
 		if i%3 == 0 {
 			engines[i].Pace = 1.3
 		}
 	}
 	var lengths Lengths
-	lengths.Finished(tokens*minKnownEvents, minKnownEvents)
+	lengths.Record(tokens*minKnownEvents, minKnownEvents)
 	all := make([]*simulatedItem, groups*size)
 	items := make([]submission.Item, len(all))
 	for i := range all {
@@ -178,13 +178,13 @@
 	for now := time.Duration(0); ; now += tick {
 		for len(queue) > 0 {
 			at := pick(engines, Need{
-				Lasts:  time.Duration(lengths.Events(all[queue[0]].estimate) * float64(interval)),
-				Waited: now,
+				ExpectedDuration: time.Duration(lengths.Events(all[queue[0]].estimate) * float64(interval)),
+				Waited:           now,
 			})
 			if at < 0 {
 				break
 			}
-			engines[at].Room--
+			engines[at].FreeSlots--
 			all[queue[0]].engine = at
 			all[queue[0]].begun = now
 			queue = queue[1:]
@@ -194,12 +194,12 @@
 				continue
 			}
 			e := engines[r.engine]
-			r.made += float64(tick) / (float64(interval) * e.Pace * (1 + (slotsSlowdown+memorySlowdown)*(1-e.Room/8)))
+			r.made += float64(tick) / (float64(interval) * e.Pace * (1 + (slotsSlowdown+memorySlowdown)*(1-e.FreeSlots/8)))
 			if r.made < r.length {
 				continue
 			}
 			r.done = now + tick
-			engines[r.engine].Room++
+			engines[r.engine].FreeSlots++
 			if left[r.group]--; left[r.group] == 0 {
 				if whole++; whole == wanted {
 					return r.done
@@ -215,17 +215,17 @@
 				continue
 			}
 			p := Progress{
-				Events:   int(r.made),
-				Made:     int(r.made),
-				Moves:    r.moves,
-				Expected: lengths.Events(r.estimate),
-				Pace:     engines[r.engine].Pace,
+				Events:         int(r.made),
+				TotalEvents:    int(r.made),
+				Moves:          r.moves,
+				ExpectedEvents: lengths.Events(r.estimate),
+				Pace:           engines[r.engine].Pace,
 			}
-			if Gain(p, interval, engines[to].Pace) == 0 {
+			if MoveGain(p, interval, engines[to].Pace) == 0 {
 				continue
 			}
-			engines[r.engine].Room++
-			engines[to].Room--
+			engines[r.engine].FreeSlots++
+			engines[to].FreeSlots--
 			r.engine = to
 			r.moves++
 		}
@@ -236,7 +236,7 @@
 func pickMostFreeSlots(engines []Engine, _ Need) int {
 	best := -1
 	for i, e := range engines {
-		if e.Room >= 1 && (best < 0 || e.Room > engines[best].Room) {
+		if e.FreeSlots >= 1 && (best < 0 || e.FreeSlots > engines[best].FreeSlots) {
 			best = i
 		}
 	}
@@ -267,18 +267,18 @@
 // recently reported a free slot.
 func TestLentEnginesNeedRecentReportOfFreeSlot(t *testing.T) {
 	is := is.New(t)
-	is.True(Engine{}.Open())
-	is.Equal(Engine{Lent: true, Room: 3, Told: time.Hour}.Open(), false)
-	is.Equal(Engine{Lent: true, Room: 0.5, Told: 0}.Open(), false)
-	is.True(Engine{Lent: true, Room: 1, Told: maxLentReportAge}.Open())
+	is.True(Engine{}.OpenToCrowdedStep())
+	is.Equal(Engine{OtherModel: true, FreeSlots: 3, ReportAge: time.Hour}.OpenToCrowdedStep(), false)
+	is.Equal(Engine{OtherModel: true, FreeSlots: 0.5, ReportAge: 0}.OpenToCrowdedStep(), false)
+	is.True(Engine{OtherModel: true, FreeSlots: 1, ReportAge: maxLentReportAge}.OpenToCrowdedStep())
 }
 
 // Guards against a step with few items that stays at older engines while fast ones of
 // other models are free.
 func TestSmallStepsUseAllEngines(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Crowds(90, 128), false)
-	is.Equal(Crowds(2*128, 128), false)
-	is.True(Crowds(2*128+1, 128))
-	is.Equal(Crowds(1000, 0), false) // no engine is assigned to its model
+	is.Equal(CrowdsOwnEngines(90, 128), false)
+	is.Equal(CrowdsOwnEngines(2*128, 128), false)
+	is.True(CrowdsOwnEngines(2*128+1, 128))
+	is.Equal(CrowdsOwnEngines(1000, 0), false) // no engine is assigned to its model
 }
--- a/internal/batch/schedule/rank.go
+++ b/internal/batch/schedule/rank.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Work is the remaining work of an unfinished group of a step.
-type Work struct {
+// GroupWork is the remaining work of an unfinished group of a step.
+type GroupWork struct {
 	// Total is the sum of the expected remaining run times of its unfinished items, and
 	// Longest the largest of them.
 	Total, Longest time.Duration
-	// Again reports whether the group is carried over from an earlier step. The trainer
+	// CarriedOver reports whether the group is carried over from an earlier step. The trainer
 	// waits for such a group in any case.
-	Again bool
+	CarriedOver bool
 }
 
 // Load is the remaining work of a step and the capacity that is available for it.
 type Load struct {
-	Groups []Work
-	// Missing is the number of further whole groups that the trainer waits for.
-	Missing int
-	// Slots is the number of items that run at once, and Others the remaining work of
+	Groups []GroupWork
+	// MissingGroups is the number of further whole groups that the trainer waits for.
+	MissingGroups int
+	// Slots is the number of items that run at once, and OtherWork the remaining work of
 	// earlier steps that shares those slots.
-	Slots  int
-	Others time.Duration
-	// Left is the time until the results of the step are due.
-	Left time.Duration
+	Slots     int
+	OtherWork time.Duration
+	// UntilDue is the time until the results of the step are due.
+	UntilDue time.Duration
 }
 
 // Limits of Rank. The capacity of a step is the time of all slots until its results are
@@ -72,17 +72,17 @@
 // the other groups follow longest first, so that the step ends as soon as possible.
 func (l Load) Rank() Ranking {
 	order := l.overloadOrder()
-	capacity := float64(time.Duration(l.Slots)*max(l.Left, minHorizon) - l.Others)
+	capacity := float64(time.Duration(l.Slots)*max(l.UntilDue, minHorizon) - l.OtherWork)
 	r := Ranking{
 		Places:     make([]int, len(order)),
-		Overloaded: float64(l.totalWork(order, l.Missing)) > overloadShare*capacity,
+		Overloaded: float64(l.totalWork(order, l.MissingGroups)) > overloadShare*capacity,
 	}
 	crowded := float64(l.totalWork(order, len(order))) > crowdedShare*capacity
 	sum := time.Duration(0)
 	for at, i := range order {
 		sum += l.Groups[i].Total
 		switch {
-		case crowded && at >= l.Missing:
+		case crowded && at >= l.MissingGroups:
 			r.Places[i] = len(order) + 1
 		case !r.Overloaded:
 		case float64(sum) <= plannableShare*capacity:
@@ -113,18 +113,18 @@
 
 // priorityClass returns 0 for a group that is carried over, 2 for one that can't be
 // whole in time, and 1 for any other. Lower classes go first.
-func (l Load) priorityClass(g Work) int {
+func (l Load) priorityClass(g GroupWork) int {
 	switch {
-	case g.Again:
+	case g.CarriedOver:
 		return 0
-	case l.Left >= minHorizon && g.Longest > l.Left:
+	case l.UntilDue >= minHorizon && g.Longest > l.UntilDue:
 		return 2
 	}
 	return 1
 }
 
 // Needed returns the remaining work of the groups that the trainer waits for.
-func (l Load) Needed() time.Duration { return l.totalWork(l.overloadOrder(), l.Missing) }
+func (l Load) Needed() time.Duration { return l.totalWork(l.overloadOrder(), l.MissingGroups) }
 
 // totalWork returns the remaining work of the first n groups of an order.
 func (l Load) totalWork(order []int, n int) time.Duration {
--- a/internal/batch/schedule/rank_test.go
+++ b/internal/batch/schedule/rank_test.go
@@ -97,9 +97,9 @@
 // rank orders the queue by Load.Rank, as the batch runner does.
 func (p *simulatedStep) rank(now time.Duration) {
 	l := Load{
-		Missing: p.wantedGroups() - p.wholeGroups(now),
-		Slots:   p.slots,
-		Left:    p.due - now,
+		MissingGroups: p.wantedGroups() - p.wholeGroups(now),
+		Slots:         p.slots,
+		UntilDue:      p.due - now,
 	}
 	at := make(map[int]int)
 	for i := range p.length {
@@ -114,7 +114,7 @@
 		g := i / simGroupSize
 		if _, ok := at[g]; !ok {
 			at[g] = len(l.Groups)
-			l.Groups = append(l.Groups, Work{})
+			l.Groups = append(l.Groups, GroupWork{})
 		}
 		w := &l.Groups[at[g]]
 		w.Total += left
@@ -186,23 +186,23 @@
 func TestRank(t *testing.T) {
 	is := is.New(t)
 	l := Load{
-		Groups: []Work{
+		Groups: []GroupWork{
 			{Total: 9 * time.Second, Longest: 6 * time.Second},
 			{Total: time.Second, Longest: time.Second},
 			{Total: 2 * time.Second, Longest: time.Second},
 		},
-		Missing: 3,
-		Slots:   3,
-		Left:    7 * time.Second,
+		MissingGroups: 3,
+		Slots:         3,
+		UntilDue:      7 * time.Second,
 	}
 	is.Equal(l.Rank(), Ranking{Places: []int{0, 0, 0}})
-	l.Others = 11 * time.Second // an earlier step uses the engines as well
+	l.OtherWork = 11 * time.Second // an earlier step uses the engines as well
 	is.Equal(l.Rank(), Ranking{Places: []int{3, 0, 1}, Overloaded: true})
-	l.Groups[2].Again = true
+	l.Groups[2].CarriedOver = true
 	is.Equal(l.Rank(), Ranking{Places: []int{3, 1, 0}, Overloaded: true})
 	l.Groups[1].Longest = 8 * time.Second
 	is.Equal(l.Rank(), Ranking{Places: []int{3, 3, 0}, Overloaded: true})
-	l.Missing = 2 // the trainer does not wait for the last group
-	l.Others = 10 * time.Second
+	l.MissingGroups = 2 // the trainer does not wait for the last group
+	l.OtherWork = 10 * time.Second
 	is.Equal(l.Rank().Places, []int{0, 4, 0})
 }
--- a/internal/batch/schedule/read.go
+++ b/internal/batch/schedule/read.go
@@ -21,25 +21,25 @@
 	earlyAnswerLead = 800 * time.Millisecond
 )
 
-// Reading describes a read of a trainer that waits for results.
-type Reading struct {
+// PendingRead describes a read of a trainer that waits for results.
+type PendingRead struct {
 	// Waited is how long the read has waited.
 	Waited time.Duration
-	// Left is the expected time until the step ends; 0 if unknown.
-	Left time.Duration
+	// UntilEnd is the expected time until the step ends; 0 if unknown.
+	UntilEnd time.Duration
 }
 
-// Turn reports whether the read is answered now with the results that there are, so that
+// AnswerEarly reports whether the read is answered now with the results that there are, so that
 // the next read has waited at least minReadWait when the step ends. If the read reached
 // its longest wait just before the end instead, the trainer would process the answer of
 // the next one only half a second after that began, and would be idle meanwhile.
-func (r Reading) Turn() bool {
-	if r.Waited < minReadWait || r.Left <= 0 {
+func (r PendingRead) AnswerEarly() bool {
+	if r.Waited < minReadWait || r.UntilEnd <= 0 {
 		return false
 	}
 	waitLeft := maxReadWait - r.Waited
-	if r.Left <= waitLeft {
+	if r.UntilEnd <= waitLeft {
 		return false
 	}
-	return r.Left-waitLeft < minReadWait && r.Left <= earlyAnswerLead
+	return r.UntilEnd-waitLeft < minReadWait && r.UntilEnd <= earlyAnswerLead
 }
--- a/internal/batch/schedule/read_test.go
+++ b/internal/batch/schedule/read_test.go
@@ -19,12 +19,12 @@
 	for began := time.Duration(0); ; {
 		answered := began
 		for ; answered < end && answered-began < maxReadWait; answered += tick {
-			r := Reading{
-				Waited: answered - began,
-				Left:   end + estimateError - answered,
+			r := PendingRead{
+				Waited:   answered - began,
+				UntilEnd: end + estimateError - answered,
 			}
 			// The owner of a batch checks it ten times a second.
-			if earlyAnswers && answered%(100*time.Millisecond) == 0 && r.Turn() {
+			if earlyAnswers && answered%(100*time.Millisecond) == 0 && r.AnswerEarly() {
 				break
 			}
 		}
@@ -58,7 +58,7 @@
 // one that is past.
 func TestNoEarlyAnswerWithoutEstimate(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Reading{Waited: 900 * time.Millisecond}.Turn(), false)
-	is.Equal(Reading{Waited: 900 * time.Millisecond, Left: -time.Second}.Turn(), false)
-	is.Equal(Reading{Waited: 300 * time.Millisecond, Left: 800 * time.Millisecond}.Turn(), false) // the trainer would pause for as long
+	is.Equal(PendingRead{Waited: 900 * time.Millisecond}.AnswerEarly(), false)
+	is.Equal(PendingRead{Waited: 900 * time.Millisecond, UntilEnd: -time.Second}.AnswerEarly(), false)
+	is.Equal(PendingRead{Waited: 300 * time.Millisecond, UntilEnd: 800 * time.Millisecond}.AnswerEarly(), false) // the trainer would pause for as long
 }
--- a/internal/batch/schedule/schedule_test.go
+++ b/internal/batch/schedule/schedule_test.go
@@ -30,23 +30,23 @@
 func TestPickPrefersEnginesThatAreNotSlow(t *testing.T) {
 	is := is.New(t)
 	engines := []Engine{
-		{Room: 12, Slots: 12, Pace: 4},
-		{Room: 2, Slots: 12, Pace: 1},
-		{Room: 3, Slots: 12, Pace: 1.1},
-		{Room: 12, Slots: 12, Pace: 3.5, Near: true},
+		{FreeSlots: 12, Slots: 12, Pace: 4},
+		{FreeSlots: 2, Slots: 12, Pace: 1},
+		{FreeSlots: 3, Slots: 12, Pace: 1.1},
+		{FreeSlots: 12, Slots: 12, Pace: 3.5, SameFailureDomain: true},
 	}
 	is.Equal(Pick(engines, Need{}), 2) // the emptier one of those that are not slow
 	engines[2].Pace = 1.3
 	is.Equal(Pick(engines, Need{}), 1) // one more free slot does not outweigh an older kind
-	engines[1].Room, engines[2].Room = 0, 0.5
+	engines[1].FreeSlots, engines[2].FreeSlots = 0, 0.5
 	is.Equal(Pick(engines, Need{}), 3) // only slow engines have a slot: the one in the own failure domain
-	engines[1].Room = 6
-	short := Need{Lasts: time.Second}
+	engines[1].FreeSlots = 6
+	short := Need{ExpectedDuration: time.Second}
 	is.Equal(Pick(engines[1:2], short), -1) // half of a fast engine's slots stay free
-	short.Hurried = true
+	short.Overloaded = true
 	is.Equal(Pick(engines[1:2], short), 0) // but not if the step can't complete in time
 	for i := range engines {
-		engines[i].Room = 0
+		engines[i].FreeSlots = 0
 	}
 	is.Equal(Pick(engines, Need{}), -1)
 }
@@ -61,22 +61,22 @@
 		room bool
 		want bool
 	}{
-		"at the usual pace":       {Progress{Waited: 30 * time.Millisecond, Ran: 400 * time.Millisecond, Events: 10}, true, false},
-		"silent":                  {Progress{Waited: 310 * time.Millisecond, Ran: time.Second, Events: 10}, true, true},
-		"silent, no room":         {Progress{Waited: 310 * time.Millisecond, Ran: time.Second, Events: 10}, false, false},
-		"four times slower":       {Progress{Waited: 50 * time.Millisecond, Ran: 800 * time.Millisecond, Events: 5}, true, true},
-		"slow, but just begun":    {Progress{Waited: 50 * time.Millisecond, Ran: 300 * time.Millisecond, Events: 2}, true, false},
-		"failed at every engine":  {Progress{Waited: time.Second, Events: 1, Moves: maxMoves}, true, false},
-		"before the first pace":   {Progress{Waited: 350 * time.Millisecond}, true, false},
-		"silent, no pace known":   {Progress{Waited: 400 * time.Millisecond}, true, true},
-		"reads prompts of others": {Progress{Waited: 200 * time.Millisecond, Ran: 800 * time.Millisecond, Events: 12}, true, false},
+		"at the usual pace":       {Progress{SinceLastEvent: 30 * time.Millisecond, Ran: 400 * time.Millisecond, Events: 10}, true, false},
+		"silent":                  {Progress{SinceLastEvent: 310 * time.Millisecond, Ran: time.Second, Events: 10}, true, true},
+		"silent, no room":         {Progress{SinceLastEvent: 310 * time.Millisecond, Ran: time.Second, Events: 10}, false, false},
+		"four times slower":       {Progress{SinceLastEvent: 50 * time.Millisecond, Ran: 800 * time.Millisecond, Events: 5}, true, true},
+		"slow, but just begun":    {Progress{SinceLastEvent: 50 * time.Millisecond, Ran: 300 * time.Millisecond, Events: 2}, true, false},
+		"failed at every engine":  {Progress{SinceLastEvent: time.Second, Events: 1, Moves: maxMoves}, true, false},
+		"before the first pace":   {Progress{SinceLastEvent: 350 * time.Millisecond}, true, false},
+		"silent, no pace known":   {Progress{SinceLastEvent: 400 * time.Millisecond}, true, true},
+		"reads prompts of others": {Progress{SinceLastEvent: 200 * time.Millisecond, Ran: 800 * time.Millisecond, Events: 12}, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pace := interval
 			if c.p.Events == 0 {
 				pace = 0
 			}
-			is.New(t).Equal(Move(c.p, pace, c.room), c.want)
+			is.New(t).Equal(ShouldMove(c.p, pace, c.room), c.want)
 		})
 	}
 }
--- a/internal/batch/schedule/scoring.go
+++ b/internal/batch/schedule/scoring.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Parameters of Scoring.
+// Parameters of ScoringTime.
 const (
 	// scoringWeight is the weight of a new reward call in the moving average.
 	scoringWeight = 1.0 / 16
@@ -15,14 +15,14 @@
 	scoringTailShare = 1.0 / 3
 )
 
-// Scoring learns how long reward calls take. The zero value is empty and ready to use.
-type Scoring struct {
+// ScoringTime learns how long reward calls take. The zero value is empty and ready to use.
+type ScoringTime struct {
 	mu      sync.Mutex
 	average time.Duration
 }
 
-// Took records the duration of an answered reward call.
-func (s *Scoring) Took(d time.Duration) {
+// Record records the duration of an answered reward call.
+func (s *ScoringTime) Record(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.average == 0 {
@@ -34,7 +34,7 @@
 
 // Left returns how much longer a reward call is expected to take that was sent the given
 // time ago, 0 if no call is known.
-func (s *Scoring) Left(elapsed time.Duration) time.Duration {
+func (s *ScoringTime) Left(elapsed time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(s.average-elapsed, time.Duration(scoringTailShare*float64(s.average)))
--- a/internal/batch/schedule/scoring_test.go
+++ b/internal/batch/schedule/scoring_test.go
@@ -9,11 +9,11 @@
 
 func TestScoring(t *testing.T) {
 	is := is.New(t)
-	var s Scoring
+	var s ScoringTime
 	is.Equal(s.Left(0), time.Duration(0))
-	s.Took(400 * time.Millisecond)
+	s.Record(400 * time.Millisecond)
 	for range 200 {
-		s.Took(240 * time.Millisecond)
+		s.Record(240 * time.Millisecond)
 	}
 	is.True(s.Left(0) > 235*time.Millisecond && s.Left(0) < 245*time.Millisecond)
 	is.True(s.Left(100*time.Millisecond) < 145*time.Millisecond)
@@ -26,8 +26,8 @@
 	is := is.New(t)
 	const runs = 400
 	const scoringTime = 250 * time.Millisecond
-	var s Scoring
-	s.Took(scoringTime)
+	var s ScoringTime
+	s.Record(scoringTime)
 	var before, after time.Duration
 	for i := range runs {
 		end := 4*time.Second + time.Duration(i)*10*time.Millisecond
--- a/internal/batch/schedule/write.go
+++ b/internal/batch/schedule/write.go
@@ -8,20 +8,20 @@
 type Pending struct {
 	// Results is the number of such results.
 	Results int
-	// Whole reports whether these results complete a group.
-	Whole bool
-	// Last reports whether no further results are to come.
-	Last bool
-	// Oldest is how long the first of them has waited.
-	Oldest time.Duration
-	// WholeGroups is the number of whole groups of the batch, and Wanted the number that
-	// its trainer waits for; 0 if it did not say.
-	WholeGroups, Wanted int
+	// CompletesGroup reports whether these results complete a group.
+	CompletesGroup bool
+	// NoMoreResults reports whether no further results are to come.
+	NoMoreResults bool
+	// OldestAge is how long the first of them has waited.
+	OldestAge time.Duration
+	// WholeGroups is the number of whole groups of the batch, and WantedGroups the number
+	// that its trainer waits for; 0 if it did not say.
+	WholeGroups, WantedGroups int
 	// Reading is the read that has waited longest for results, if there is one.
-	Reading Reading
-	// Again is the number of unfinished groups that are carried over from an earlier
+	Reading PendingRead
+	// CarriedOver is the number of unfinished groups that are carried over from an earlier
 	// step. The trainer waits for each of them.
-	Again int
+	CarriedOver int
 }
 
 // Times and limits for writing results.
@@ -53,9 +53,9 @@
 	nearEndGroups = 2
 )
 
-// Ends reports whether the pending results may end the step of the batch.
-func (p Pending) Ends() bool {
-	return p.Last || p.Whole && p.Wanted > 0 && p.WholeGroups >= p.Wanted && p.Again == 0
+// EndsStep reports whether the pending results may end the step of the batch.
+func (p Pending) EndsStep() bool {
+	return p.NoMoreResults || p.CompletesGroup && p.WantedGroups > 0 && p.WholeGroups >= p.WantedGroups && p.CarriedOver == 0
 }
 
 // nearEnd reports whether the step may end before a read that begins now has waited for
@@ -63,34 +63,36 @@
 // that is left may end at any moment, and a read that is answered just before the end
 // costs the trainer half a second.
 func (p Pending) nearEnd() bool {
-	if p.Reading.Left > 0 && p.Reading.Left < minReadWait {
+	if p.Reading.UntilEnd > 0 && p.Reading.UntilEnd < minReadWait {
 		return true
 	}
-	return p.Wanted > 0 && p.WholeGroups+nearEndGroups >= p.Wanted
+	return p.WantedGroups > 0 && p.WholeGroups+nearEndGroups >= p.WantedGroups
 }
 
-// Tell reports whether waiting reads are answered with results that were just listed.
+// ShouldAnswerReads reports whether waiting reads are answered with results that were just listed.
 // Close to the end of a step they keep waiting for the results that end it: answered
 // with results that were written only because of their age, the trainer would pause just
 // when the step ends.
-func Tell(p Pending) bool { return p.Ends() || !p.nearEnd() || p.Reading.Turn() }
+func ShouldAnswerReads(p Pending) bool {
+	return p.EndsStep() || !p.nearEnd() || p.Reading.AnswerEarly()
+}
 
-// Write reports whether the finished results are to be written, and so listed, now.
+// ShouldWrite reports whether the finished results are to be written, and so listed, now.
 // Results that may end a step are written at once, others seldom.
-func Write(p Pending) bool {
+func ShouldWrite(p Pending) bool {
 	switch {
 	case p.Results == 0:
 		return false
-	case p.Ends():
+	case p.EndsStep():
 		return true
-	case p.Whole && p.Wanted == 0:
-		return p.Oldest >= wholeGroupsDelay
+	case p.CompletesGroup && p.WantedGroups == 0:
+		return p.OldestAge >= wholeGroupsDelay
 	}
-	if p.Oldest >= maxWriteAge || p.Reading.Turn() {
+	if p.OldestAge >= maxWriteAge || p.Reading.AnswerEarly() {
 		return true
 	}
 	if p.nearEnd() {
-		return p.Oldest >= nearEndWriteAge
+		return p.OldestAge >= nearEndWriteAge
 	}
-	return p.Reading.Waited >= minReadWaitToWrite || p.Oldest >= preferredWriteAge && p.Reading.Waited >= minReadWait
+	return p.Reading.Waited >= minReadWaitToWrite || p.OldestAge >= preferredWriteAge && p.Reading.Waited >= minReadWait
 }
--- a/internal/batch/schedule/write_test.go
+++ b/internal/batch/schedule/write_test.go
@@ -12,39 +12,39 @@
 // second, just when its step may become whole.
 func TestWrite(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Write(Pending{}), false)
-	is.Equal(Write(Pending{Results: 1, Oldest: time.Second, Wanted: 9}), false)
-	is.Equal(Write(Pending{Results: 1, Oldest: preferredWriteAge, Wanted: 9}), false) // no read waits
-	is.Equal(Write(Pending{Results: 1, Oldest: maxWriteAge, Wanted: 9}), true)
-	is.Equal(Write(Pending{Results: 1, Oldest: preferredWriteAge, Wanted: 9, Reading: Reading{Waited: minReadWait}}), true)
-	is.Equal(Write(Pending{Results: 1, Oldest: preferredWriteAge, Wanted: 9, Reading: Reading{Waited: minReadWait / 2}}), false)
-	is.Equal(Write(Pending{Results: 1, Wanted: 9, WholeGroups: 7, Reading: Reading{Waited: minReadWaitToWrite}}), false) // the end is near
+	is.Equal(ShouldWrite(Pending{}), false)
+	is.Equal(ShouldWrite(Pending{Results: 1, OldestAge: time.Second, WantedGroups: 9}), false)
+	is.Equal(ShouldWrite(Pending{Results: 1, OldestAge: preferredWriteAge, WantedGroups: 9}), false) // no read waits
+	is.Equal(ShouldWrite(Pending{Results: 1, OldestAge: maxWriteAge, WantedGroups: 9}), true)
+	is.Equal(ShouldWrite(Pending{Results: 1, OldestAge: preferredWriteAge, WantedGroups: 9, Reading: PendingRead{Waited: minReadWait}}), true)
+	is.Equal(ShouldWrite(Pending{Results: 1, OldestAge: preferredWriteAge, WantedGroups: 9, Reading: PendingRead{Waited: minReadWait / 2}}), false)
+	is.Equal(ShouldWrite(Pending{Results: 1, WantedGroups: 9, WholeGroups: 7, Reading: PendingRead{Waited: minReadWaitToWrite}}), false) // the end is near
 	// A read must not be answered just before the end because the estimated end was
 	// too late.
-	is.Equal(Write(Pending{Results: 1, Wanted: 9, WholeGroups: 7, Reading: Reading{Waited: minReadWaitToWrite, Left: 2 * time.Second}}), false)
-	is.True(Write(Pending{Results: 1, Wanted: 9, WholeGroups: 6, Reading: Reading{Waited: minReadWaitToWrite, Left: 2 * time.Second}}))
+	is.Equal(ShouldWrite(Pending{Results: 1, WantedGroups: 9, WholeGroups: 7, Reading: PendingRead{Waited: minReadWaitToWrite, UntilEnd: 2 * time.Second}}), false)
+	is.True(ShouldWrite(Pending{Results: 1, WantedGroups: 9, WholeGroups: 6, Reading: PendingRead{Waited: minReadWaitToWrite, UntilEnd: 2 * time.Second}}))
 	// Long unfinished texts are stored, or they would be made again after a restart of
 	// all instances.
-	is.True(Write(Pending{Results: 1, Wanted: 9, WholeGroups: 7, Oldest: nearEndWriteAge}))
-	is.True(Tell(Pending{Wanted: 9, WholeGroups: 6}))
-	is.Equal(Tell(Pending{Wanted: 9, WholeGroups: 7}), false)
-	is.True(Tell(Pending{Wanted: 9, WholeGroups: 9, Whole: true}))
-	is.True(Tell(Pending{Wanted: 9, WholeGroups: 7, Reading: Reading{Waited: 700 * time.Millisecond, Left: 600 * time.Millisecond}})) // the next read is waiting when the step ends
-	is.Equal(Write(Pending{Results: 4, Whole: true, Oldest: nearEndWriteAge - 1, WholeGroups: 8, Wanted: 9}), false)
-	is.Equal(Tell(Pending{Results: 4, Whole: true, Oldest: time.Second, WholeGroups: 8, Wanted: 9}), false) // results are written, but no read is answered
-	is.Equal(Write(Pending{Results: 4, Whole: true, WholeGroups: 9, Wanted: 9}), true)
-	is.Equal(Write(Pending{Results: 1, WholeGroups: 9, Wanted: 9}), false) // a part of a group does not end a step
+	is.True(ShouldWrite(Pending{Results: 1, WantedGroups: 9, WholeGroups: 7, OldestAge: nearEndWriteAge}))
+	is.True(ShouldAnswerReads(Pending{WantedGroups: 9, WholeGroups: 6}))
+	is.Equal(ShouldAnswerReads(Pending{WantedGroups: 9, WholeGroups: 7}), false)
+	is.True(ShouldAnswerReads(Pending{WantedGroups: 9, WholeGroups: 9, CompletesGroup: true}))
+	is.True(ShouldAnswerReads(Pending{WantedGroups: 9, WholeGroups: 7, Reading: PendingRead{Waited: 700 * time.Millisecond, UntilEnd: 600 * time.Millisecond}})) // the next read is waiting when the step ends
+	is.Equal(ShouldWrite(Pending{Results: 4, CompletesGroup: true, OldestAge: nearEndWriteAge - 1, WholeGroups: 8, WantedGroups: 9}), false)
+	is.Equal(ShouldAnswerReads(Pending{Results: 4, CompletesGroup: true, OldestAge: time.Second, WholeGroups: 8, WantedGroups: 9}), false) // results are written, but no read is answered
+	is.Equal(ShouldWrite(Pending{Results: 4, CompletesGroup: true, WholeGroups: 9, WantedGroups: 9}), true)
+	is.Equal(ShouldWrite(Pending{Results: 1, WholeGroups: 9, WantedGroups: 9}), false) // a part of a group does not end a step
 	// The trainer waits for a carried-over group in any case.
-	is.Equal(Write(Pending{Results: 4, Whole: true, WholeGroups: 9, Wanted: 9, Again: 1}), false)
-	is.Equal(Write(Pending{Results: 4, Whole: true, WholeGroups: 9, Wanted: 9, Again: 1, Oldest: maxWriteAge}), true)
-	is.Equal(Write(Pending{Results: 1, Last: true}), true)
+	is.Equal(ShouldWrite(Pending{Results: 4, CompletesGroup: true, WholeGroups: 9, WantedGroups: 9, CarriedOver: 1}), false)
+	is.Equal(ShouldWrite(Pending{Results: 4, CompletesGroup: true, WholeGroups: 9, WantedGroups: 9, CarriedOver: 1, OldestAge: maxWriteAge}), true)
+	is.Equal(ShouldWrite(Pending{Results: 1, NoMoreResults: true}), true)
 	// A read that is answered now is followed by the next one at once.
-	is.Equal(Write(Pending{Results: 1, Wanted: 9, Reading: Reading{Waited: minReadWaitToWrite}}), true)
-	is.Equal(Write(Pending{Results: 1, Wanted: 9, Reading: Reading{Waited: minReadWaitToWrite / 2}}), false)
-	is.Equal(Write(Pending{Wanted: 9, Reading: Reading{Waited: minReadWaitToWrite}}), false)
+	is.Equal(ShouldWrite(Pending{Results: 1, WantedGroups: 9, Reading: PendingRead{Waited: minReadWaitToWrite}}), true)
+	is.Equal(ShouldWrite(Pending{Results: 1, WantedGroups: 9, Reading: PendingRead{Waited: minReadWaitToWrite / 2}}), false)
+	is.Equal(ShouldWrite(Pending{WantedGroups: 9, Reading: PendingRead{Waited: minReadWaitToWrite}}), false)
 	// The trainer did not say how many groups it waits for.
-	is.Equal(Write(Pending{Results: 4, Whole: true, Oldest: wholeGroupsDelay / 2}), false)
-	is.Equal(Write(Pending{Results: 4, Whole: true, Oldest: wholeGroupsDelay}), true)
+	is.Equal(ShouldWrite(Pending{Results: 4, CompletesGroup: true, OldestAge: wholeGroupsDelay / 2}), false)
+	is.Equal(ShouldWrite(Pending{Results: 4, CompletesGroup: true, OldestAge: wholeGroupsDelay}), true)
 }
 
 // simulateTrainer simulates a trainer that reads the results of a step while they are
@@ -74,11 +74,11 @@
 		}
 		last := next == len(made)
 		p := Pending{
-			Results:     pending,
-			Whole:       last || next%8 == 0,
-			Oldest:      now - first,
-			WholeGroups: min(next/8, wanted-1),
-			Wanted:      wanted,
+			Results:        pending,
+			CompletesGroup: last || next%8 == 0,
+			OldestAge:      now - first,
+			WholeGroups:    min(next/8, wanted-1),
+			WantedGroups:   wanted,
 		}
 		if last {
 			p.WholeGroups = wanted
@@ -87,11 +87,11 @@
 			p.Reading.Waited = now - began
 		}
 		// Unless the step ends, the owner of a batch checks it ten times a second.
-		if (last || now%(100*time.Millisecond) == 0) && Write(p) {
+		if (last || now%(100*time.Millisecond) == 0) && ShouldWrite(p) {
 			listed += pending
 			pending = 0
 			writes++
-			if Tell(p) {
+			if ShouldAnswerReads(p) {
 				announced = listed
 			}
 		}
--- a/internal/batch/standby/copies.go
+++ b/internal/batch/standby/copies.go
@@ -34,11 +34,11 @@
 type Copies struct {
 	mu      sync.Mutex
 	batches map[string]*batchCopy
-	owners  map[string]Heard
+	owners  map[string]LastHeartbeat
 }
 
-// Heard is the last heartbeat of an owner and when the owner was last known to be alive.
-type Heard struct {
+// LastHeartbeat is the last heartbeat of an owner and when the owner was last known to be alive.
+type LastHeartbeat struct {
 	Heartbeat Heartbeat
 	At        timer.Instant
 }
@@ -51,17 +51,17 @@
 	progress  map[string]submission.Progress
 }
 
-// Take applies a heartbeat. It returns ErrGap if events before it are missing.
-func (c *Copies) Take(b Heartbeat, now timer.Instant) error {
+// Apply applies a heartbeat. It returns ErrGap if events before it are missing.
+func (c *Copies) Apply(b Heartbeat, now timer.Instant) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.batches == nil {
 		c.batches = make(map[string]*batchCopy)
-		c.owners = make(map[string]Heard)
+		c.owners = make(map[string]LastHeartbeat)
 	}
 	deltas := b.Deltas
 	b.Deltas = nil
-	c.owners[b.Owner.Instance] = Heard{
+	c.owners[b.Owner.Instance] = LastHeartbeat{
 		Heartbeat: b,
 		At:        now,
 	}
@@ -125,7 +125,7 @@
 }
 
 // apply applies the changes of one item. It returns false if events before them are missing.
-func (k *batchCopy) apply(p Piece) bool {
+func (k *batchCopy) apply(p ItemDelta) bool {
 	old := k.progress[p.Item].Events
 	if p.From > len(old) {
 		return false
@@ -142,7 +142,7 @@
 	}
 	end := *p.Result
 	if end.Text == "" {
-		end.Text = submission.TextOf(events)
+		end.Text = submission.JoinEvents(events)
 	}
 	k.results[p.Item] = end
 	delete(k.progress, p.Item)
@@ -168,10 +168,10 @@
 }
 
 // heardOwners returns the last heartbeat of each owner.
-func (c *Copies) heardOwners() []Heard {
+func (c *Copies) heardOwners() []LastHeartbeat {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := make([]Heard, 0, len(c.owners))
+	list := make([]LastHeartbeat, 0, len(c.owners))
 	for _, h := range c.owners {
 		list = append(list, h)
 	}
--- a/internal/batch/standby/copies_test.go
+++ b/internal/batch/standby/copies_test.go
@@ -14,7 +14,7 @@
 	"github.com/egretbend/egretbend/internal/batch/ledger"
 	"github.com/egretbend/egretbend/internal/batch/submission"
 	"github.com/egretbend/egretbend/internal/kernel/timer"
-	"github.com/egretbend/egretbend/internal/standin/proof"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
 var ownerA = ledger.Owner{
@@ -34,11 +34,11 @@
 func (b *fakeWork) Busy() bool { return !b.idle }
 
 // Changes implements Work.
-func (b *fakeWork) Changes(since Marks) ([]string, []Delta, Marks) {
+func (b *fakeWork) Changes(since Marks) ([]string, []BatchDelta, Marks) {
 	if b.idle {
 		return nil, nil, Marks{}
 	}
-	d := Delta{
+	d := BatchDelta{
 		Batch: "b",
 		Whole: since["b"] == nil,
 	}
@@ -48,11 +48,11 @@
 		mark := since["b"][id]
 		switch {
 		case done:
-			marks[id] = Done
-			if mark != Done {
+			marks[id] = ResultReceived
+			if mark != ResultReceived {
 				from := min(max(0, mark), len(text))
 				end.Text = ""
-				d.Pieces = append(d.Pieces, Piece{
+				d.Pieces = append(d.Pieces, ItemDelta{
 					Item:   id,
 					From:   from,
 					Events: slices.Clone(text[from:]),
@@ -65,14 +65,14 @@
 			if mark > len(text) {
 				from = 0
 			}
-			d.Pieces = append(d.Pieces, Piece{
+			d.Pieces = append(d.Pieces, ItemDelta{
 				Item:   id,
 				From:   from,
 				Events: slices.Clone(text[from:]),
 			})
 		}
 	}
-	return []string{"b"}, []Delta{d}, Marks{"b": marks}
+	return []string{"b"}, []BatchDelta{d}, Marks{"b": marks}
 }
 
 // change applies an action to an item that has not ended.
@@ -88,7 +88,7 @@
 	case "end":
 		b.results[id] = submission.Result{
 			Item: id,
-			Text: submission.TextOf(b.texts[id]),
+			Text: submission.JoinEvents(b.texts[id]),
 		}
 	}
 }
@@ -114,7 +114,7 @@
 		}
 		return errLost
 	}
-	err := l.copies.Take(b, l.clock.Now())
+	err := l.copies.Apply(b, l.clock.Now())
 	if l.fault == "unanswered" {
 		return errLost
 	}
@@ -135,13 +135,13 @@
 		results: map[string]submission.Result{},
 	}
 	s := &Sender{
-		Self:       ownerA,
-		Lease:      func() uint64 { return 1 },
-		Work:       work,
-		Urgent:     func() bool { return false },
-		Successors: func() []string { return []string{"s"} },
-		Peers:      l,
-		Timer:      clock,
+		Self:          ownerA,
+		Lease:         func() uint64 { return 1 },
+		Work:          work,
+		HasUrgentWork: func() bool { return false },
+		Successors:    func() []string { return []string{"s"} },
+		Peers:         l,
+		Timer:         clock,
 	}
 	ids := slices.Sorted(maps.Keys(work.texts))
 	for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -184,34 +184,34 @@
 
 // Guards against copies that lack events, hold them twice, or join two texts.
 func TestCopyFollowsItsOwner(t *testing.T) {
-	proof.CheckN(t, 300, func(t *rapid.T) { checkCopyFollowsOwner(t, false) })
+	property.CheckN(t, 300, func(t *rapid.T) { checkCopyFollowsOwner(t, false) })
 }
 
 // If lost messages are reported as delivered, the copy differs from the owner's text, so the
 // property above does check something.
 func TestCopyDiffersIfLossesAreHidden(t *testing.T) {
-	proof.Refute(t, func(t *rapid.T) { checkCopyFollowsOwner(t, true) })
+	property.CheckFails(t, func(t *rapid.T) { checkCopyFollowsOwner(t, true) })
 }
 
 // Guards against a restarted instance that wipes the copies of its previous incarnation.
 func TestCopySurvivesRestartOfItsOwner(t *testing.T) {
 	is := is.New(t)
 	var c Copies
-	is.NoErr(c.Take(Heartbeat{
+	is.NoErr(c.Apply(Heartbeat{
 		Owner: ownerA,
 		Open:  []string{"b"},
-		Deltas: []Delta{
-			{Batch: "b", Whole: true, Pieces: []Piece{{Item: "x", Events: []string{"e1"}}}},
+		Deltas: []BatchDelta{
+			{Batch: "b", Whole: true, Pieces: []ItemDelta{{Item: "x", Events: []string{"e1"}}}},
 		},
 	}, 0))
 	again := ownerA
 	again.Incarnation = "2"
-	is.NoErr(c.Take(Heartbeat{
+	is.NoErr(c.Apply(Heartbeat{
 		Owner: again,
 	}, 1))
 	_, ok := c.Find("b")
 	is.True(ok)
-	is.NoErr(c.Take(Heartbeat{
+	is.NoErr(c.Apply(Heartbeat{
 		Owner: ownerA,
 	}, 2))
 	_, ok = c.Find("b")
@@ -225,16 +225,16 @@
 	for n := range 3 * maxCopies {
 		owner := ownerA
 		owner.Instance = fmt.Sprint(n)
-		is.NoErr(c.Take(Heartbeat{
+		is.NoErr(c.Apply(Heartbeat{
 			Owner: owner,
 			Open:  []string{fmt.Sprint(n)},
-			Deltas: []Delta{
+			Deltas: []BatchDelta{
 				{Batch: fmt.Sprint(n), Whole: true},
 			},
 		}, timer.Instant(n)))
 	}
 	is.Equal(len(c.batches), maxCopies)
-	is.NoErr(c.Take(Heartbeat{
+	is.NoErr(c.Apply(Heartbeat{
 		Owner: ownerA,
 	}, timer.Instant(2*copyTTL)))
 	is.Equal(len(c.batches), 0)
@@ -248,9 +248,9 @@
 		Successors: func() []string { return []string{"far", "near"} },
 		Peers:      copyHolders{"near": {Progress: []submission.Progress{{Item: "x", Events: []string{"e1", "e2"}}}}},
 	}
-	is.Equal(f.Find(context.Background(), "b").Events(), 2)
+	is.Equal(f.Find(context.Background(), "b").Len(), 2)
 	f.Peers = copyHolders{}
-	is.Equal(f.Find(context.Background(), "b").Events(), 0)
+	is.Equal(f.Find(context.Background(), "b").Len(), 0)
 }
 
 // copyHolders are the copies that other instances hold, by address.
@@ -287,12 +287,12 @@
 		idle: true,
 	}
 	s := &Sender{
-		Self:       ownerA,
-		Lease:      func() uint64 { return 1 },
-		Work:       work,
-		Urgent:     func() bool { return false },
-		Successors: func() []string { return []string{"first", "second"} },
-		Peers:      peers,
+		Self:          ownerA,
+		Lease:         func() uint64 { return 1 },
+		Work:          work,
+		HasUrgentWork: func() bool { return false },
+		Successors:    func() []string { return []string{"first", "second"} },
+		Peers:         peers,
 	}
 	is.Equal(s.sendHeartbeats(context.Background(), true), idleInterval)
 	is.Equal(<-peers.got, "first 500ms")
--- a/internal/batch/standby/doc.go
+++ b/internal/batch/standby/doc.go
@@ -1,11 +1,11 @@
 // Package standby replicates the unstored texts of running batches to the successors
 // of their owners, and detects lost owners before their leases expire.
 //
-//	s := &standby.Sender{Self: self, Work: runner, ...}       // at each owner
+//	s := &standby.Sender{Self: self, Work: runner, ...}          // at each owner
 //	t.Go(func() error { return s.Run(t) })
-//	w := &standby.Watcher{Copies: copies, Lost: takeOver, ...} // at each successor
+//	w := &standby.Watcher{Copies: copies, OnLost: takeOver, ...} // at each successor
 //	t.Go(func() error { return w.Run(t) })
-//	c, ok := copies.Find(batch)                               // what the owner had made
+//	c, ok := copies.Find(batch)                                  // what the owner had made
 //
 // A Sender sends the changes of its batches to the successors of its instance several
 // times a second. The messages also serve as heartbeats. Copies holds what a successor
--- a/internal/batch/standby/evidence.go
+++ b/internal/batch/standby/evidence.go
@@ -37,9 +37,10 @@
 	Silence, Every time.Duration
 	// Leaves means that the last heartbeat announced that the owner stops.
 	Leaves bool
-	// Own is the answer that this instance got, Others are those of the observers.
-	Own    Answer
-	Others []Answer
+	// OwnAnswer is the answer that this instance got, ObserverAnswers are those of the
+	// observers.
+	OwnAnswer       Answer
+	ObserverAnswers []Answer
 }
 
 // Suspect reports whether the owner should be asked.
@@ -50,11 +51,11 @@
 // instances: it is conclusive only if at least one observer can't reach the owner either,
 // and no observer gets an answer from it.
 func (e Evidence) Lost() (bool, string) {
-	if e.Own == Alive {
+	if e.OwnAnswer == Alive {
 		return false, "the owner answered"
 	}
 	confirmations := 0
-	for _, a := range e.Others {
+	for _, a := range e.ObserverAnswers {
 		if a == Alive {
 			return false, "another instance reached the owner"
 		}
@@ -63,11 +64,11 @@
 		}
 	}
 	switch {
-	case e.Own == Replaced:
+	case e.OwnAnswer == Replaced:
 		return false, "the owner was restarted"
-	case e.Own == Refused:
+	case e.OwnAnswer == Refused:
 		return true, "the owner refuses connections"
-	case e.Own.unreachable() && confirmations > 0:
+	case e.OwnAnswer.unreachable() && confirmations > 0:
 		return true, "no instance reached the owner"
 	}
 	return false, "no other instance could ask the owner"
--- a/internal/batch/standby/finder.go
+++ b/internal/batch/standby/finder.go
@@ -26,15 +26,15 @@
 	}
 	best := Copy{}
 	for range successors {
-		if c := <-found; c.Events() > best.Events() {
+		if c := <-found; c.Len() > best.Len() {
 			best = c
 		}
 	}
 	return best
 }
 
-// Events returns the number of events and results in the copy.
-func (c Copy) Events() int {
+// Len returns the number of events and results in the copy.
+func (c Copy) Len() int {
 	n := len(c.Results)
 	for _, p := range c.Progress {
 		n += len(p.Events)
--- a/internal/batch/standby/heartbeat.go
+++ b/internal/batch/standby/heartbeat.go
@@ -7,8 +7,8 @@
 	"github.com/egretbend/egretbend/internal/batch/submission"
 )
 
-// Piece holds the changes of one item.
-type Piece struct {
+// ItemDelta holds the changes of one item.
+type ItemDelta struct {
 	Item string
 	// From is how many events the receiver has already; Events follow them.
 	From   int
@@ -22,12 +22,12 @@
 	Result *submission.Result
 }
 
-// Delta holds the changes of one batch.
-type Delta struct {
+// BatchDelta holds the changes of one batch.
+type BatchDelta struct {
 	Batch string
 	// Whole means that the pieces hold the whole batch, not only changes.
 	Whole  bool
-	Pieces []Piece
+	Pieces []ItemDelta
 }
 
 // Heartbeat tells a successor that its sender is alive, and the changes of its batches.
@@ -42,13 +42,13 @@
 	Every time.Duration
 	// Leaves means that this is the last heartbeat since the owner stops.
 	Leaves bool
-	Deltas []Delta
+	Deltas []BatchDelta
 	// UnixMicro is the sender's time of day, in microseconds since the start of 1970.
 	UnixMicro int64
 }
 
-// Done is the mark of an item whose result the receiver has.
-const Done = -1
+// ResultReceived is the mark of an item whose result the receiver has.
+const ResultReceived = -1
 
-// Marks is what a receiver has: by batch and item, the number of events, or Done.
+// Marks is what a receiver has: by batch and item, the number of events, or ResultReceived.
 type Marks map[string]map[string]int
--- a/internal/batch/standby/peers.go
+++ b/internal/batch/standby/peers.go
@@ -45,9 +45,9 @@
 	Incarnation string
 	Peers       Peers
 	Timer       timer.Service
-	// Heard is called for each heartbeat with its sender and the sender's time of day. It
+	// OnHeartbeat is called for each heartbeat with its sender and the sender's time of day. It
 	// may be nil.
-	Heard func(instance string, wall time.Time)
+	OnHeartbeat func(instance string, wall time.Time)
 }
 
 // Register registers the calls that other instances make to this one.
@@ -58,8 +58,8 @@
 // rpcMethods has the methods that other instances call.
 type rpcMethods struct{ server *Server }
 
-// Question names an incarnation of an instance.
-type Question struct {
+// AskRequest names an incarnation of an instance.
+type AskRequest struct {
 	Address     string
 	Incarnation string
 }
@@ -75,22 +75,22 @@
 
 // Send applies a heartbeat.
 func (c *rpcMethods) Send(b *Heartbeat, r *Reply) error {
-	err := c.server.Copies.Take(*b, c.server.Timer.Now())
-	if c.server.Heard != nil {
-		c.server.Heard(b.Owner.Instance, time.UnixMicro(b.UnixMicro))
+	err := c.server.Copies.Apply(*b, c.server.Timer.Now())
+	if c.server.OnHeartbeat != nil {
+		c.server.OnHeartbeat(b.Owner.Instance, time.UnixMicro(b.UnixMicro))
 	}
 	r.Gap = errors.Is(err, ErrGap)
 	return nil
 }
 
 // Ask returns the incarnation of this instance.
-func (c *rpcMethods) Ask(_ *Question, r *Reply) error {
+func (c *rpcMethods) Ask(_ *AskRequest, r *Reply) error {
 	r.Life = c.server.Incarnation
 	return nil
 }
 
 // Observe asks another instance on behalf of the caller.
-func (c *rpcMethods) Observe(q *Question, r *Reply) error {
+func (c *rpcMethods) Observe(q *AskRequest, r *Reply) error {
 	r.Answer = c.server.Peers.Ask(context.Background(), q.Address, q.Incarnation)
 	return nil
 }
@@ -101,12 +101,12 @@
 	return nil
 }
 
-// PeerCalls implements Peers over the RPC client of the instances.
-type PeerCalls struct {
+// PeerClient implements Peers over the RPC client of the instances.
+type PeerClient struct {
 	Client *peer.Client
 }
 
-func (p *PeerCalls) call(ctx context.Context, timeout time.Duration, address, method string, args any) (*Reply, error) {
+func (p *PeerClient) call(ctx context.Context, timeout time.Duration, address, method string, args any) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	r := &Reply{}
@@ -115,7 +115,7 @@
 }
 
 // Send implements Peers.
-func (p *PeerCalls) Send(ctx context.Context, address string, b Heartbeat) error {
+func (p *PeerClient) Send(ctx context.Context, address string, b Heartbeat) error {
 	r, err := p.call(ctx, sendTimeout, address, "Send", &b)
 	if err == nil && r.Gap {
 		return ErrGap
@@ -125,11 +125,11 @@
 
 // Ask implements Peers. After a broken connection it dials again: the answer to the
 // second try shows what listens at the address now.
-func (p *PeerCalls) Ask(ctx context.Context, address, incarnation string) Answer {
+func (p *PeerClient) Ask(ctx context.Context, address, incarnation string) Answer {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	for {
-		r, err := p.call(ctx, askTimeout, address, "Ask", &Question{})
+		r, err := p.call(ctx, askTimeout, address, "Ask", &AskRequest{})
 		switch {
 		case err == nil && r.Life == incarnation:
 			return Alive
@@ -144,8 +144,8 @@
 }
 
 // Observe implements Peers.
-func (p *PeerCalls) Observe(ctx context.Context, observer, address, incarnation string) Answer {
-	r, err := p.call(ctx, observeTimeout, observer, "Observe", &Question{
+func (p *PeerClient) Observe(ctx context.Context, observer, address, incarnation string) Answer {
+	r, err := p.call(ctx, observeTimeout, observer, "Observe", &AskRequest{
 		Address:     address,
 		Incarnation: incarnation,
 	})
@@ -156,7 +156,7 @@
 }
 
 // Fetch implements Peers.
-func (p *PeerCalls) Fetch(ctx context.Context, address, batch string) (Copy, bool) {
+func (p *PeerClient) Fetch(ctx context.Context, address, batch string) (Copy, bool) {
 	r, err := p.call(ctx, fetchTimeout, address, "Fetch", &batch)
 	return r.Copy, err == nil && r.Found
 }
--- a/internal/batch/standby/sender.go
+++ b/internal/batch/standby/sender.go
@@ -31,7 +31,7 @@
 	Busy() bool
 	// Changes returns the open batches, their changes since the marks of a receiver, and
 	// the marks of the receiver once it has these changes.
-	Changes(since Marks) (open []string, deltas []Delta, after Marks)
+	Changes(since Marks) (open []string, deltas []BatchDelta, after Marks)
 }
 
 // Sender sends heartbeats to the successors of this instance.
@@ -40,9 +40,9 @@
 	// Lease returns the number of this instance's lease.
 	Lease func() uint64
 	Work  Work
-	// Urgent reports whether this instance has other work whose loss must be detected as
+	// HasUrgentWork reports whether this instance has other work whose loss must be detected as
 	// soon as that of batches.
-	Urgent func() bool
+	HasUrgentWork func() bool
 	// Successors returns the peer addresses of the instances that would take over.
 	Successors func() []string
 	Peers      Peers
@@ -66,9 +66,9 @@
 	return nil
 }
 
-// Leave sends all changes to all successors, and that this instance stops.
-func (s *Sender) Leave(ctx context.Context) {
-	leaves := s.Work.Busy() || s.Urgent()
+// SendFinal sends all changes to all successors, and that this instance stops.
+func (s *Sender) SendFinal(ctx context.Context) {
+	leaves := s.Work.Busy() || s.HasUrgentWork()
 	var wg sync.WaitGroup
 	for _, address := range s.Successors() {
 		wg.Go(func() { s.send(ctx, address, 0, leaves) })
@@ -82,7 +82,7 @@
 func (s *Sender) sendHeartbeats(ctx context.Context, wait bool) time.Duration {
 	interval := idleInterval
 	successors := s.Successors()
-	if s.Work.Busy() || s.Urgent() {
+	if s.Work.Busy() || s.HasUrgentWork() {
 		interval = busyInterval
 	} else {
 		successors = successors[:min(1, len(successors))]
@@ -150,7 +150,7 @@
 	case errors.Is(err, ErrGap):
 		after = nil
 	default:
-		s.Journal.Detail("copy not sent", log.Fields{
+		s.Journal.Debug("copy not sent", log.Fields{
 			"successor": address,
 			"error":     err.Error(),
 		})
--- a/internal/batch/standby/watcher.go
+++ b/internal/batch/standby/watcher.go
@@ -34,17 +34,17 @@
 type Watcher struct {
 	Copies *Copies
 	Peers  Peers
-	Space  keyvalue.Space
-	// Held reports whether this instance's own lease is valid. An instance that does not
+	Store  keyvalue.TransactionalStore
+	// LeaseValid reports whether this instance's own lease is valid. An instance that does not
 	// reach the key-value service declares no owner lost.
-	Held func() bool
+	LeaseValid func() bool
 	// Rank returns the position of this instance among the successors of another one, 0 for
 	// the first, negative if it is none of them.
 	Rank func(instance string) int
 	// Observers returns the peer addresses of instances that can ask an owner as well.
 	Observers func(instance string) []string
-	// Lost is called when an owner is lost and its lease has ended.
-	Lost    func(owner ledger.Owner, batches []string)
+	// OnLost is called when an owner is lost and its lease has ended.
+	OnLost  func(owner ledger.Owner, batches []string)
 	Timer   timer.Service
 	Journal *journal.Journal
 
@@ -54,8 +54,8 @@
 	wake      wake.Signal
 }
 
-// Heard wakes Run after a heartbeat.
-func (w *Watcher) Heard() { w.wake.Set() }
+// Wake wakes Run after a heartbeat.
+func (w *Watcher) Wake() { w.wake.Set() }
 
 // Run watches owners until t dies. It sleeps while no owner sends heartbeats.
 func (w *Watcher) Run(t *tomb.Tomb) error {
@@ -94,7 +94,7 @@
 			Every:   h.Heartbeat.Every,
 			Leaves:  h.Heartbeat.Leaves && now.Sub(h.At) > askPause,
 		}
-		if e.Suspect() && w.Held() && w.startInquiry(h.Heartbeat.Owner.Instance) {
+		if e.Suspect() && w.LeaseValid() && w.startInquiry(h.Heartbeat.Owner.Instance) {
 			go w.judgeOwner(ctx, h, e)
 		}
 	}
@@ -123,7 +123,7 @@
 }
 
 // judgeOwner asks an owner, has observers ask it, and takes over from it if it is lost.
-func (w *Watcher) judgeOwner(ctx context.Context, h Heard, e Evidence) {
+func (w *Watcher) judgeOwner(ctx context.Context, h LastHeartbeat, e Evidence) {
 	owner := h.Heartbeat.Owner
 	defer w.finishInquiry(owner.Instance)
 	e = w.askAll(ctx, owner, e)
@@ -131,15 +131,15 @@
 	if w.Copies.heardSince(owner, h.At) {
 		lost, reason = false, "a heartbeat of the owner arrived during the inquiry"
 	}
-	others := make([]string, len(e.Others))
-	for i, a := range e.Others {
+	others := make([]string, len(e.ObserverAnswers))
+	for i, a := range e.ObserverAnswers {
 		others[i] = a.String()
 	}
 	w.Journal.Decision("judge_owner", log.Fields{
 		"owner":      owner.Instance,
 		"lost":       lost,
 		"reason":     reason,
-		"own":        e.Own.String(),
+		"own":        e.OwnAnswer.String(),
 		"others":     strings.Join(others, " "),
 		"silence_ms": w.Timer.Now().Sub(h.At).Milliseconds(),
 		"batches":    strings.Join(h.Heartbeat.Open, " "),
@@ -147,7 +147,7 @@
 	switch {
 	case lost:
 		w.replaceOwner(ctx, h)
-	case e.Own == Replaced:
+	case e.OwnAnswer == Replaced:
 		w.Copies.forgetOwner(owner)
 	default:
 		w.Copies.recordAnswer(owner, w.Timer.Now())
@@ -157,24 +157,24 @@
 // askAll asks the owner and has the observers ask it at the same time.
 func (w *Watcher) askAll(ctx context.Context, owner ledger.Owner, e Evidence) Evidence {
 	observers := w.Observers(owner.Instance)
-	e.Others = make([]Answer, len(observers))
+	e.ObserverAnswers = make([]Answer, len(observers))
 	var wg sync.WaitGroup
 	for i, observer := range observers {
-		wg.Go(func() { e.Others[i] = w.Peers.Observe(ctx, observer, owner.Address, owner.Incarnation) })
+		wg.Go(func() { e.ObserverAnswers[i] = w.Peers.Observe(ctx, observer, owner.Address, owner.Incarnation) })
 	}
-	e.Own = w.Peers.Ask(ctx, owner.Address, owner.Incarnation)
+	e.OwnAnswer = w.Peers.Ask(ctx, owner.Address, owner.Incarnation)
 	wg.Wait()
 	return e
 }
 
 // replaceOwner revokes the lease of a lost owner, so that the owner can't go on as if it had
 // its batches, and has the batches taken over.
-func (w *Watcher) replaceOwner(ctx context.Context, h Heard) {
+func (w *Watcher) replaceOwner(ctx context.Context, h LastHeartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
 	if h.Heartbeat.Lease != 0 {
-		if err := w.Space.Revoke(ctx, h.Heartbeat.Lease); err != nil && !errors.Is(err, keyvalue.ErrLeaseGone) {
-			w.Journal.Trouble("lease of a lost owner not ended", err, log.Fields{
+		if err := w.Store.Revoke(ctx, h.Heartbeat.Lease); err != nil && !errors.Is(err, keyvalue.ErrLeaseGone) {
+			w.Journal.Warn("lease of a lost owner not ended", err, log.Fields{
 				"owner": h.Heartbeat.Owner.Instance,
 			})
 			timer.Wait(w.Timer, askPause, ctx.Done())
@@ -182,5 +182,5 @@
 		}
 	}
 	w.Copies.forgetOwner(h.Heartbeat.Owner)
-	w.Lost(h.Heartbeat.Owner, h.Heartbeat.Open)
+	w.OnLost(h.Heartbeat.Owner, h.Heartbeat.Open)
 }
