--- a/internal/batch/standby/watcher_test.go
+++ b/internal/batch/standby/watcher_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/egretbend/egretbend/internal/batch/ledger"
 	"github.com/egretbend/egretbend/internal/kernel/timer"
-	"github.com/egretbend/egretbend/internal/standin/space"
+	"github.com/egretbend/egretbend/internal/standin/memorystore"
 )
 
 // Guards against declaring an owner lost that some instance reaches, or on silence that no
@@ -36,8 +36,8 @@
 		{"there is no observer", Silent, nil, false},
 	} {
 		lost, why := Evidence{
-			Own:    c.own,
-			Others: c.others,
+			OwnAnswer:       c.own,
+			ObserverAnswers: c.others,
 		}.Lost()
 		if lost != c.lost || why == "" {
 			t.Errorf("%s: lost %v, %q", c.name, lost, why)
@@ -56,31 +56,31 @@
 
 // newWatcher returns the watcher of a successor that has received one heartbeat of an owner,
 // the owner's lease of a minute, and the channel of lost owners.
-func newWatcher(is *is.I, a fixedAnswers) (*Watcher, *space.Space, uint64, chan ledger.Owner) {
+func newWatcher(is *is.I, a fixedAnswers) (*Watcher, *memorystore.Store, uint64, chan ledger.Owner) {
 	clock := &timer.Manual{}
 	clock.Advance(time.Second)
-	store := &space.Space{
+	store := &memorystore.Store{
 		Timer: clock,
 	}
 	lease, err := store.Grant(context.Background(), time.Minute)
 	is.NoErr(err)
 	lost := make(chan ledger.Owner, 8)
 	w := &Watcher{
-		Copies:    &Copies{},
-		Peers:     a,
-		Space:     store,
-		Held:      func() bool { return true },
-		Rank:      func(string) int { return 0 },
-		Observers: func(string) []string { return []string{"o"} },
-		Lost:      func(o ledger.Owner, _ []string) { lost <- o },
-		Timer:     clock,
+		Copies:     &Copies{},
+		Peers:      a,
+		Store:      store,
+		LeaseValid: func() bool { return true },
+		Rank:       func(string) int { return 0 },
+		Observers:  func(string) []string { return []string{"o"} },
+		OnLost:     func(o ledger.Owner, _ []string) { lost <- o },
+		Timer:      clock,
 	}
-	is.NoErr(w.Copies.Take(Heartbeat{
+	is.NoErr(w.Copies.Apply(Heartbeat{
 		Owner: ownerA,
 		Lease: lease,
 		Open:  []string{"b"},
 		Every: busyInterval,
-		Deltas: []Delta{
+		Deltas: []BatchDelta{
 			{Batch: "b", Whole: true},
 		},
 	}, clock.Now()))
@@ -90,7 +90,7 @@
 // checkUntilIdle checks the owners once and waits until no inquiry is under way.
 func checkUntilIdle(w *Watcher) bool {
 	watching := w.checkOwners(context.Background())
-	timer.Until(timer.Real{}, time.Millisecond, 5*time.Second, nil, func() bool {
+	timer.Poll(timer.Real{}, time.Millisecond, 5*time.Second, nil, func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return len(w.inquiries) == 0
@@ -133,7 +133,7 @@
 		fixedAnswers: fixedAnswers{other: Silent},
 		arrive: func() {
 			clock.Advance(askTimeout)
-			_ = w.Copies.Take(Heartbeat{
+			_ = w.Copies.Apply(Heartbeat{
 				Owner: ownerA,
 				Lease: lease,
 				Open:  []string{"b"},
@@ -163,7 +163,7 @@
 func TestInstanceWithoutLeaseDeclaresNobodyLost(t *testing.T) {
 	is := is.New(t)
 	w, _, _, lost := newWatcher(is, fixedAnswers{own: Silent, other: Silent})
-	w.Held = func() bool { return false }
+	w.LeaseValid = func() bool { return false }
 	w.Timer.(*timer.Manual).Advance(time.Minute / 2)
 	checkUntilIdle(w)
 	is.Equal(len(lost), 0)
@@ -175,14 +175,14 @@
 	is := is.New(t)
 	w, store, lease, lost := newWatcher(is, fixedAnswers{own: Refused})
 	down := true
-	store.Fault = func(space.Call) space.Fault {
+	store.Fault = func(memorystore.Operation) memorystore.Fault {
 		if down {
-			return space.Down
+			return memorystore.Down
 		}
-		return space.None
+		return memorystore.None
 	}
 	clock := w.Timer.(*timer.Manual)
-	is.NoErr(w.Copies.Take(Heartbeat{
+	is.NoErr(w.Copies.Apply(Heartbeat{
 		Owner:  ownerA,
 		Lease:  lease,
 		Open:   []string{"b"},
@@ -210,7 +210,7 @@
 	clock.Advance(successorDelay)
 	checkUntilIdle(w)
 	is.Equal(<-lost, ownerA)
-	w.Copies.owners = map[string]Heard{"a": {Heartbeat: Heartbeat{Owner: ownerA, Every: busyInterval}}}
+	w.Copies.owners = map[string]LastHeartbeat{"a": {Heartbeat: Heartbeat{Owner: ownerA, Every: busyInterval}}}
 	w.Rank = func(string) int { return -1 }
 	is.Equal(checkUntilIdle(w), false) // other instances are its successors now
 }
--- a/internal/batch/account/account_test.go
+++ b/internal/batch/steptime/account_test.go
@@ -1,4 +1,4 @@
-package account
+package steptime
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 
 // readDay reads recorded log lines of four steps: two that ran while all instances were
 // killed, one whose items waited for engines, and one that never ended.
-func readDay(t *testing.T) *Day {
+func readDay(t *testing.T) *Report {
 	t.Helper()
 	is := is.New(t)
 	f, err := os.Open("testdata/day.log")
@@ -21,7 +21,7 @@
 	defer f.Close()
 	var l Log
 	is.NoErr(l.Read("day.log", f))
-	d, err := l.Day()
+	d, err := l.Report()
 	is.NoErr(err)
 	return d
 }
@@ -81,7 +81,7 @@
 	is.Equal(d.Faults[0].File, "day.log")
 	is.Equal(d.Faults[0].Line, 7)
 	var out bytes.Buffer
-	is.NoErr(d.Table(&out))
+	is.NoErr(d.WriteTable(&out))
 	is.True(strings.Contains(out.String(), "1 lines could not be read, the first: day.log:7:"))
 }
 
@@ -91,7 +91,7 @@
 	is := is.New(t)
 	var l Log
 	is.NoErr(l.Read("x", strings.NewReader("timestamp=2026-02-14T05:29:18Z level=info message=started\n")))
-	_, err := l.Day()
+	_, err := l.Report()
 	is.True(errors.Is(err, ErrNoSteps))
 }
 
@@ -110,8 +110,8 @@
 	is := is.New(t)
 	d := readDay(t)
 	var table, picture bytes.Buffer
-	is.NoErr(d.Table(&table))
-	is.NoErr(d.Picture(&picture))
+	is.NoErr(d.WriteTable(&table))
+	is.NoErr(d.WriteSVG(&picture))
 	is.True(strings.HasPrefix(picture.String(), "<?xml"))
 	for _, s := range d.Steps {
 		is.True(strings.Contains(table.String(), s.Batch))
@@ -138,12 +138,12 @@
 		if err := l.Read("x", strings.NewReader(text)); err != nil {
 			return
 		}
-		d, err := l.Day()
+		d, err := l.Report()
 		if err != nil {
 			return
 		}
 		var out bytes.Buffer
-		if err := d.Table(&out); err != nil {
+		if err := d.WriteTable(&out); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/batch/account/cause.go
+++ b/internal/batch/steptime/cause.go
@@ -1,4 +1,4 @@
-package account
+package steptime
 
 // Cause is what a part of a step's time was spent on.
 type Cause int
@@ -12,15 +12,15 @@
 	Owners
 	// Waiting is the time that the critical item spent without an engine.
 	Waiting
-	// Making is the lower bound of the critical item: its events at the typical pace.
-	Making
-	// Slowness is the run time of the critical item beyond Making in which events came.
+	// Generating is the lower bound of the critical item: its events at the typical pace.
+	Generating
+	// Slowness is the run time of the critical item beyond Generating in which events came.
 	Slowness
-	// Standstill is the time that the critical item spent at engines without receiving
+	// Stalled is the time that the critical item spent at engines without receiving
 	// events.
-	Standstill
-	// Remaking is the time of events that were dropped and made again.
-	Remaking
+	Stalled
+	// Regenerating is the time of events that were dropped and made again.
+	Regenerating
 	// Scoring is the time of the critical item's reward call.
 	Scoring
 	// Listing is the time until the critical item's result was stored and listed.
--- a/internal/batch/account/day.go
+++ b/internal/batch/steptime/day.go
@@ -1,4 +1,4 @@
-package account
+package steptime
 
 import (
 	"slices"
@@ -8,11 +8,11 @@
 
 // Step is the account of one step of a trainer. Durations are in milliseconds.
 type Step struct {
-	Batch string    `json:"batch"`
-	Model string    `json:"model"`
-	Step  int       `json:"step"`
-	Items int       `json:"items"`
-	Asked time.Time `json:"asked"`
+	Batch     string    `json:"batch"`
+	Model     string    `json:"model"`
+	Step      int       `json:"step"`
+	Items     int       `json:"items"`
+	Submitted time.Time `json:"asked"`
 	// Owners is the number of times that an instance accepted the step or took it over.
 	Owners int `json:"owners"`
 	// Critical is the item that ended the step, Events the number of its events.
@@ -28,32 +28,32 @@
 	Spent map[Cause]int64 `json:"spent_ms"`
 }
 
-// Unknown is a step without a full account: it did not end, or a log line about it is
+// IncompleteStep is a step without a full account: it did not end, or a log line about it is
 // missing.
-type Unknown struct {
-	Batch string    `json:"batch"`
-	Model string    `json:"model"`
-	Step  int       `json:"step"`
-	Asked time.Time `json:"asked"`
+type IncompleteStep struct {
+	Batch     string    `json:"batch"`
+	Model     string    `json:"model"`
+	Step      int       `json:"step"`
+	Submitted time.Time `json:"asked"`
 	// Reason says what is missing.
 	Reason string `json:"reason"`
 }
 
-// Day is the account of all steps in the logs that were read.
-type Day struct {
-	Steps    []Step    `json:"steps"`
-	Unknowns []Unknown `json:"unknown"`
+// Report is the account of all steps in the logs that were read.
+type Report struct {
+	Steps    []Step           `json:"steps"`
+	Unknowns []IncompleteStep `json:"unknown"`
 	// Sums has for each cause the total time of all steps.
 	Sums   map[Cause]int64 `json:"sums_ms"`
-	Faults []Fault         `json:"faults"`
+	Faults []BadLine       `json:"faults"`
 }
 
-// Day returns the account of the lines read so far, or ErrNoSteps.
-func (l *Log) Day() (*Day, error) {
+// Report returns the account of the lines read so far, or ErrNoSteps.
+func (l *Log) Report() (*Report, error) {
 	if len(l.begins) == 0 {
 		return nil, ErrNoSteps
 	}
-	d := &Day{
+	d := &Report{
 		Sums:   make(map[Cause]int64),
 		Faults: l.faults,
 	}
@@ -62,12 +62,12 @@
 		slices.SortFunc(begins, func(a, b beginRecord) int { return a.at.Compare(b.at) })
 		step, reason := l.newStep(batch, begins, paces)
 		if reason != "" {
-			d.Unknowns = append(d.Unknowns, Unknown{
-				Batch:  batch,
-				Model:  step.Model,
-				Step:   step.Step,
-				Asked:  step.Asked,
-				Reason: reason,
+			d.Unknowns = append(d.Unknowns, IncompleteStep{
+				Batch:     batch,
+				Model:     step.Model,
+				Step:      step.Step,
+				Submitted: step.Submitted,
+				Reason:    reason,
 			})
 			continue
 		}
@@ -76,8 +76,8 @@
 			d.Sums[cause] += spent
 		}
 	}
-	sort.Slice(d.Steps, func(i, j int) bool { return d.Steps[i].Asked.Before(d.Steps[j].Asked) })
-	sort.Slice(d.Unknowns, func(i, j int) bool { return d.Unknowns[i].Asked.Before(d.Unknowns[j].Asked) })
+	sort.Slice(d.Steps, func(i, j int) bool { return d.Steps[i].Submitted.Before(d.Steps[j].Submitted) })
+	sort.Slice(d.Unknowns, func(i, j int) bool { return d.Unknowns[i].Submitted.Before(d.Unknowns[j].Submitted) })
 	return d, nil
 }
 
@@ -85,12 +85,12 @@
 func (l *Log) newStep(batch string, begins []beginRecord, paces map[string]time.Duration) (Step, string) {
 	first := begins[0]
 	s := Step{
-		Batch:  batch,
-		Model:  first.model,
-		Step:   first.step,
-		Items:  first.items,
-		Asked:  first.submitted(),
-		Owners: len(begins),
+		Batch:     batch,
+		Model:     first.model,
+		Step:      first.step,
+		Items:     first.items,
+		Submitted: first.submitted(),
+		Owners:    len(begins),
 	}
 	e, ok := l.ends[batch]
 	if !ok {
@@ -111,21 +111,21 @@
 	restored := time.Duration(critical.restored) * pace
 	remaking := time.Duration(critical.remade) * pace
 	spent := map[Cause]time.Duration{
-		Acceptance: first.age,
-		Owners:     e.ownerBegan().Sub(first.at) - restored,
-		Waiting:    critical.waited,
-		Making:     making,
-		Slowness:   critical.ran - critical.stalled - remaking - (making - restored),
-		Standstill: critical.stalled,
-		Remaking:   remaking,
-		Scoring:    critical.scored,
-		Listing:    e.readable - e.made,
-		Reading:    e.age - e.readable,
+		Acceptance:   first.age,
+		Owners:       e.ownerBegan().Sub(first.at) - restored,
+		Waiting:      critical.waited,
+		Generating:   making,
+		Slowness:     critical.ran - critical.stalled - remaking - (making - restored),
+		Stalled:      critical.stalled,
+		Regenerating: remaking,
+		Scoring:      critical.scored,
+		Listing:      e.readable - e.made,
+		Reading:      e.age - e.readable,
 	}
 	s.Critical = e.critical
 	s.Events = critical.events
 	s.Attempts = critical.attempts
-	s.Took = e.at.Sub(s.Asked).Milliseconds()
+	s.Took = e.at.Sub(s.Submitted).Milliseconds()
 	s.Bound = making.Milliseconds()
 	s.Spent = make(map[Cause]int64, len(spent))
 	for cause, d := range spent {
--- a/internal/batch/account/fields.go
+++ b/internal/batch/steptime/fields.go
@@ -1,4 +1,4 @@
-package account
+package steptime
 
 import (
 	"errors"
--- a/internal/batch/account/log.go
+++ b/internal/batch/steptime/log.go
@@ -1,4 +1,4 @@
-package account
+package steptime
 
 import (
 	"bufio"
@@ -21,12 +21,12 @@
 	begins map[string][]beginRecord
 	items  map[itemKey]itemRecord
 	ends   map[string]endRecord
-	faults []Fault
+	faults []BadLine
 }
 
-// Fault is a line about a step that can't be read. Instances that end abruptly leave
+// BadLine is a line about a step that can't be read. Instances that end abruptly leave
 // incomplete lines.
-type Fault struct {
+type BadLine struct {
 	File string `json:"file"`
 	// Line counts from 1.
 	Line   int    `json:"line"`
@@ -34,7 +34,7 @@
 }
 
 // Error implements error.
-func (f Fault) Error() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Reason) }
+func (f BadLine) Error() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Reason) }
 
 type itemKey struct{ batch, item string }
 
@@ -88,7 +88,7 @@
 	for scan.Scan() {
 		n++
 		if err := l.addLine(scan.Text()); err != nil {
-			l.faults = append(l.faults, Fault{
+			l.faults = append(l.faults, BadLine{
 				File:   name,
 				Line:   n,
 				Reason: err.Error(),
@@ -102,7 +102,7 @@
 }
 
 // Faults returns the lines that could not be read.
-func (l *Log) Faults() []Fault { return l.faults }
+func (l *Log) Faults() []BadLine { return l.faults }
 
 // addLine adds one line, if it is about a step.
 func (l *Log) addLine(text string) error {
--- a/internal/batch/account/picture.go
+++ b/internal/batch/steptime/picture.go
@@ -1,4 +1,4 @@
-package account
+package steptime
 
 import (
 	"fmt"
@@ -20,8 +20,8 @@
 
 var causeColours = [causeCount]string{"#999", "#c33", "#e93", "#4a7", "#9c6", "#36c", "#a5c", "#5bb", "#cc4", "#845"}
 
-// Picture draws the steps over time as SVG, with one colour for each cause.
-func (d *Day) Picture(w io.Writer) error {
+// WriteSVG draws the steps over time as SVG, with one colour for each cause.
+func (d *Report) WriteSVG(w io.Writer) error {
 	if len(d.Steps) == 0 {
 		return ErrNoSteps
 	}
@@ -44,7 +44,7 @@
 	for row, s := range d.Steps {
 		y := topMargin + row*rowHeight
 		c.Text(4, y+barHeight, fmt.Sprint(s.Model, " ", s.Step))
-		at := s.Asked.Sub(from)
+		at := s.Submitted.Sub(from)
 		for _, cause := range Causes() {
 			spent := time.Duration(max(0, s.Spent[cause])) * time.Millisecond
 			c.Rect(leftMargin+durationWidth(at), y, durationWidth(at+spent)-durationWidth(at), barHeight, "fill:"+causeColours[cause])
@@ -58,10 +58,10 @@
 func durationWidth(d time.Duration) int { return int(d.Seconds() * secondWidth) }
 
 // span returns when the first step was submitted and when the last one ended.
-func (d *Day) span() (from, to time.Time) {
-	from = d.Steps[0].Asked
+func (d *Report) span() (from, to time.Time) {
+	from = d.Steps[0].Submitted
 	for _, s := range d.Steps {
-		if end := s.Asked.Add(time.Duration(s.Took) * time.Millisecond); end.After(to) {
+		if end := s.Submitted.Add(time.Duration(s.Took) * time.Millisecond); end.After(to) {
 			to = end
 		}
 	}
--- a/internal/batch/account/table.go
+++ b/internal/batch/steptime/table.go
@@ -1,4 +1,4 @@
-package account
+package steptime
 
 import (
 	"fmt"
@@ -7,13 +7,13 @@
 	"text/tabwriter"
 )
 
-// Table writes the account as text: one row for each step, then the sums, the steps
+// WriteTable writes the account as text: one row for each step, then the sums, the steps
 // without an account and the number of unreadable lines.
-func (d *Day) Table(w io.Writer) error {
+func (d *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "asked\tmodel\tstep\titems\tevents\ttook ms\tbound\tratio\t%s\tbatch\t\n", strings.Join(causeNames[:], "\t"))
 	for _, s := range d.Steps {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.2f\t", s.Asked.Format("15:04:05.000"), s.Model, s.Step, s.Items, s.Events, s.Took, s.Bound, s.Ratio)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.2f\t", s.Submitted.Format("15:04:05.000"), s.Model, s.Step, s.Items, s.Events, s.Took, s.Bound, s.Ratio)
 		for _, c := range Causes() {
 			fmt.Fprintf(t, "%d\t", s.Spent[c])
 		}
@@ -28,7 +28,7 @@
 		return err
 	}
 	for _, u := range d.Unknowns {
-		if _, err := fmt.Fprintf(w, "no account of step %d of %s, batch %s, asked %s: %s\n", u.Step, u.Model, u.Batch, u.Asked.Format("15:04:05.000"), u.Reason); err != nil {
+		if _, err := fmt.Fprintf(w, "no account of step %d of %s, batch %s, asked %s: %s\n", u.Step, u.Model, u.Batch, u.Submitted.Format("15:04:05.000"), u.Reason); err != nil {
 			return err
 		}
 	}
@@ -36,7 +36,7 @@
 }
 
 // writeFaults writes how many lines could not be read, and which was the first.
-func (d *Day) writeFaults(w io.Writer) error {
+func (d *Report) writeFaults(w io.Writer) error {
 	if len(d.Faults) == 0 {
 		return nil
 	}
--- a/internal/batch/submission/submission.go
+++ b/internal/batch/submission/submission.go
@@ -44,7 +44,7 @@
 
 // Submission is a batch as it was submitted.
 type Submission struct {
-	// ID is the batch's name, unique among all instances; see Scope.
+	// ID is the batch's name, unique among all instances; see ScopedID.
 	ID string `json:"id"`
 	// Organisation is the organisation that submitted the batch; empty if requests need
 	// no key.
@@ -64,17 +64,17 @@
 	Items       []Item `json:"items"`
 }
 
-// Scope returns the name of a batch among all instances. An organisation can't reach the
+// ScopedID returns the name of a batch among all instances. An organisation can't reach the
 // batches of another one, whatever they are called.
-func Scope(id, organisation string) string {
+func ScopedID(id, organisation string) string {
 	if organisation == "" {
 		return id
 	}
 	return url.QueryEscape(id) + "@" + url.QueryEscape(organisation)
 }
 
-// Work returns the number of tokens that the batch is expected to generate.
-func (s *Submission) Work() int64 {
+// EstimatedTokens returns the number of tokens that the batch is expected to generate.
+func (s *Submission) EstimatedTokens() int64 {
 	work := int64(0)
 	for _, i := range s.Items {
 		work += int64(i.Estimate())
@@ -115,8 +115,8 @@
 	Score    string   `json:"score,omitempty"`
 }
 
-// TextOf returns the text that the events of a finished item form.
-func TextOf(events []string) string { return strings.Join(events, "\n") }
+// JoinEvents returns the text that the events of a finished item form.
+func JoinEvents(events []string) string { return strings.Join(events, "\n") }
 
 // Progress is the output so far of an unfinished item.
 type Progress struct {
--- a/internal/entry/caller/addresses.go
+++ b/internal/entry/caller/addresses.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"github.com/egretbend/egretbend/internal/entry/door"
+	"github.com/egretbend/egretbend/internal/entry/httpserver"
 	"github.com/egretbend/egretbend/internal/fleet/configuration"
 	"github.com/egretbend/egretbend/internal/fleet/member"
 	"github.com/egretbend/egretbend/internal/kernel/problem"
@@ -21,11 +21,11 @@
 	FailureDomain string `json:"failure_domain"`
 }
 
-// Addresses is the response to GET /v1/addresses.
-type Addresses struct {
+// AddressesResponse is the response to GET /v1/addresses.
+type AddressesResponse struct {
 	Addresses []Address `json:"addresses"`
-	// KeepMS is how long the caller may cache the response, in milliseconds.
-	KeepMS int64 `json:"keep_ms"`
+	// TTLMS is how long the caller may cache the response, in milliseconds.
+	TTLMS int64 `json:"keep_ms"`
 	// Tickets allow the caller to send non-idempotent requests.
 	Tickets []string `json:"tickets,omitempty"`
 }
@@ -46,8 +46,8 @@
 		domain = s.Members.Self().FailureDomain
 	}
 	cfg := s.addressSettings()
-	answer := Addresses{
-		KeepMS: addressTTL(cfg).Milliseconds(),
+	answer := AddressesResponse{
+		TTLMS: addressTTL(cfg).Milliseconds(),
 	}
 	key := query.Get("caller") + "/" + clientHost(r)
 	for _, m := range selectInstances(s.Members.View(), s.Members.Load, key, domain, cfg.Count) {
@@ -74,17 +74,17 @@
 		return doc.Parsed().Addresses
 	}
 	return configuration.Addresses{
-		Count:  3,
-		KeepMS: 10_000,
+		Count: 3,
+		TTLMS: 10_000,
 	}
 }
 
 // addressTTL returns how long a caller may cache a response. It adds random jitter
 // so that callers that asked at the same time do not all refresh at the same time.
 func addressTTL(cfg configuration.Addresses) time.Duration {
-	const minFactor = 2 - door.KeepJitter
-	factor := minFactor + rand.Float64()*(door.KeepJitter-minFactor)
-	return time.Duration(float64(cfg.KeepMS)*factor) * time.Millisecond
+	const minFactor = 2 - httpserver.MaxTTLFactor
+	factor := minFactor + rand.Float64()*(httpserver.MaxTTLFactor-minFactor)
+	return time.Duration(float64(cfg.TTLMS)*factor) * time.Millisecond
 }
 
 // selectInstances returns up to n instances for a caller, starting with one in the
--- a/internal/entry/caller/addresses_test.go
+++ b/internal/entry/caller/addresses_test.go
@@ -10,7 +10,7 @@
 	"github.com/egretbend/egretbend/internal/fleet/gossip"
 	"github.com/egretbend/egretbend/internal/fleet/member"
 	"github.com/egretbend/egretbend/internal/kernel/timer"
-	"github.com/egretbend/egretbend/internal/standin/proof"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
 // newFleetView returns the view of a fleet of n instances in four failure domains.
@@ -40,7 +40,7 @@
 // that the caller gets an address that is already closed, and against responses that
 // list an instance twice.
 func TestAddressesListOnlyUsableInstances(t *testing.T) {
-	proof.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		usable := make(map[string]bool)
 		view := newFleetView(rapid.IntRange(1, 12).Draw(t, "instances"), func(_ int, m *member.Member) {
 			m.Leaving = rapid.IntRange(0, 3).Draw(t, "leaving") == 0
--- a/internal/entry/caller/completions.go
+++ b/internal/entry/caller/completions.go
@@ -72,7 +72,7 @@
 		MaxTokens:  body.MaxTokens,
 		Seed:       body.Seed,
 	}
-	admission, err := s.Generator.Enter(task)
+	admission, err := s.Generator.Admit(task)
 	if err != nil {
 		problem.Write(w, err)
 		return
--- a/internal/entry/caller/doc.go
+++ b/internal/entry/caller/doc.go
@@ -8,7 +8,7 @@
 //	POST /v1/models/{deployment}/completions
 //
 // Server holds the handlers. The package registers itself as the part entry.caller,
-// which adds the handlers to the instance's door.Mux.
+// which adds the handlers to the instance's httpserver.Mux.
 //
 // docs/API.md describes the fields, headers and errors.
 package caller
--- a/internal/entry/caller/identify.go
+++ b/internal/entry/caller/identify.go
@@ -35,7 +35,7 @@
 	}
 	if r.Header.Get(headerPassedOn) != "" {
 		name := r.Header.Get(headerOrganisation)
-		org, ok := directory.Vouched(name, voucherMessage(r, requestID), r.Header.Get(headerVoucher))
+		org, ok := directory.Verify(name, voucherMessage(r, requestID), r.Header.Get(headerVoucher))
 		if !ok {
 			return requestIdentity{}, problem.Unauthorized.Withf("no valid voucher for organisation %q", name)
 		}
@@ -52,7 +52,7 @@
 	r.Header.Del(organisation.Header)
 	return requestIdentity{
 		organisation: org.Name,
-		voucher:      organisation.Vouch(key, voucherMessage(r, requestID)),
+		voucher:      organisation.Sign(key, voucherMessage(r, requestID)),
 	}, nil
 }
 
--- a/internal/entry/caller/part.go
+++ b/internal/entry/caller/part.go
@@ -3,7 +3,7 @@
 import (
 	"goji.io/pat"
 
-	"github.com/egretbend/egretbend/internal/entry/door"
+	"github.com/egretbend/egretbend/internal/entry/httpserver"
 	"github.com/egretbend/egretbend/internal/fleet/configuration"
 	"github.com/egretbend/egretbend/internal/fleet/member"
 	"github.com/egretbend/egretbend/internal/kernel/part"
@@ -17,7 +17,7 @@
 func init() {
 	part.Register(part.Factory{
 		Name:  "entry.caller",
-		Stage: part.StageEntry,
+		Stage: part.StageHandlers,
 		Make:  makePart,
 	})
 }
@@ -28,18 +28,18 @@
 	if h.Settings.Security.Certificate != "" {
 		scheme = "https"
 	}
-	members := part.Get[*member.Table](h)
+	members := part.MustGet[*member.Table](h)
 	s := &Server{
-		Mux:     part.Get[*door.Mux](h),
+		Mux:     part.MustGet[*httpserver.Mux](h),
 		Members: members,
-		Holder:  part.Get[*configuration.Holder](h),
+		Holder:  part.MustGet[*configuration.Holder](h),
 		Relay: &relay.Relay{
-			Router: part.Get[*router.Router](h),
+			Router: part.MustGet[*router.Router](h),
 			Client: client,
 			Timer:  h.Timer,
 		},
-		Generator: part.Get[*stream.Generator](h),
-		Tickets: &ticket.Book{
+		Generator: part.MustGet[*stream.Generator](h),
+		Tickets: &ticket.Issuer{
 			Address:     h.Settings.Listen,
 			Incarnation: members.Self().Incarnation,
 			Timer:       h.Timer,
@@ -53,5 +53,5 @@
 	s.Mux.HandleFunc(pat.Post("/v1/tickets"), s.handleTickets)
 	s.Mux.HandleFunc(pat.New("/v1/services/:deployment/*"), s.handleService)
 	s.Mux.HandleFunc(pat.Post("/v1/models/:deployment/completions"), s.handleCompletion)
-	return part.Idle{}, nil
+	return part.Noop{}, nil
 }
--- a/internal/entry/caller/server.go
+++ b/internal/entry/caller/server.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"github.com/egretbend/egretbend/internal/entry/door"
+	"github.com/egretbend/egretbend/internal/entry/httpserver"
 	"github.com/egretbend/egretbend/internal/fleet/configuration"
 	"github.com/egretbend/egretbend/internal/fleet/member"
 	"github.com/egretbend/egretbend/internal/kernel/journal"
@@ -31,12 +31,12 @@
 
 // Server handles the requests of callers.
 type Server struct {
-	Mux       *door.Mux
+	Mux       *httpserver.Mux
 	Members   *member.Table
 	Holder    *configuration.Holder
 	Relay     *relay.Relay
 	Generator *stream.Generator
-	Tickets   *ticket.Book
+	Tickets   *ticket.Issuer
 	Client    *wire.Client
 	Timer     timer.Service
 	Journal   *journal.Journal
@@ -51,7 +51,7 @@
 	requestID  string
 	identity   requestIdentity
 	caller     string
-	class      limit.Class
+	class      limit.Priority
 	weight     float64
 	deadline   time.Duration
 	idempotent bool
@@ -99,13 +99,13 @@
 	if org, ok := cfg.Organisation(e.identity.organisation); ok {
 		priority = org.Priority
 	}
-	highest, err := limit.ParseClass(priority)
+	highest, err := limit.ParsePriority(priority)
 	if err != nil {
 		return problem.BadRequest.With(err)
 	}
 	e.class = highest
 	if name := r.Header.Get(relay.HeaderPriority); name != "" {
-		asked, err := limit.ParseClass(name)
+		asked, err := limit.ParsePriority(name)
 		if err != nil {
 			return problem.BadRequest.Withf("%s: %w", relay.HeaderPriority, err)
 		}
--- a/internal/entry/caller/services.go
+++ b/internal/entry/caller/services.go
@@ -77,7 +77,7 @@
 		s.forwardToIssuer(w, r, meta, t, call)
 		return
 	}
-	run, earlier, err := s.Tickets.Use(t, ticket.Print(call.Method, call.Deployment, call.Path, call.Body))
+	run, earlier, err := s.Tickets.Use(t, ticket.Fingerprint(call.Method, call.Deployment, call.Path, call.Body))
 	if err != nil {
 		problem.Write(w, err)
 		return
--- a/internal/entry/client/client.go
+++ b/internal/entry/client/client.go
@@ -119,9 +119,9 @@
 	return e
 }
 
-// NotReached reports whether err shows that no connection to the instance could be
+// IsDialError reports whether err shows that no connection to the instance could be
 // opened, so that the call can't have had an effect.
-func NotReached(err error) bool {
+func IsDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/internal/entry/command/config.go
+++ b/internal/entry/command/config.go
@@ -120,7 +120,7 @@
 // outcomeUnknown reports whether a change may have been accepted despite err: the
 // instance reported the outcome as unknown, or it was reached and did not respond.
 func outcomeUnknown(err error) bool {
-	return !client.NotReached(err) && problem.From(err).Kind.Outcome == problem.Unknown
+	return !client.IsDialError(err) && problem.From(err).Kind.Outcome == problem.Unknown
 }
 
 // resolveOutcome asks for the outcome of a change until it is known or all attempts are
--- a/internal/entry/command/fleet.go
+++ b/internal/entry/command/fleet.go
@@ -21,7 +21,7 @@
 		Short:   "Ask which addresses a caller should use",
 		Example: "  egretbend addresses --caller saddlers",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var answer caller.Addresses
+			var answer caller.AddressesResponse
 			if err := a.getJSON(cmd.Context(), "/v1/addresses?caller="+url.QueryEscape(name), &answer); err != nil {
 				return err
 			}
@@ -31,7 +31,7 @@
 			for _, addr := range answer.Addresses {
 				fmt.Fprintf(a.out, "%-22s %s (%s)\n", addr.Address, addr.Instance, addr.FailureDomain)
 			}
-			fmt.Fprintf(a.out, "keep for %d ms\n", answer.KeepMS)
+			fmt.Fprintf(a.out, "keep for %d ms\n", answer.TTLMS)
 			return nil
 		},
 	}
@@ -66,7 +66,7 @@
 }
 
 func (a *app) printStatus(s operator.Status) {
-	fmt.Fprintf(a.out, "instance %s, configuration revision %d (highest told: %d)\n", s.Instance, s.Revision, s.Told)
+	fmt.Fprintf(a.out, "instance %s, configuration revision %d (highest told: %d)\n", s.Instance, s.Revision, s.HighestRevision)
 	for _, m := range s.Members {
 		note := ""
 		if m.Leaving {
@@ -79,12 +79,12 @@
 	}
 	for _, u := range s.Upstreams {
 		fmt.Fprintf(a.out, "upstream %-20s %-14s load %.2f version %s leaving %t out %t\n",
-			u.Upstream, u.Deployment, u.Load, u.Version, u.Leaving, u.Out)
+			u.Upstream, u.Deployment, u.Load, u.Version, u.Leaving, u.Ejected)
 	}
 	for _, t := range s.Sessions {
 		for _, st := range t.Steps {
 			fmt.Fprintf(a.out, "step     %s session %d step %d %s: %d of %d taken, %d discarded, %d second attempts\n",
-				t.Trainer, t.Session, st.Step, st.State, st.Taken, st.Samples, st.Discarded, st.SecondAttempts)
+				t.Trainer, t.Session, st.Step, st.State, st.Acknowledged, st.Samples, st.Discarded, st.SecondAttempts)
 		}
 	}
 }
--- a/internal/entry/command/generate.go
+++ b/internal/entry/command/generate.go
@@ -61,7 +61,7 @@
 	}
 	given, err := v.Run()
 	if save != "" {
-		data, jsonErr := v.Given()
+		data, jsonErr := v.AnswersJSON()
 		err = errors.Join(err, jsonErr, os.WriteFile(save, append(data, '\n'), fileMode))
 	}
 	return given, err
--- a/internal/entry/command/root.go
+++ b/internal/entry/command/root.go
@@ -63,7 +63,7 @@
 
 // exitCode returns the exit code for an error.
 func exitCode(err error) int {
-	var faults setting.Faults
+	var faults setting.FieldErrors
 	if errors.As(err, &faults) || errors.Is(err, errInput) {
 		return ExitInput
 	}
--- a/internal/entry/command/serve.go
+++ b/internal/entry/command/serve.go
@@ -56,7 +56,7 @@
 		Metrics:  newMetricsRegistry(),
 	}
 	err = runUntilSignal(host)
-	j.Event("stopped", log.Fields{})
+	j.Info("stopped", log.Fields{})
 	logs.Kill(nil)
 	_ = logs.Wait()
 	return err
@@ -77,7 +77,7 @@
 func runUntilSignal(host *part.Host) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
-	leaving := host.Leaving()
+	leaving := host.ShutdownRequested()
 	if err := instance.Start(host); err != nil {
 		return err
 	}
--- a/internal/entry/command/steps.go
+++ b/internal/entry/command/steps.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/egretbend/egretbend/internal/batch/account"
+	"github.com/egretbend/egretbend/internal/batch/steptime"
 )
 
 func (a *app) stepsCommand() *cobra.Command {
@@ -26,13 +26,13 @@
 }
 
 func (a *app) steps(paths []string, picture string, in io.Reader) error {
-	var l account.Log
+	var l steptime.Log
 	for _, path := range paths {
 		if err := readLog(path, in, l.Read); err != nil {
 			return err
 		}
 	}
-	day, err := l.Day()
+	day, err := l.Report()
 	if err != nil {
 		for _, f := range l.Faults() {
 			return fmt.Errorf("%w: %w; the first line that could not be read: %w", errInput, err, f)
@@ -47,7 +47,7 @@
 	if a.json {
 		return a.printJSON(day)
 	}
-	return day.Table(a.out)
+	return day.WriteTable(a.out)
 }
 
 // readLog opens the log file at path, or standard input if path is -, and passes it to
@@ -70,12 +70,12 @@
 	return nil
 }
 
-func writePicture(day *account.Day, path string) error {
+func writePicture(day *steptime.Report, path string) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return fmt.Errorf("%w: picture: %w", errInput, err)
 	}
-	if err := day.Picture(f); err != nil {
+	if err := day.WriteSVG(f); err != nil {
 		f.Close()
 		return fmt.Errorf("picture %s: %w", path, err)
 	}
--- a/internal/entry/door/limited.go
+++ b/internal/entry/httpserver/limited.go
@@ -1,4 +1,4 @@
-package door
+package httpserver
 
 import (
 	"context"
@@ -24,10 +24,10 @@
 	acceptRetryDelay = 20 * time.Millisecond
 )
 
-// Limited is an HTTP server that applies the limits of the configuration in force to
+// Server is an HTTP server that applies the limits of the configuration in force to
 // new connections. A connection keeps the limits that applied when it was opened:
 // closing open connections after a change of the limits would interrupt requests.
-type Limited struct {
+type Server struct {
 	Handler http.Handler
 	Config  *catalog.Holder
 
@@ -39,7 +39,7 @@
 }
 
 // Serve accepts connections until Shutdown is called.
-func (d *Limited) Serve(ln net.Listener) error {
+func (d *Server) Serve(ln net.Listener) error {
 	d.mu.Lock()
 	d.ln = ln
 	d.mu.Unlock()
@@ -58,7 +58,7 @@
 }
 
 // Shutdown stops accepting connections and waits for the requests in progress to finish.
-func (d *Limited) Shutdown(ctx context.Context) error {
+func (d *Server) Shutdown(ctx context.Context) error {
 	d.mu.Lock()
 	servers := d.servers
 	err := d.ln.Close()
@@ -71,7 +71,7 @@
 
 // dispatch passes a connection to a server with the limits in force. It starts a new
 // server if the limits have changed.
-func (d *Limited) dispatch(c net.Conn) {
+func (d *Server) dispatch(c net.Conn) {
 	var limits catalog.Limits
 	if cfg := d.Config.Current(); cfg != nil {
 		limits = cfg.Limits
@@ -91,7 +91,7 @@
 }
 
 // startServer starts a server with the given limits. d.mu must be held.
-func (d *Limited) startServer(limits catalog.Limits) *connListener {
+func (d *Server) startServer(limits catalog.Limits) *connListener {
 	server := &http.Server{
 		Handler:           d.Handler,
 		MaxHeaderBytes:    limits.HeaderBytes,
@@ -113,7 +113,7 @@
 	return l
 }
 
-// connListener is a net.Listener for connections that Limited has accepted.
+// connListener is a net.Listener for connections that Server has accepted.
 type connListener struct {
 	conns     chan net.Conn
 	closeOnce sync.Once
--- a/internal/entry/door/limited_test.go
+++ b/internal/entry/httpserver/limited_test.go
@@ -1,4 +1,4 @@
-package door
+package httpserver
 
 import (
 	"bufio"
@@ -22,7 +22,7 @@
 func TestLimitsFollowConfiguration(t *testing.T) {
 	is := is.New(t)
 	config := &catalog.Holder{}
-	d := &Limited{
+	d := &Server{
 		Config:  config,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }),
 	}
@@ -50,7 +50,7 @@
 	status, err := sendRequest(existing, 20_000)
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
-	config.Take(catalog.Configuration{
+	config.Update(catalog.Configuration{
 		Version: 1,
 		Limits: catalog.Limits{
 			HeaderBytes:   4_000,
--- a/internal/entry/door/mux.go
+++ b/internal/entry/httpserver/mux.go
@@ -1,4 +1,4 @@
-package door
+package httpserver
 
 import (
 	"crypto/subtle"
@@ -30,9 +30,9 @@
 	return m
 }
 
-// HandleRest adds a handler that answers every other path with a not-found error. It
+// HandleNotFound adds a handler that answers every other path with a not-found error. It
 // must be called after all other handlers were added.
-func (m *Mux) HandleRest() {
+func (m *Mux) HandleNotFound() {
 	m.HandleFunc(pat.New("/*"), func(w http.ResponseWriter, r *http.Request) {
 		problem.Write(w, problem.NotFound.Withf("no handler for %s %s", r.Method, r.URL.Path))
 	})
@@ -72,9 +72,9 @@
 	})
 }
 
-// WithKey returns a handler that calls next only for requests with the bearer token
+// RequireKey returns a handler that calls next only for requests with the bearer token
 // key. An empty key lets all requests through.
-func WithKey(key string, next http.HandlerFunc) http.HandlerFunc {
+func RequireKey(key string, next http.HandlerFunc) http.HandlerFunc {
 	if key == "" {
 		return next
 	}
--- a/internal/entry/door/part.go
+++ b/internal/entry/httpserver/part.go
@@ -1,4 +1,4 @@
-package door
+package httpserver
 
 import (
 	"context"
@@ -34,9 +34,9 @@
 	// defaultAddressTTL is how long callers may cache an address response while no
 	// configuration is loaded.
 	defaultAddressTTL = 10 * time.Second
-	// KeepJitter is the largest factor by which jitter extends the time for which an
+	// MaxTTLFactor is the largest factor by which jitter extends the time for which an
 	// address response may be cached.
-	KeepJitter = 1.25
+	MaxTTLFactor = 1.25
 	// drainTimeout limits the wait for requests in flight. It exceeds the longest
 	// deadline that a request can have.
 	drainTimeout = time.Hour + time.Minute
@@ -45,19 +45,19 @@
 func init() {
 	part.Register(part.Factory{
 		Name:  "entry.door",
-		Stage: part.StageDoor,
+		Stage: part.StageMux,
 		Make:  makeMux,
 	})
 	part.Register(part.Factory{
 		Name:  "entry.listen",
-		Stage: part.StageListen,
+		Stage: part.StageListener,
 		Make:  makeListener,
 	})
 }
 
 func makeMux(h *part.Host) (part.Part, error) {
-	part.Put(h, NewMux())
-	return part.Idle{}, nil
+	part.Provide(h, NewMux())
+	return part.Noop{}, nil
 }
 
 // listener is the part that serves the Mux on the instance's listen address.
@@ -73,13 +73,13 @@
 func makeListener(h *part.Host) (part.Part, error) {
 	l := &listener{
 		host:    h,
-		mux:     part.Get[*Mux](h),
-		members: part.Get[*member.Table](h),
-		holder:  part.Get[*configuration.Holder](h),
-		runner:  part.Get[*runner.Runner](h),
+		mux:     part.MustGet[*Mux](h),
+		members: part.MustGet[*member.Table](h),
+		holder:  part.MustGet[*configuration.Holder](h),
+		runner:  part.MustGet[*runner.Runner](h),
 	}
 	l.addHealthHandlers()
-	l.mux.HandleRest()
+	l.mux.HandleNotFound()
 	h.Metrics.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "egretbend_requests_in_flight",
 		Help: "Requests that are being answered.",
@@ -125,7 +125,7 @@
 		if _, err := pair.Get(); err != nil {
 			return err
 		}
-		ln = tls.NewListener(ln, certificate.Door(pair))
+		ln = tls.NewListener(ln, certificate.ServerTLS(pair))
 	}
 	t.Go(func() error {
 		err := l.server.Serve(ln)
@@ -134,7 +134,7 @@
 		}
 		return err
 	})
-	l.host.Journal.Event("listening", log.Fields{
+	l.host.Journal.Info("listening", log.Fields{
 		"address": l.host.Settings.Listen,
 	})
 	return nil
@@ -146,19 +146,19 @@
 func (l *listener) Stop() {
 	l.mux.leaving.Store(true)
 	l.members.Leave()
-	l.host.Journal.Event("leaving", log.Fields{
+	l.host.Journal.Info("leaving", log.Fields{
 		"in_flight": l.mux.InFlight(),
 	})
 	ttl := defaultAddressTTL
 	if doc := l.holder.Current(); doc != nil {
-		ttl = time.Duration(doc.Parsed().Addresses.KeepMS) * time.Millisecond
+		ttl = time.Duration(doc.Parsed().Addresses.TTLMS) * time.Millisecond
 	}
-	timer.Wait(l.host.Timer, time.Duration(float64(ttl)*KeepJitter)+leavePropagationTime, nil)
+	timer.Wait(l.host.Timer, time.Duration(float64(ttl)*MaxTTLFactor)+leavePropagationTime, nil)
 	l.runner.Drain()
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	_ = l.server.Shutdown(ctx)
-	l.host.Journal.Event("drained", log.Fields{
+	l.host.Journal.Info("drained", log.Fields{
 		"in_flight": l.mux.InFlight(),
 	})
 }
--- a/internal/entry/identity/decision.go
+++ b/internal/entry/identity/decision.go
@@ -13,13 +13,13 @@
 
 // Evidence holds the facts on which Decide bases its verdict.
 type Evidence struct {
-	// Open is set if no key is needed: the route is public, or no organisation is
+	// KeyOptional is set if no key is needed: the route is public, or no organisation is
 	// configured.
-	Open bool
+	KeyOptional bool
 	// KeyErr tells why no key could be read from the request; nil if one was read.
 	KeyErr error
-	// Known is set if the configuration in force has the key.
-	Known bool
+	// KeyKnown is set if the configuration in force has the key.
+	KeyKnown bool
 	// Confirmed is set if the configuration in force was confirmed to be the newest one
 	// at least once. Age is the time since the last confirmation.
 	Confirmed bool
@@ -36,34 +36,34 @@
 const (
 	// Allowed means that the request may run.
 	Allowed Verdict = "allowed"
-	// Unknown means that the request has no valid key of any organisation.
-	Unknown Verdict = "unknown_key"
-	// Unsure means that the last confirmation is too old, or missing, to accept or
+	// UnknownKey means that the request has no valid key of any organisation.
+	UnknownKey Verdict = "unknown_key"
+	// Unconfirmed means that the last confirmation is too old, or missing, to accept or
 	// reject the key.
-	Unsure Verdict = "unconfirmed"
+	Unconfirmed Verdict = "unconfirmed"
 )
 
 // Decide returns the verdict that follows from the evidence.
 func Decide(e Evidence) Verdict {
 	switch {
-	case e.Open:
+	case e.KeyOptional:
 		return Allowed
 	case e.KeyErr != nil:
-		return Unknown
-	case e.Known && (e.Bound == 0 || e.Confirmed && e.Age < e.Bound):
+		return UnknownKey
+	case e.KeyKnown && (e.Bound == 0 || e.Confirmed && e.Age < e.Bound):
 		return Allowed
-	case e.Known:
-		return Unsure
+	case e.KeyKnown:
+		return Unconfirmed
 	case e.Bound == 0 || e.Confirmed && e.Age < maxUnknownKeyAge:
-		return Unknown
+		return UnknownKey
 	}
-	return Unsure
+	return Unconfirmed
 }
 
 // gatherEvidence returns the current evidence about a key. It reads the age before the
 // configuration, so that the configuration is at least as new as the one that was
 // confirmed.
-func (g *Gate) gatherEvidence(key string, keyErr error, public bool) (Evidence, organisation.Organisation) {
+func (g *Authenticator) gatherEvidence(key string, keyErr error, public bool) (Evidence, organisation.Organisation) {
 	e := Evidence{
 		KeyErr: keyErr,
 		Bound:  g.Bound,
@@ -73,8 +73,8 @@
 	if cfg == nil {
 		return e, organisation.Organisation{}
 	}
-	e.Open = public || cfg.Organisations.Empty()
+	e.KeyOptional = public || cfg.Organisations.Empty()
 	org, known := cfg.Organisations.Find(key)
-	e.Known = known
+	e.KeyKnown = known
 	return e, org
 }
--- a/internal/entry/identity/decision_test.go
+++ b/internal/entry/identity/decision_test.go
@@ -16,15 +16,15 @@
 		e    Evidence
 		want Verdict
 	}{
-		"public":                  {Evidence{Open: true, KeyErr: organisation.ErrNoKey}, Allowed},
-		"without a key":           {Evidence{KeyErr: organisation.ErrNoKey, Confirmed: true, Bound: bound}, Unknown},
-		"known and fresh":         {Evidence{Known: true, Confirmed: true, Age: bound - 1, Bound: bound}, Allowed},
-		"known and too old":       {Evidence{Known: true, Confirmed: true, Age: bound, Bound: bound}, Unsure},
-		"known, never confirmed":  {Evidence{Known: true, Bound: bound}, Unsure},
-		"known without a bound":   {Evidence{Known: true}, Allowed},
-		"unknown and fresh":       {Evidence{Confirmed: true, Age: maxUnknownKeyAge - 1, Bound: bound}, Unknown},
-		"perhaps just added":      {Evidence{Confirmed: true, Age: maxUnknownKeyAge, Bound: bound}, Unsure},
-		"unknown without a bound": {Evidence{}, Unknown},
+		"public":                  {Evidence{KeyOptional: true, KeyErr: organisation.ErrNoKey}, Allowed},
+		"without a key":           {Evidence{KeyErr: organisation.ErrNoKey, Confirmed: true, Bound: bound}, UnknownKey},
+		"known and fresh":         {Evidence{KeyKnown: true, Confirmed: true, Age: bound - 1, Bound: bound}, Allowed},
+		"known and too old":       {Evidence{KeyKnown: true, Confirmed: true, Age: bound, Bound: bound}, Unconfirmed},
+		"known, never confirmed":  {Evidence{KeyKnown: true, Bound: bound}, Unconfirmed},
+		"known without a bound":   {Evidence{KeyKnown: true}, Allowed},
+		"unknown and fresh":       {Evidence{Confirmed: true, Age: maxUnknownKeyAge - 1, Bound: bound}, UnknownKey},
+		"perhaps just added":      {Evidence{Confirmed: true, Age: maxUnknownKeyAge, Bound: bound}, Unconfirmed},
+		"unknown without a bound": {Evidence{}, UnknownKey},
 	} {
 		is.Equal(name+" "+string(Decide(c.e)), name+" "+string(c.want))
 	}
--- a/internal/entry/identity/gate.go
+++ b/internal/entry/identity/gate.go
@@ -23,8 +23,8 @@
 
 var errUnknownKey = errors.New("the key of the request belongs to no organisation")
 
-// Gate identifies the organisations of requests.
-type Gate struct {
+// Authenticator identifies the organisations of requests.
+type Authenticator struct {
 	Config *catalog.Holder
 	Record *confirmation.Record
 	// Bound is the longest time for which a removed key may still be accepted; 0 sets no
@@ -46,50 +46,52 @@
 	Public bool
 }
 
-// Needed reports whether requests are accepted only while the configuration is
+// NeedsConfirmation reports whether requests are accepted only while the configuration is
 // confirmed: there is a bound, and organisations are configured.
-func (g *Gate) Needed() bool { return g.Bound > 0 && g.Configured() }
+func (g *Authenticator) NeedsConfirmation() bool { return g.Bound > 0 && g.HasOrganisations() }
 
-// Configured reports whether organisations are configured, so that requests need keys.
-func (g *Gate) Configured() bool {
+// HasOrganisations reports whether organisations are configured, so that requests need keys.
+func (g *Authenticator) HasOrganisations() bool {
 	cfg := g.Config.Current()
 	return cfg != nil && !cfg.Organisations.Empty()
 }
 
-// Begun reports whether the configuration was confirmed at least once since this
+// EverConfirmed reports whether the configuration was confirmed at least once since this
 // instance started, or needs no confirmation.
-func (g *Gate) Begun() bool {
-	if !g.Needed() {
+func (g *Authenticator) EverConfirmed() bool {
+	if !g.NeedsConfirmation() {
 		return true
 	}
 	_, confirmed := g.Record.Age(g.Timer.Now())
 	return confirmed
 }
 
-// Able reports whether the configuration was confirmed within Bound, or needs no
+// Confirmed reports whether the configuration was confirmed within Bound, or needs no
 // confirmation.
-func (g *Gate) Able() bool { return !g.Needed() || g.Record.Within(g.Timer.Now(), g.Bound) }
+func (g *Authenticator) Confirmed() bool {
+	return !g.NeedsConfirmation() || g.Record.Within(g.Timer.Now(), g.Bound)
+}
 
 // Identify returns the organisation on whose behalf a request is made. For a public
 // route, and while no organisations are configured, it returns the zero Organisation. If
 // it returns an error, the request must not run.
-func (g *Gate) Identify(ctx context.Context, c Call) (organisation.Organisation, error) {
+func (g *Authenticator) Identify(ctx context.Context, c Call) (organisation.Organisation, error) {
 	key, keyErr := organisation.KeyOf(c.Header)
 	e, org := g.gatherEvidence(key, keyErr, c.Public)
-	if !e.Open && keyErr == nil && !e.Known && g.Refresh != nil {
+	if !e.KeyOptional && keyErr == nil && !e.KeyKnown && g.Refresh != nil {
 		g.Refresh(ctx)
 		e, org = g.gatherEvidence(key, keyErr, c.Public)
 	}
 	verdict := Decide(e)
 	g.Metrics.countVerdict(verdict)
 	switch {
-	case verdict == Allowed && e.Open:
+	case verdict == Allowed && e.KeyOptional:
 		return organisation.Organisation{}, nil
 	case verdict == Allowed:
 		return org, nil
 	}
 	g.logRefusal(c, e, org, verdict)
-	if verdict == Unknown {
+	if verdict == UnknownKey {
 		return organisation.Organisation{}, problem.Unauthorized.With(errors.Join(errUnknownKey, keyErr))
 	}
 	return organisation.Organisation{}, problem.Unconfirmed.Withf("the configuration was last confirmed %s ago", e.Age).
@@ -97,11 +99,11 @@
 }
 
 // logRefusal logs the evidence on which a request was refused.
-func (g *Gate) logRefusal(c Call, e Evidence, org organisation.Organisation, verdict Verdict) {
+func (g *Authenticator) logRefusal(c Call, e Evidence, org organisation.Organisation, verdict Verdict) {
 	fields := log.Fields{
 		"request_id":   c.RequestID,
 		"organisation": org.Name,
-		"known":        e.Known,
+		"known":        e.KeyKnown,
 		"confirmed":    e.Confirmed,
 		"age_ms":       e.Age.Milliseconds(),
 		"bound_ms":     e.Bound.Milliseconds(),
--- a/internal/entry/identity/proof_test.go
+++ b/internal/entry/identity/proof_test.go
@@ -17,7 +17,7 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 	"github.com/egretbend/egretbend/internal/route/catalog"
 	"github.com/egretbend/egretbend/internal/route/organisation"
-	"github.com/egretbend/egretbend/internal/standin/proof"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
 const (
@@ -54,8 +54,8 @@
 	revision     uint64
 	config       catalog.Holder
 	record       confirmation.Record
-	keeper       confirmation.Keeper
-	gate         identity.Gate
+	keeper       confirmation.Confirmer
+	gate         identity.Authenticator
 	disconnected bool
 	suspendedFor time.Duration
 }
@@ -88,15 +88,15 @@
 	i := &instance{
 		fleet: w,
 	}
-	i.keeper = confirmation.Keeper{
-		Record: &i.record,
-		Source: i,
-		Key:    configurationKey,
-		Held:   func() uint64 { return i.revision },
-		Take:   i.applyChanges,
-		Timer:  i,
+	i.keeper = confirmation.Confirmer{
+		Record:       &i.record,
+		Source:       i,
+		Key:          configurationKey,
+		HeldRevision: func() uint64 { return i.revision },
+		Apply:        i.applyChanges,
+		Timer:        i,
 	}
-	i.gate = identity.Gate{
+	i.gate = identity.Authenticator{
 		Config: &i.config,
 		Record: &i.record,
 		Bound:  bound,
@@ -128,7 +128,7 @@
 		}
 		orgs = append(orgs, o)
 	}
-	i.config.Take(catalog.Configuration{
+	i.config.Update(catalog.Configuration{
 		Version:       revision,
 		Organisations: organisation.NewDirectory(orgs),
 	}.WithIndex())
@@ -139,11 +139,11 @@
 	i.applyRevision(changes[len(changes)-1].Revision)
 }
 
-// Changes implements confirmation.Source. The response takes some time to arrive, and
+// ChangesSince implements confirmation.Source. The response takes some time to arrive, and
 // operators may change the configuration meanwhile.
-func (i *instance) Changes(context.Context, string, uint64) ([]keyvalue.Change, uint64, error) {
+func (i *instance) ChangesSince(context.Context, string, uint64) ([]keyvalue.Change, uint64, error) {
 	if i.disconnected {
-		return nil, 0, keyvalue.ErrDown
+		return nil, 0, keyvalue.ErrUnavailable
 	}
 	newest := uint64(len(i.fleet.keysByRevision))
 	i.fleet.clock.Advance(time.Duration(rapid.IntRange(0, 7).Draw(i.fleet.t, "seconds on the way")) * time.Second)
@@ -199,7 +199,7 @@
 	if w.disabled.revisionCheck {
 		revision = 0
 	}
-	to.keeper.Accept(to.Now().Add(-age), revision)
+	to.keeper.AcceptRemote(to.Now().Add(-age), revision)
 }
 
 // suspend suspends an instance for the duration d.
@@ -240,22 +240,22 @@
 // Guards against keys that are accepted for longer than the bound after their removal,
 // and against the refusal of valid keys.
 func TestRemovedKeyIsRefusedWithinBound(t *testing.T) {
-	proof.Check(t, randomHistory(disabledMechanisms{}))
+	property.Check(t, randomHistory(disabledMechanisms{}))
 }
 
 // Without a bound, a disconnected instance accepts a removed key forever.
 func TestRemovedKeyNeedsBound(t *testing.T) {
-	proof.Refute(t, randomHistory(disabledMechanisms{bound: true}))
+	property.CheckFails(t, randomHistory(disabledMechanisms{bound: true}))
 }
 
 // Without the revision check, a confirmation from an instance with a newer configuration
 // confirms an older configuration on another instance.
 func TestConfirmationNeedsMatchingRevision(t *testing.T) {
-	proof.Refute(t, randomHistory(disabledMechanisms{revisionCheck: true}))
+	property.CheckFails(t, randomHistory(disabledMechanisms{revisionCheck: true}))
 }
 
 // If the clock does not advance while an instance is suspended, the instance takes an
 // old confirmation for a recent one.
 func TestClockMustAdvanceDuringSuspension(t *testing.T) {
-	proof.Refute(t, randomHistory(disabledMechanisms{suspensionClock: true}))
+	property.CheckFails(t, randomHistory(disabledMechanisms{suspensionClock: true}))
 }
--- a/internal/entry/instance/instance.go
+++ b/internal/entry/instance/instance.go
@@ -5,11 +5,11 @@
 
 	// These packages register their parts when they are imported.
 	_ "github.com/egretbend/egretbend/internal/entry/caller"
-	_ "github.com/egretbend/egretbend/internal/entry/door"
+	_ "github.com/egretbend/egretbend/internal/entry/httpserver"
 	_ "github.com/egretbend/egretbend/internal/entry/operator"
 	_ "github.com/egretbend/egretbend/internal/entry/trainer"
-	_ "github.com/egretbend/egretbend/internal/fleet/bulletin"
 	_ "github.com/egretbend/egretbend/internal/fleet/configuration"
+	_ "github.com/egretbend/egretbend/internal/fleet/crashnotice"
 	_ "github.com/egretbend/egretbend/internal/fleet/listing"
 	_ "github.com/egretbend/egretbend/internal/fleet/member"
 	_ "github.com/egretbend/egretbend/internal/fleet/peer"
--- a/internal/entry/operator/decisions.go
+++ b/internal/entry/operator/decisions.go
@@ -31,7 +31,7 @@
 
 // Find returns the decisions about args.ID that this instance remembers.
 func (d *decisionService) Find(args DecisionArgs, reply *DecisionReply) error {
-	reply.Decisions = d.journal.Remembered(args.ID)
+	reply.Decisions = d.journal.FindDecisions(args.ID)
 	return nil
 }
 
@@ -40,7 +40,7 @@
 // within peer.CallTimeout is left out.
 func (s *Server) getDecisions(w http.ResponseWriter, r *http.Request) {
 	id := pat.Param(r, "id")
-	records := s.Journal.Remembered(id)
+	records := s.Journal.FindDecisions(id)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	self := s.Members.Self().ID
--- a/internal/entry/operator/doc.go
+++ b/internal/entry/operator/doc.go
@@ -12,8 +12,8 @@
 //	GET  /v1/decisions/{id}
 //
 // Server holds the handlers. The package registers itself as the part entry.operator,
-// which adds the handlers to the instance's door.Mux. If the instance's settings have an
-// operator key, all paths need it.
+// which adds the handlers to the instance's httpserver.Mux. If the instance's settings
+// have an operator key, all paths need it.
 //
 // docs/API.md describes the fields and errors.
 package operator
--- a/internal/entry/operator/server.go
+++ b/internal/entry/operator/server.go
@@ -10,7 +10,7 @@
 
 	"goji.io/pat"
 
-	"github.com/egretbend/egretbend/internal/entry/door"
+	"github.com/egretbend/egretbend/internal/entry/httpserver"
 	"github.com/egretbend/egretbend/internal/fleet/configuration"
 	"github.com/egretbend/egretbend/internal/fleet/listing"
 	"github.com/egretbend/egretbend/internal/fleet/member"
@@ -41,8 +41,8 @@
 	Holder   *configuration.Holder
 	Editor   *configuration.Editor
 	Members  *member.Table
-	Listing  *listing.Book
-	Board    *version.Board
+	Listing  *listing.Table
+	Board    *version.Table
 	Table    *upstream.Table
 	Limiter  *limit.Limiter
 	Runner   *runner.Runner
@@ -57,38 +57,38 @@
 func init() {
 	part.Register(part.Factory{
 		Name:  "entry.operator",
-		Stage: part.StageEntry,
+		Stage: part.StageHandlers,
 		Make:  makePart,
 	})
 }
 
 func makePart(h *part.Host) (part.Part, error) {
 	s := &Server{
-		Holder:   part.Get[*configuration.Holder](h),
-		Editor:   part.Get[*configuration.Editor](h),
-		Members:  part.Get[*member.Table](h),
-		Listing:  part.Get[*listing.Book](h),
-		Board:    part.Get[*version.Board](h),
-		Table:    part.Get[*upstream.Table](h),
-		Limiter:  part.Get[*limit.Limiter](h),
-		Runner:   part.Get[*runner.Runner](h),
+		Holder:   part.MustGet[*configuration.Holder](h),
+		Editor:   part.MustGet[*configuration.Editor](h),
+		Members:  part.MustGet[*member.Table](h),
+		Listing:  part.MustGet[*listing.Table](h),
+		Board:    part.MustGet[*version.Table](h),
+		Table:    part.MustGet[*upstream.Table](h),
+		Limiter:  part.MustGet[*limit.Limiter](h),
+		Runner:   part.MustGet[*runner.Runner](h),
 		Journal:  h.Journal,
-		Client:   part.Get[*peer.Client](h),
+		Client:   part.MustGet[*peer.Client](h),
 		Timer:    h.Timer,
 		Instance: h.Settings.Name,
-		Leave:    h.Leave,
+		Leave:    h.RequestShutdown,
 	}
-	mux := part.Get[*door.Mux](h)
+	mux := part.MustGet[*httpserver.Mux](h)
 	key := h.Settings.Security.OperatorKey
-	mux.HandleFunc(pat.Get("/v1/configuration"), door.WithKey(key, s.getConfiguration))
-	mux.HandleFunc(pat.Put("/v1/configuration"), door.WithKey(key, s.putConfiguration))
-	mux.HandleFunc(pat.Get("/v1/configuration/changes/:id"), door.WithKey(key, s.getChange))
-	mux.HandleFunc(pat.Get("/v1/configuration/history"), door.WithKey(key, s.getHistory))
-	mux.HandleFunc(pat.Get("/v1/status"), door.WithKey(key, s.getStatus))
-	mux.HandleFunc(pat.Post("/v1/upstreams/:upstream/drain"), door.WithKey(key, s.drainUpstream))
-	mux.HandleFunc(pat.Post("/v1/instance/drain"), door.WithKey(key, s.drainInstance))
-	mux.HandleFunc(pat.Get("/v1/decisions/:id"), door.WithKey(key, s.getDecisions))
-	return part.Idle{}, part.Get[*peer.Server](h).Register("Decisions", &decisionService{
+	mux.HandleFunc(pat.Get("/v1/configuration"), httpserver.RequireKey(key, s.getConfiguration))
+	mux.HandleFunc(pat.Put("/v1/configuration"), httpserver.RequireKey(key, s.putConfiguration))
+	mux.HandleFunc(pat.Get("/v1/configuration/changes/:id"), httpserver.RequireKey(key, s.getChange))
+	mux.HandleFunc(pat.Get("/v1/configuration/history"), httpserver.RequireKey(key, s.getHistory))
+	mux.HandleFunc(pat.Get("/v1/status"), httpserver.RequireKey(key, s.getStatus))
+	mux.HandleFunc(pat.Post("/v1/upstreams/:upstream/drain"), httpserver.RequireKey(key, s.drainUpstream))
+	mux.HandleFunc(pat.Post("/v1/instance/drain"), httpserver.RequireKey(key, s.drainInstance))
+	mux.HandleFunc(pat.Get("/v1/decisions/:id"), httpserver.RequireKey(key, s.getDecisions))
+	return part.Noop{}, part.MustGet[*peer.Server](h).Register("Decisions", &decisionService{
 		journal: h.Journal,
 	})
 }
@@ -166,7 +166,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), readTimeout)
 	defer cancel()
-	rev, err := s.Editor.Find(ctx, configuration.Change{
+	rev, err := s.Editor.FindChange(ctx, configuration.Change{
 		ID:     pat.Param(r, "id"),
 		Parent: parent,
 	})
@@ -231,8 +231,8 @@
 	Load       float64 `json:"load"`
 	InFlight   int64   `json:"in_flight"`
 	Leaving    bool    `json:"leaving"`
-	// Out is set while the upstream is excluded because of its failures.
-	Out bool `json:"out"`
+	// Ejected is set while the upstream is excluded because of its failures.
+	Ejected bool `json:"out"`
 }
 
 // MemberStatus is the state of an instance of the fleet as this instance sees it.
@@ -257,20 +257,20 @@
 type Status struct {
 	Instance string `json:"instance"`
 	Revision uint64 `json:"revision"`
-	// Told is the highest revision that this instance has heard of through gossip.
-	Told      uint64            `json:"told_revision"`
-	Members   []MemberStatus    `json:"members"`
-	Upstreams []UpstreamStatus  `json:"upstreams"`
-	Limits    []LimitStatus     `json:"limits"`
-	Sessions  []runner.Overview `json:"sessions"`
+	// HighestRevision is the highest revision that this instance has heard of through gossip.
+	HighestRevision uint64            `json:"told_revision"`
+	Members         []MemberStatus    `json:"members"`
+	Upstreams       []UpstreamStatus  `json:"upstreams"`
+	Limits          []LimitStatus     `json:"limits"`
+	Sessions        []runner.Overview `json:"sessions"`
 }
 
 func (s *Server) getStatus(w http.ResponseWriter, _ *http.Request) {
 	status := Status{
-		Instance: s.Instance,
-		Revision: s.Holder.Revision(),
-		Told:     s.Holder.Told(),
-		Sessions: s.Runner.Sessions(),
+		Instance:        s.Instance,
+		Revision:        s.Holder.Revision(),
+		HighestRevision: s.Holder.GossipedRevision(),
+		Sessions:        s.Runner.Sessions(),
 	}
 	for _, m := range s.Members.View().Known {
 		status.Members = append(status.Members, MemberStatus{
@@ -319,9 +319,9 @@
 		Load:       u.Load(now),
 		InFlight:   u.InFlight(),
 		Leaving:    u.Leaving(),
-		Out:        u.Out(now),
+		Ejected:    u.Ejected(now),
 	}
-	if r, _, ok := u.Report(now); ok && !r.Version.Zero() {
+	if r, _, ok := u.Report(now); ok && !r.Version.IsZero() {
 		row.Version = r.Version.String()
 	}
 	return row
--- a/internal/entry/trainer/doc.go
+++ b/internal/entry/trainer/doc.go
@@ -7,8 +7,8 @@
 //	POST /v1/trainers/{trainer}/read
 //
 // Server holds the handlers. The package registers itself as the part entry.trainer,
-// which adds the handlers to the instance's door.Mux. If the instance's settings have a
-// trainer key, all paths need it.
+// which adds the handlers to the instance's httpserver.Mux. If the instance's settings
+// have a trainer key, all paths need it.
 //
 // docs/API.md describes the fields and errors.
 package trainer
--- a/internal/entry/trainer/server.go
+++ b/internal/entry/trainer/server.go
@@ -5,7 +5,7 @@
 
 	"goji.io/pat"
 
-	"github.com/egretbend/egretbend/internal/entry/door"
+	"github.com/egretbend/egretbend/internal/entry/httpserver"
 	"github.com/egretbend/egretbend/internal/fleet/configuration"
 	"github.com/egretbend/egretbend/internal/fleet/version"
 	"github.com/egretbend/egretbend/internal/kernel/part"
@@ -22,20 +22,20 @@
 
 // Server handles the requests of trainers.
 type Server struct {
-	Board  *version.Board
+	Board  *version.Table
 	Holder *configuration.Holder
 	Runner *runner.Runner
 }
 
-// OpenRequest is the body of POST /v1/trainers/{trainer}/sessions.
-type OpenRequest struct {
+// OpenSessionRequest is the body of POST /v1/trainers/{trainer}/sessions.
+type OpenSessionRequest struct {
 	// Session is the number of the session. The trainer increases it for each session
 	// that it opens.
 	Session uint64 `json:"session"`
 }
 
-// SubmitRequest is the body of POST /v1/trainers/{trainer}/steps.
-type SubmitRequest struct {
+// SubmitStepRequest is the body of POST /v1/trainers/{trainer}/steps.
+type SubmitStepRequest struct {
 	Session uint64       `json:"session"`
 	Step    session.Spec `json:"step"`
 }
@@ -43,24 +43,24 @@
 func init() {
 	part.Register(part.Factory{
 		Name:  "entry.trainer",
-		Stage: part.StageEntry,
+		Stage: part.StageHandlers,
 		Make:  makePart,
 	})
 }
 
 func makePart(h *part.Host) (part.Part, error) {
 	s := &Server{
-		Board:  part.Get[*version.Board](h),
-		Holder: part.Get[*configuration.Holder](h),
-		Runner: part.Get[*runner.Runner](h),
+		Board:  part.MustGet[*version.Table](h),
+		Holder: part.MustGet[*configuration.Holder](h),
+		Runner: part.MustGet[*runner.Runner](h),
 	}
-	mux := part.Get[*door.Mux](h)
+	mux := part.MustGet[*httpserver.Mux](h)
 	key := h.Settings.Security.TrainerKey
-	mux.HandleFunc(pat.Post("/v1/models/:deployment/versions"), door.WithKey(key, s.publishVersion))
-	mux.HandleFunc(pat.Post("/v1/trainers/:trainer/sessions"), door.WithKey(key, s.openSession))
-	mux.HandleFunc(pat.Post("/v1/trainers/:trainer/steps"), door.WithKey(key, s.submitStep))
-	mux.HandleFunc(pat.Post("/v1/trainers/:trainer/read"), door.WithKey(key, s.readBatch))
-	return part.Idle{}, nil
+	mux.HandleFunc(pat.Post("/v1/models/:deployment/versions"), httpserver.RequireKey(key, s.publishVersion))
+	mux.HandleFunc(pat.Post("/v1/trainers/:trainer/sessions"), httpserver.RequireKey(key, s.openSession))
+	mux.HandleFunc(pat.Post("/v1/trainers/:trainer/steps"), httpserver.RequireKey(key, s.submitStep))
+	mux.HandleFunc(pat.Post("/v1/trainers/:trainer/read"), httpserver.RequireKey(key, s.readBatch))
+	return part.Noop{}, nil
 }
 
 // publishVersion serves POST /v1/models/{deployment}/versions.
@@ -75,7 +75,7 @@
 		problem.Write(w, err)
 		return
 	}
-	if body.Version.Zero() {
+	if body.Version.IsZero() {
 		problem.Write(w, problem.BadRequest.Withf("version: expected an epoch or number of at least 1"))
 		return
 	}
@@ -102,7 +102,7 @@
 
 // openSession serves POST /v1/trainers/{trainer}/sessions.
 func (s *Server) openSession(w http.ResponseWriter, r *http.Request) {
-	var body OpenRequest
+	var body OpenSessionRequest
 	if err := problem.ReadJSON(w, r, maxSmallBody, &body); err != nil {
 		problem.Write(w, err)
 		return
@@ -116,7 +116,7 @@
 
 // submitStep serves POST /v1/trainers/{trainer}/steps.
 func (s *Server) submitStep(w http.ResponseWriter, r *http.Request) {
-	var body SubmitRequest
+	var body SubmitStepRequest
 	if err := problem.ReadJSON(w, r, maxStepBody, &body); err != nil {
 		problem.Write(w, err)
 		return
--- a/internal/fleet/capacity/decision.go
+++ b/internal/fleet/capacity/decision.go
@@ -15,10 +15,10 @@
 type Group struct {
 	// Slots is the number of items that one engine runs at once.
 	Slots int
-	// Most is the maximum number of engines, lasting and reclaimable, in a failure domain.
-	Most int
-	// Work is the number of items that may have to run at once.
-	Work    int
+	// MaxPerDomain is the maximum number of engines, lasting and reclaimable, in a failure domain.
+	MaxPerDomain int
+	// Items is the number of items that may have to run at once.
+	Items   int
 	Domains []Domain
 }
 
@@ -27,12 +27,12 @@
 	Name string
 	// Price is the price of a lasting engine, relative to other domains.
 	Price float64
-	// Lasting and Reclaimable are the numbers of engines of each kind, without
+	// OnDemand and Reclaimable are the numbers of engines of each kind, without
 	// those that are leaving.
-	Lasting     int
+	OnDemand    int
 	Reclaimable int
-	// Dry says that the domain recently refused an order for lack of capacity.
-	Dry bool
+	// OutOfCapacity says that the domain recently refused an order for lack of capacity.
+	OutOfCapacity bool
 }
 
 // Target is the number of reclaimable engines that a failure domain should have.
@@ -41,19 +41,19 @@
 	Count  int
 }
 
-// Decide returns the targets of all domains, in the order of g.Domains. While there is any
+// Targets returns the targets of all domains, in the order of g.Domains. While there is any
 // work, no target is below the present number of engines, because the platform, not the
 // caller, chooses which engines it removes.
-func Decide(g Group) []Target {
+func Targets(g Group) []Target {
 	if g.Slots <= 0 {
 		return nil
 	}
 	targets := make([]Target, len(g.Domains))
-	needed := int(math.Ceil(float64(g.Work) * slotsPerItem / float64(g.Slots)))
+	needed := int(math.Ceil(float64(g.Items) * slotsPerItem / float64(g.Slots)))
 	for i, d := range g.Domains {
 		targets[i].Domain = d.Name
-		needed -= d.Lasting
-		if d.Dry {
+		needed -= d.OnDemand
+		if d.OutOfCapacity {
 			// Keep the present engines; an order for more would be refused.
 			targets[i].Count = d.Reclaimable
 			needed -= d.Reclaimable
@@ -67,7 +67,7 @@
 		targets[i].Count++
 	}
 	for i, d := range g.Domains {
-		if g.Work > 0 {
+		if g.Items > 0 {
 			targets[i].Count = max(targets[i].Count, d.Reclaimable)
 		}
 	}
@@ -80,7 +80,7 @@
 func nextDomain(g Group, targets []Target) int {
 	available := make([]int, 0, len(g.Domains))
 	for i, d := range g.Domains {
-		if !d.Dry && d.Lasting+targets[i].Count < g.Most {
+		if !d.OutOfCapacity && d.OnDemand+targets[i].Count < g.MaxPerDomain {
 			available = append(available, i)
 		}
 	}
--- a/internal/fleet/capacity/decision_test.go
+++ b/internal/fleet/capacity/decision_test.go
@@ -11,21 +11,21 @@
 
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/route/catalog"
-	"github.com/egretbend/egretbend/internal/standin/proof"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
 // fourDomains returns a group with twelve lasting engines in each of four failure domains.
 func fourDomains(work int) Group {
 	g := Group{
-		Slots: 8,
-		Most:  24,
-		Work:  work,
+		Slots:        8,
+		MaxPerDomain: 24,
+		Items:        work,
 	}
 	for i, price := range []float64{1, 0.8, 1.25, 0.9} {
 		g.Domains = append(g.Domains, Domain{
-			Name:    string(rune('a' + i)),
-			Price:   price,
-			Lasting: 12,
+			Name:     string(rune('a' + i)),
+			Price:    price,
+			OnDemand: 12,
 		})
 	}
 	return g
@@ -42,10 +42,10 @@
 // Guards against long items that wait for a slot when several steps arrive at once.
 func TestDecideProvidesSlotsForAllItems(t *testing.T) {
 	is := is.New(t)
-	is.Equal(counts(Decide(fourDomains(0))), []int{0, 0, 0, 0})
-	is.Equal(counts(Decide(fourDomains(300))), []int{0, 0, 0, 0})     // 47 engines
-	is.Equal(counts(Decide(fourDomains(568))), []int{10, 11, 10, 10}) // 89 engines
-	is.Equal(counts(Decide(fourDomains(5000))), []int{12, 12, 12, 12})
+	is.Equal(counts(Targets(fourDomains(0))), []int{0, 0, 0, 0})
+	is.Equal(counts(Targets(fourDomains(300))), []int{0, 0, 0, 0})     // 47 engines
+	is.Equal(counts(Targets(fourDomains(568))), []int{10, 11, 10, 10}) // 89 engines
+	is.Equal(counts(Targets(fourDomains(5000))), []int{12, 12, 12, 12})
 }
 
 // Guards against a shortfall when a failure domain has no capacity: the others have to make
@@ -53,45 +53,45 @@
 func TestDecideSkipsDomainsWithoutCapacity(t *testing.T) {
 	is := is.New(t)
 	g := fourDomains(480)
-	is.Equal(counts(Decide(g)), []int{7, 7, 6, 7})
-	g.Domains[1].Dry = true
-	is.Equal(counts(Decide(g)), []int{9, 0, 9, 9})
+	is.Equal(counts(Targets(g)), []int{7, 7, 6, 7})
+	g.Domains[1].OutOfCapacity = true
+	is.Equal(counts(Targets(g)), []int{9, 0, 9, 9})
 	g.Domains[1].Reclaimable = 3
-	is.Equal(counts(Decide(g)), []int{8, 3, 8, 8})
+	is.Equal(counts(Targets(g)), []int{8, 3, 8, 8})
 }
 
 // Guards against targets that give engines back while there is work, exceed the maximum of
 // a domain, or provide too few engines in total.
 func TestDecideRespectsBounds(t *testing.T) {
-	proof.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		g := Group{
-			Slots: rapid.IntRange(1, 16).Draw(t, "slots"),
-			Most:  rapid.IntRange(1, 30).Draw(t, "most"),
-			Work:  rapid.IntRange(0, 3000).Draw(t, "work"),
+			Slots:        rapid.IntRange(1, 16).Draw(t, "slots"),
+			MaxPerDomain: rapid.IntRange(1, 30).Draw(t, "most"),
+			Items:        rapid.IntRange(0, 3000).Draw(t, "work"),
 		}
 		for range rapid.IntRange(1, 6).Draw(t, "domains") {
-			lasting := rapid.IntRange(0, g.Most).Draw(t, "lasting")
+			lasting := rapid.IntRange(0, g.MaxPerDomain).Draw(t, "lasting")
 			g.Domains = append(g.Domains, Domain{
-				Price:       rapid.Float64Range(0.1, 2).Draw(t, "price"),
-				Lasting:     lasting,
-				Reclaimable: rapid.IntRange(0, g.Most-lasting).Draw(t, "reclaimable"),
-				Dry:         rapid.Bool().Draw(t, "dry"),
+				Price:         rapid.Float64Range(0.1, 2).Draw(t, "price"),
+				OnDemand:      lasting,
+				Reclaimable:   rapid.IntRange(0, g.MaxPerDomain-lasting).Draw(t, "reclaimable"),
+				OutOfCapacity: rapid.Bool().Draw(t, "dry"),
 			})
 		}
 		engines, open := 0, false
-		for i, target := range Decide(g) {
+		for i, target := range Targets(g) {
 			d := g.Domains[i]
-			if g.Work > 0 && target.Count < d.Reclaimable {
+			if g.Items > 0 && target.Count < d.Reclaimable {
 				t.Fatalf("domain %d gives back engines while there is work", i)
 			}
-			if d.Lasting+target.Count > g.Most {
-				t.Fatalf("domain %d has %d and %d engines of at most %d", i, d.Lasting, target.Count, g.Most)
+			if d.OnDemand+target.Count > g.MaxPerDomain {
+				t.Fatalf("domain %d has %d and %d engines of at most %d", i, d.OnDemand, target.Count, g.MaxPerDomain)
 			}
-			engines += d.Lasting + target.Count
-			open = open || !d.Dry && d.Lasting+target.Count < g.Most
+			engines += d.OnDemand + target.Count
+			open = open || !d.OutOfCapacity && d.OnDemand+target.Count < g.MaxPerDomain
 		}
-		if open && float64(engines*g.Slots) < float64(g.Work)*slotsPerItem {
-			t.Fatalf("%d engines for %d items though domains below their maximum have capacity", engines, g.Work)
+		if open && float64(engines*g.Slots) < float64(g.Items)*slotsPerItem {
+			t.Fatalf("%d engines for %d items though domains below their maximum have capacity", engines, g.Items)
 		}
 	})
 }
@@ -101,14 +101,14 @@
 	var d Demand
 	at := timer.Instant(0).Add(time.Hour)
 	models := []string{"m", "n"}
-	is.Equal(d.Work(models, at), 0)
-	d.Asked("m", 100, at)
-	d.Asked("m", 80, at.Add(30*time.Second))
-	d.Asked("n", 50, at.Add(30*time.Second))
-	d.Asked("x", 999, at)
-	is.Equal(d.Work(models, at.Add(40*time.Second)), 150)
-	is.Equal(d.Work(models, at.Add(70*time.Second)), 130)
-	is.Equal(d.Work(models, at.Add(3*time.Minute)), 0)
+	is.Equal(d.Items(models, at), 0)
+	d.RecordStep("m", 100, at)
+	d.RecordStep("m", 80, at.Add(30*time.Second))
+	d.RecordStep("n", 50, at.Add(30*time.Second))
+	d.RecordStep("x", 999, at)
+	is.Equal(d.Items(models, at.Add(40*time.Second)), 150)
+	is.Equal(d.Items(models, at.Add(70*time.Second)), 130)
+	is.Equal(d.Items(models, at.Add(3*time.Minute)), 0)
 }
 
 // fakePlatform records orders, and refuses those to the domains in err.
@@ -128,8 +128,8 @@
 	fence uint64
 }
 
-// Fence implements Holder.
-func (h *fakeHolder) Fence() (uint64, bool) { return h.fence, h.fence != 0 }
+// FencingToken implements Holder.
+func (h *fakeHolder) FencingToken() (uint64, bool) { return h.fence, h.fence != 0 }
 
 func newOrderer() (*Orderer, *fakePlatform, *fakeHolder, *timer.Manual) {
 	clock := &timer.Manual{}
@@ -141,22 +141,22 @@
 		fence: 7,
 	}
 	config := &catalog.Holder{}
-	config.Take(catalog.Configuration{
+	config.Update(catalog.Configuration{
 		Version: 1,
 		Services: map[string]catalog.Service{"s": {
 			Name:   "s",
 			Engine: &catalog.Engine{Slots: 8, Models: []string{"m"}},
 			Scaling: &catalog.Scaling{
-				Most:     24,
-				BootTime: 4 * time.Second,
-				Prices:   map[string]float64{"a": 1, "b": 1},
+				MaxPerDomain: 24,
+				BootTime:     4 * time.Second,
+				Prices:       map[string]float64{"a": 1, "b": 1},
 			},
 		}},
 	}.WithIndex())
 	return &Orderer{
 		Holder:   h,
 		Platform: p,
-		Book:     &catalog.Book{Timer: clock},
+		Book:     &catalog.Upstreams{Timer: clock},
 		Config:   config,
 		Demand:   &Demand{},
 		Timer:    clock,
@@ -175,10 +175,10 @@
 
 // setEngines replaces the listed engines by the given numbers in each failure domain.
 func setEngines(o *Orderer, present map[string]int) {
-	var entries []catalog.Listed
+	var entries []catalog.Entry
 	for domain, n := range present {
 		for i := range n {
-			entries = append(entries, catalog.Listed{
+			entries = append(entries, catalog.Entry{
 				ID:            domain + string(rune('a'+i)),
 				Service:       "s",
 				FailureDomain: domain,
@@ -198,7 +198,7 @@
 	is := is.New(t)
 	o, p, h, clock := newOrderer()
 	is.Equal(len(reconcileFor(o, p, clock, 3)), 0) // no steps are requested
-	o.Demand.Asked("m", 64, clock.Now())
+	o.Demand.RecordStep("m", 64, clock.Now())
 	first := reconcileFor(o, p, clock, 3)
 	is.Equal(first, []Order{
 		{Service: "s", Domain: "a", Count: 5, Reclaimable: true},
@@ -219,11 +219,11 @@
 func TestOrdererReplacesReclaimedEngines(t *testing.T) {
 	is := is.New(t)
 	o, p, _, clock := newOrderer()
-	o.Demand.Asked("m", 64, clock.Now())
+	o.Demand.RecordStep("m", 64, clock.Now())
 	reconcileFor(o, p, clock, 1)
 	setEngines(o, map[string]int{"a": 5, "b": 5})
 	reconcileFor(o, p, clock, 2)
-	p.err["a"] = ErrNone
+	p.err["a"] = ErrNoCapacity
 	setEngines(o, map[string]int{"b": 5})
 	orders := reconcileFor(o, p, clock, 5)
 	is.Equal(orders, []Order{
@@ -239,7 +239,7 @@
 func TestOrdererRetriesUnconfirmedOrders(t *testing.T) {
 	is := is.New(t)
 	o, p, _, clock := newOrderer()
-	o.Demand.Asked("m", 8, clock.Now())
+	o.Demand.RecordStep("m", 8, clock.Now())
 	p.err["a"] = errors.New("lost")
 	is.Equal(len(reconcileFor(o, p, clock, 1)), 2)
 	is.Equal(len(reconcileFor(o, p, clock, 1)), 1)
@@ -253,8 +253,8 @@
 func TestOrdererCountsBootingEngines(t *testing.T) {
 	is := is.New(t)
 	o, p, _, clock := newOrderer()
-	o.Demand.Asked("m", 64, clock.Now())
-	p.err["a"] = ErrNone
+	o.Demand.RecordStep("m", 64, clock.Now())
+	p.err["a"] = ErrNoCapacity
 	is.Equal(reconcileFor(o, p, clock, 2), []Order{
 		{Service: "s", Domain: "a", Count: 5, Reclaimable: true},
 		{Service: "s", Domain: "b", Count: 5, Reclaimable: true},
--- a/internal/fleet/capacity/demand.go
+++ b/internal/fleet/capacity/demand.go
@@ -24,8 +24,8 @@
 	at    timer.Instant
 }
 
-// Asked records that a step of a model was requested.
-func (d *Demand) Asked(model string, items int, now timer.Instant) {
+// RecordStep records that a step of a model was requested.
+func (d *Demand) RecordStep(model string, items int, now timer.Instant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.steps == nil {
@@ -42,9 +42,9 @@
 	})
 }
 
-// Work returns the total number of items in the largest recent step of each of the
+// Items returns the total number of items in the largest recent step of each of the
 // models.
-func (d *Demand) Work(models []string, now timer.Instant) int {
+func (d *Demand) Items(models []string, now timer.Instant) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	work := 0
--- a/internal/fleet/capacity/doc.go
+++ b/internal/fleet/capacity/doc.go
@@ -4,14 +4,14 @@
 // Demand keeps the sizes of recent steps. Orderer observes the groups each second and
 // orders engines to reach the targets. The targets depend only on what is observed:
 //
-//	targets := capacity.Decide(capacity.Group{
-//		Slots: 8,
-//		Most:  24,
-//		Work:  640,
+//	targets := capacity.Targets(capacity.Group{
+//		Slots:        8,
+//		MaxPerDomain: 24,
+//		Items:        640,
 //		Domains: []capacity.Domain{{
-//			Name:    "gent-a",
-//			Price:   0.9,
-//			Lasting: 12,
+//			Name:     "gent-a",
+//			Price:    0.9,
+//			OnDemand: 12,
 //		}},
 //	})
 //
--- a/internal/fleet/capacity/orderer.go
+++ b/internal/fleet/capacity/orderer.go
@@ -29,8 +29,8 @@
 	bootGrace = 6 * time.Second
 )
 
-// ErrNone means that a failure domain has no engines available at the moment.
-var ErrNone = errors.New("the failure domain has no engines available at the moment")
+// ErrNoCapacity means that a failure domain has no engines available at the moment.
+var ErrNoCapacity = errors.New("the failure domain has no engines available at the moment")
 
 // Order sets the number of engines of one kind in a failure domain.
 type Order struct {
@@ -40,16 +40,16 @@
 	Reclaimable bool
 }
 
-// Platform accepts orders. After an error other than ErrNone it is unknown whether the
-// order was accepted.
+// Platform accepts orders. After an error other than ErrNoCapacity it is unknown whether
+// the order was accepted.
 type Platform interface {
 	Order(ctx context.Context, fence uint64, o Order) error
 }
 
 // Holder tells whether this instance holds the duty to give orders.
 type Holder interface {
-	// Fence returns the fencing token and whether orders may be given now.
-	Fence() (uint64, bool)
+	// FencingToken returns the fencing token and whether orders may be given now.
+	FencingToken() (uint64, bool)
 }
 
 // Orderer orders engines while this instance holds the duty. An order states the total
@@ -58,7 +58,7 @@
 type Orderer struct {
 	Holder   Holder
 	Platform Platform
-	Book     *catalog.Book
+	Book     *catalog.Upstreams
 	Config   *catalog.Holder
 	Demand   *Demand
 	Timer    timer.Service
@@ -102,7 +102,7 @@
 // Reconcile computes the targets and sends the orders that are needed to reach them. It
 // does nothing while this instance does not hold the duty.
 func (o *Orderer) Reconcile(ctx context.Context) {
-	fence, ok := o.Holder.Fence()
+	fence, ok := o.Holder.FencingToken()
 	cfg := o.Config.Current()
 	if !ok || cfg == nil {
 		o.fence = 0
@@ -123,7 +123,7 @@
 func (o *Orderer) reconcileService(ctx context.Context, s catalog.Service) {
 	now := o.Timer.Now()
 	group := o.observe(s, now)
-	for i, t := range Decide(group) {
+	for i, t := range Targets(group) {
 		st := o.domainState(s.Name, t.Domain)
 		if st.needsOrder(t.Count, group.Domains[i].Reclaimable, s.Scaling.BootTime, now) {
 			o.sendOrder(ctx, s.Name, t, group, st)
@@ -157,20 +157,20 @@
 		switch {
 		case d == nil || u.Leaving():
 		case !l.Reclaimable:
-			d.Lasting++
+			d.OnDemand++
 		default:
 			d.Reclaimable++
 		}
 	}
 	g := Group{
-		Slots: s.Engine.Slots,
-		Most:  s.Scaling.Most,
-		Work:  o.Demand.Work(s.Engine.Models, now),
+		Slots:        s.Engine.Slots,
+		MaxPerDomain: s.Scaling.MaxPerDomain,
+		Items:        o.Demand.Items(s.Engine.Models, now),
 	}
 	for _, d := range domains {
 		st := o.domainState(s.Name, d.Name)
 		st.observeCount(d.Reclaimable)
-		d.Dry = now < st.backoffUntil
+		d.OutOfCapacity = now < st.backoffUntil
 		if st.ordered && now.Sub(st.orderedAt) < s.Scaling.BootTime+bootGrace {
 			// Count booting engines: otherwise a lower target would take them
 			// back, and they would be ordered again.
@@ -221,7 +221,7 @@
 	switch {
 	case err == nil:
 		st.ordered, st.count, st.orderedAt = true, t.Count, now
-	case errors.Is(err, ErrNone):
+	case errors.Is(err, ErrNoCapacity):
 		outcome = "none_available"
 		st.ordered = false
 		st.backoffUntil = now.Add(refusalBackoff)
@@ -233,7 +233,7 @@
 		"service": service,
 		"domain":  t.Domain,
 		"count":   t.Count,
-		"work":    g.Work,
+		"work":    g.Items,
 		"slots":   g.Slots,
 		"fencing": o.fence,
 		"outcome": outcome,
--- a/internal/fleet/configuration/configuration.go
+++ b/internal/fleet/configuration/configuration.go
@@ -52,23 +52,23 @@
 
 // Deployment configures one model or service.
 type Deployment struct {
-	Name           string    `json:"name" need:"true" doc:"name that callers use"`
-	Kind           Kind      `json:"kind" need:"true" oneof:"service,model" doc:"whether upstreams are plain services or model engines"`
-	Group          string    `json:"group" need:"true" doc:"group of the upstreams in the instance list"`
-	Policy         string    `json:"policy" default:"two_choices" doc:"routing policy: two_choices, prefix_affinity, least_reported or random"`
-	SubsetSize     int       `json:"subset_size" default:"64" min:"1" max:"2000" doc:"most upstreams that one instance routes to"`
-	Slots          int       `json:"slots" default:"8" min:"1" max:"4096" doc:"requests that one upstream serves at once"`
-	QueueShare     float64   `json:"queue_share" default:"0.5" min:"0" max:"8" doc:"requests that may wait at an upstream, as a share of its slots"`
-	TimeoutMS      int64     `json:"timeout_ms" default:"30000" min:"1" max:"3600000" doc:"longest time of a request whose caller gives no deadline, in milliseconds"`
-	Attempts       int       `json:"attempts" default:"3" min:"1" max:"10" doc:"most attempts of an idempotent request"`
-	RetryShare     float64   `json:"retry_share" default:"0.1" min:"0" max:"1" doc:"retries allowed as a share of requests that succeed"`
-	EchoesAttempt  bool      `json:"echoes_attempt" default:"false" doc:"whether the upstream answers with the attempt's id; without it a connection carries one request"`
-	ChecksFencing  bool      `json:"checks_fencing" default:"false" doc:"whether the engines refuse an order with an old fencing number"`
-	MaxAnswerBytes int64     `json:"max_answer_bytes" default:"8388608" min:"1" max:"1073741824" doc:"largest answer of a service, in bytes"`
-	Shards         int       `json:"shards" default:"1" min:"1" max:"1024" doc:"leases that share the orders to engines"`
-	FetchesAtOnce  int       `json:"fetches_at_once" default:"4" min:"1" max:"10000" doc:"engines that fetch weights at the same time, over all shards"`
-	Staleness      Staleness `json:"staleness" doc:"how old a sample may be (models)"`
-	Rounds         Rounds    `json:"rounds" doc:"how steps are worked off (models)"`
+	Name                 string    `json:"name" need:"true" doc:"name that callers use"`
+	Kind                 Kind      `json:"kind" need:"true" oneof:"service,model" doc:"whether upstreams are plain services or model engines"`
+	Group                string    `json:"group" need:"true" doc:"group of the upstreams in the instance list"`
+	Policy               string    `json:"policy" default:"two_choices" doc:"routing policy: two_choices, prefix_affinity, least_reported or random"`
+	SubsetSize           int       `json:"subset_size" default:"64" min:"1" max:"2000" doc:"most upstreams that one instance routes to"`
+	Slots                int       `json:"slots" default:"8" min:"1" max:"4096" doc:"requests that one upstream serves at once"`
+	QueueShare           float64   `json:"queue_share" default:"0.5" min:"0" max:"8" doc:"requests that may wait at an upstream, as a share of its slots"`
+	TimeoutMS            int64     `json:"timeout_ms" default:"30000" min:"1" max:"3600000" doc:"longest time of a request whose caller gives no deadline, in milliseconds"`
+	Attempts             int       `json:"attempts" default:"3" min:"1" max:"10" doc:"most attempts of an idempotent request"`
+	RetryShare           float64   `json:"retry_share" default:"0.1" min:"0" max:"1" doc:"retries allowed as a share of requests that succeed"`
+	EchoesAttempt        bool      `json:"echoes_attempt" default:"false" doc:"whether the upstream answers with the attempt's id; without it a connection carries one request"`
+	ChecksFencing        bool      `json:"checks_fencing" default:"false" doc:"whether the engines refuse an order with an old fencing number"`
+	MaxAnswerBytes       int64     `json:"max_answer_bytes" default:"8388608" min:"1" max:"1073741824" doc:"largest answer of a service, in bytes"`
+	Shards               int       `json:"shards" default:"1" min:"1" max:"1024" doc:"leases that share the orders to engines"`
+	MaxConcurrentFetches int       `json:"fetches_at_once" default:"4" min:"1" max:"10000" doc:"engines that fetch weights at the same time, over all shards"`
+	Staleness            Staleness `json:"staleness" doc:"how old a sample may be (models)"`
+	Rounds               Rounds    `json:"rounds" doc:"how steps are worked off (models)"`
 }
 
 // Staleness bounds the age of samples.
@@ -79,10 +79,10 @@
 
 // Rounds configures how the steps of trainers are run.
 type Rounds struct {
-	Weighting      Weighting `json:"weighting" default:"idle_time" oneof:"idle_time,staleness" doc:"measure that goes first"`
-	DropAfterMS    int64     `json:"drop_after_ms" default:"0" min:"0" doc:"a step older than this is dropped and recorded, in milliseconds; 0 never drops"`
-	SecondAttempts float64   `json:"second_attempts" default:"0.05" min:"0" max:"1" doc:"second attempts of late samples allowed, as a share of a step's samples"`
-	AtOnce         int       `json:"at_once" default:"256" min:"1" max:"100000" doc:"most samples of one session that run at the same time"`
+	Weighting            Weighting `json:"weighting" default:"idle_time" oneof:"idle_time,staleness" doc:"measure that goes first"`
+	DropAfterMS          int64     `json:"drop_after_ms" default:"0" min:"0" doc:"a step older than this is dropped and recorded, in milliseconds; 0 never drops"`
+	SecondAttempts       float64   `json:"second_attempts" default:"0.05" min:"0" max:"1" doc:"second attempts of late samples allowed, as a share of a step's samples"`
+	MaxConcurrentSamples int       `json:"at_once" default:"256" min:"1" max:"100000" doc:"most samples of one session that run at the same time"`
 }
 
 // Caller sets the priority and the weight of one caller.
@@ -100,18 +100,18 @@
 
 // Addresses configures the answers that tell callers which instances to connect to.
 type Addresses struct {
-	Count  int   `json:"count" default:"3" min:"1" max:"16" doc:"addresses in one answer"`
-	KeepMS int64 `json:"keep_ms" default:"10000" min:"100" max:"600000" doc:"how long a caller may keep an answer, in milliseconds"`
+	Count int   `json:"count" default:"3" min:"1" max:"16" doc:"addresses in one answer"`
+	TTLMS int64 `json:"keep_ms" default:"10000" min:"100" max:"600000" doc:"how long a caller may keep an answer, in milliseconds"`
 }
 
-// Check implements setting.Checker. It reports duplicate names, invalid key
+// Validate implements setting.Validator. It reports duplicate names, invalid key
 // digests and keys that several organisations share.
-func (c *Configuration) Check(string) []setting.Fault {
-	var faults []setting.Fault
+func (c *Configuration) Validate(string) []setting.FieldError {
+	var faults []setting.FieldError
 	seen := make(map[string]bool)
 	for i, d := range c.Deployments {
 		if seen[d.Name] {
-			faults = append(faults, setting.Fault{
+			faults = append(faults, setting.FieldError{
 				Path:     fmt.Sprintf("deployments[%d].name", i),
 				Expected: "a unique name",
 				Got:      fmt.Sprintf("duplicate %q", d.Name),
@@ -125,14 +125,14 @@
 
 // checkOrganisations reports duplicate names, invalid digests and keys listed more
 // than once.
-func (c *Configuration) checkOrganisations() []setting.Fault {
-	var faults []setting.Fault
+func (c *Configuration) checkOrganisations() []setting.FieldError {
+	var faults []setting.FieldError
 	names := make(map[string]bool)
 	owners := make(map[organisation.Digest]string)
 	for i, o := range c.Organisations {
 		path := fmt.Sprintf("organisations[%d]", i)
 		if names[o.Name] {
-			faults = append(faults, setting.Fault{
+			faults = append(faults, setting.FieldError{
 				Path:     path + ".name",
 				Expected: "a unique name",
 				Got:      fmt.Sprintf("duplicate %q", o.Name),
@@ -141,7 +141,7 @@
 		}
 		names[o.Name] = true
 		for j, text := range o.KeyDigests {
-			fault := setting.Fault{
+			fault := setting.FieldError{
 				Path: fmt.Sprintf("%s.key_digests[%d]", path, j),
 			}
 			digest, err := organisation.ParseDigest(text)
@@ -166,8 +166,8 @@
 	return faults
 }
 
-// Directory returns an index of the organisations by the digests of their keys.
-func (c *Configuration) Directory() organisation.Directory {
+// OrganisationDirectory returns an index of the organisations by the digests of their keys.
+func (c *Configuration) OrganisationDirectory() organisation.Directory {
 	list := make([]organisation.Organisation, 0, len(c.Organisations))
 	for _, o := range c.Organisations {
 		entry := organisation.Organisation{
--- a/internal/fleet/configuration/document.go
+++ b/internal/fleet/configuration/document.go
@@ -56,7 +56,7 @@
 	if err := setting.Decode(d.Configuration, &d.parsed); err != nil {
 		return nil, fmt.Errorf("check configuration revision %d: %w", revision, err)
 	}
-	d.organisations = d.parsed.Directory()
+	d.organisations = d.parsed.OrganisationDirectory()
 	return d, nil
 }
 
@@ -69,9 +69,9 @@
 	return c, nil
 }
 
-// With returns a document with the given configuration and with change prepended to
+// WithChange returns a document with the given configuration and with change prepended to
 // the history of d. It has no revision until it is stored.
-func (d *Document) With(change Change, configuration []byte) *Document {
+func (d *Document) WithChange(change Change, configuration []byte) *Document {
 	history := append([]Change{change}, d.History...)
 	if len(history) > HistoryLength {
 		history = history[:HistoryLength]
@@ -82,19 +82,19 @@
 	}
 }
 
-// Bare returns a copy of the document without its history. Instances send each
+// WithoutHistory returns a copy of the document without its history. Instances send each
 // other this copy: changes are looked up only in the key-value service, and the
 // history is several times as large as the configuration.
-func (d *Document) Bare() *Document {
+func (d *Document) WithoutHistory() *Document {
 	bare := *d
 	bare.History = nil
 	return &bare
 }
 
-// Accepted returns the revision that the change with the given ID created, if the
+// AcceptedRevision returns the revision that the change with the given ID created, if the
 // history contains it. The newest change created the document's own revision; any
 // other created the parent revision of the next newer change.
-func (d *Document) Accepted(id string) (uint64, bool) {
+func (d *Document) AcceptedRevision(id string) (uint64, bool) {
 	for i, c := range d.History {
 		if c.ID != id {
 			continue
--- a/internal/fleet/configuration/document_test.go
+++ b/internal/fleet/configuration/document_test.go
@@ -15,7 +15,7 @@
 	is := is.New(t)
 	doc := &configuration.Document{}
 	for i := range configuration.HistoryLength + 10 {
-		doc = doc.With(configuration.Change{
+		doc = doc.WithChange(configuration.Change{
 			ID:       fmt.Sprintf("19acd3f0b2c-%08x", i),
 			Operator: "an",
 			Note:     "more slots for the panels",
@@ -24,7 +24,7 @@
 	}
 	whole, err := doc.Encode()
 	is.NoErr(err)
-	bare, err := doc.Bare().Encode()
+	bare, err := doc.WithoutHistory().Encode()
 	is.NoErr(err)
 	t.Logf("whole %d bytes, bare %d", len(whole), len(bare))
 	is.True(len(whole) < 1<<20) // fits the key-value service
--- a/internal/fleet/configuration/editor.go
+++ b/internal/fleet/configuration/editor.go
@@ -36,13 +36,13 @@
 	if err != nil {
 		return nil, problem.PlatformDown.With(err)
 	}
-	if rev, ok := current.Accepted(change.ID); ok {
+	if rev, ok := current.AcceptedRevision(change.ID); ok {
 		return e.applyAccepted(ctx, current, rev)
 	}
 	if current.Revision != change.Parent {
 		return nil, conflictError(change, current)
 	}
-	value, err := current.With(change, configuration).Encode()
+	value, err := current.WithChange(change, configuration).Encode()
 	if err != nil {
 		return nil, problem.BadRequest.With(err)
 	}
@@ -60,7 +60,7 @@
 		if err == nil {
 			return e.applyWritten(ctx, value, rev)
 		}
-		if errors.Is(err, keyvalue.ErrDown) && !sent {
+		if errors.Is(err, keyvalue.ErrUnavailable) && !sent {
 			return nil, problem.PlatformDown.With(err)
 		}
 		sent = sent || !errors.Is(err, keyvalue.ErrConflict)
@@ -81,7 +81,7 @@
 	if err != nil || current.Revision < change.Parent {
 		return nil, false, nil
 	}
-	if rev, ok := current.Accepted(change.ID); ok {
+	if rev, ok := current.AcceptedRevision(change.ID); ok {
 		doc, err := e.applyAccepted(ctx, current, rev)
 		return doc, true, err
 	}
@@ -91,14 +91,14 @@
 	return nil, true, conflictError(change, current)
 }
 
-// Find returns the revision that a change created. It fails with ChangeUnknown if the
+// FindChange returns the revision that a change created. It fails with ChangeUnknown if the
 // change may still take effect, and with Conflict if it no longer can.
-func (e *Editor) Find(ctx context.Context, change Change) (uint64, error) {
+func (e *Editor) FindChange(ctx context.Context, change Change) (uint64, error) {
 	current, err := e.readStored(ctx)
 	if err != nil {
 		return 0, problem.ChangeUnknown.With(err)
 	}
-	if rev, ok := current.Accepted(change.ID); ok {
+	if rev, ok := current.AcceptedRevision(change.ID); ok {
 		return rev, nil
 	}
 	// At or below the parent revision the outcome is open: the write may still
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, problem.Internal.With(err)
 	}
-	e.Holder.Take(doc)
+	e.Holder.Update(doc)
 	if e.Push != nil {
 		e.Push(ctx, doc)
 	}
@@ -135,7 +135,7 @@
 // copy with the revision of a change in its history. Later changes may follow that
 // one, so the two revisions can differ.
 func (e *Editor) applyAccepted(ctx context.Context, current *Document, rev uint64) (*Document, error) {
-	e.Holder.Take(current)
+	e.Holder.Update(current)
 	if e.Push != nil {
 		e.Push(ctx, current)
 	}
--- a/internal/fleet/configuration/follow.go
+++ b/internal/fleet/configuration/follow.go
@@ -84,7 +84,7 @@
 	if d == nil || d.Revision <= args.Above {
 		return nil
 	}
-	value, err := d.Bare().Encode()
+	value, err := d.WithoutHistory().Encode()
 	reply.Revision = d.Revision
 	reply.Value = value
 	return err
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	r.Holder.Take(d)
+	r.Holder.Update(d)
 	return nil
 }
 
@@ -110,7 +110,7 @@
 		changed := f.Table.State.Changed(gossip.KindConfiguration)
 		if f.Holder.Revision() == 0 {
 			f.fetchFirst(ctx, f.Timer.Now().Sub(started) > peersOnlyTime)
-		} else if f.Holder.Told() > f.Holder.Revision() {
+		} else if f.Holder.GossipedRevision() > f.Holder.Revision() {
 			f.fetchFromPeers(ctx)
 		}
 		select {
@@ -212,15 +212,15 @@
 	d, err := Decode(value, revision)
 	if err != nil {
 		if f.lastUndecodable.Swap(revision) != revision {
-			f.Journal.Trouble("configuration_not_understood", err, log.Fields{
+			f.Journal.Warn("configuration_not_understood", err, log.Fields{
 				"revision":       revision,
 				"in_force_still": f.Holder.Revision(),
 			})
 		}
 		return
 	}
-	if f.Holder.Take(d) {
-		f.Journal.Event("configuration_in_force", log.Fields{
+	if f.Holder.Update(d) {
+		f.Journal.Info("configuration_in_force", log.Fields{
 			"revision": revision,
 			"source":   source,
 		})
@@ -231,7 +231,7 @@
 // answers. The accepted change then survives if this instance and the key-value
 // service fail right after it.
 func (f *Follower) Push(ctx context.Context, d *Document) {
-	value, err := d.Bare().Encode()
+	value, err := d.WithoutHistory().Encode()
 	if err != nil {
 		return
 	}
--- a/internal/fleet/configuration/holder.go
+++ b/internal/fleet/configuration/holder.go
@@ -32,10 +32,10 @@
 	return 0
 }
 
-// Take puts d in force and reports true, unless the same or a newer revision is
+// Update puts d in force and reports true, unless the same or a newer revision is
 // already in force. After an outage the key-value service may answer with an older
 // revision; applying it would undo a change that an operator was told is accepted.
-func (h *Holder) Take(d *Document) bool {
+func (h *Holder) Update(d *Document) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if old := h.current.Load(); old != nil && old.Revision >= d.Revision {
@@ -68,8 +68,8 @@
 	return h.changed
 }
 
-// Told returns the highest revision announced by gossip.
-func (h *Holder) Told() uint64 {
+// GossipedRevision returns the highest revision announced by gossip.
+func (h *Holder) GossipedRevision() uint64 {
 	if h.State == nil {
 		return 0
 	}
--- a/internal/fleet/configuration/part.go
+++ b/internal/fleet/configuration/part.go
@@ -27,20 +27,20 @@
 
 func makePart(h *part.Host) (part.Part, error) {
 	holder := &Holder{
-		State: part.Get[*gossip.State](h),
+		State: part.MustGet[*gossip.State](h),
 	}
 	follower := &Follower{
 		Holder:  holder,
-		Store:   part.Get[keyvalue.Store](h),
-		Table:   part.Get[*member.Table](h),
-		Client:  part.Get[*peer.Client](h),
+		Store:   part.MustGet[keyvalue.Store](h),
+		Table:   part.MustGet[*member.Table](h),
+		Client:  part.MustGet[*peer.Client](h),
 		Timer:   h.Timer,
 		Journal: h.Journal,
 		Rand:    rand.New(rand.NewPCG(h.Settings.Seed, 2)),
 		Seeds:   h.Settings.Peers,
 	}
-	part.Put(h, holder)
-	part.Put(h, &Editor{
+	part.Provide(h, holder)
+	part.Provide(h, &Editor{
 		Store:  follower.Store,
 		Holder: holder,
 		Timer:  h.Timer,
@@ -52,7 +52,7 @@
 	}, func() float64 { return float64(holder.Revision()) }))
 	return &configurationPart{
 			follower: follower,
-		}, part.Get[*peer.Server](h).Register("Configuration", &Receiver{
+		}, part.MustGet[*peer.Server](h).Register("Configuration", &Receiver{
 			Holder: holder,
 		})
 }
--- a/internal/fleet/configuration/proof_test.go
+++ b/internal/fleet/configuration/proof_test.go
@@ -13,7 +13,7 @@
 	"github.com/egretbend/egretbend/internal/kernel/problem"
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
-	"github.com/egretbend/egretbend/internal/standin/proof"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
 // mutations are faults that the tests inject into the code under test, one at a time.
@@ -36,7 +36,7 @@
 func (s *store) Get(context.Context, string) (keyvalue.Item, error) {
 	switch {
 	case s.fault == "down":
-		return keyvalue.Item{}, keyvalue.ErrDown
+		return keyvalue.Item{}, keyvalue.ErrUnavailable
 	case s.fault == "stale" && s.previous.Revision > 0:
 		return s.previous, nil
 	case s.item.Revision == 0:
@@ -55,15 +55,15 @@
 	switch fault {
 	case "down":
 		s.fault = "down"
-		return 0, keyvalue.ErrDown
+		return 0, keyvalue.ErrUnavailable
 	case "lost_before":
-		return 0, keyvalue.ErrLost
+		return 0, keyvalue.ErrOutcomeUnknown
 	case "late":
 		s.delayed = append(s.delayed, func() { _, _ = s.apply(key, value, expect) })
-		return 0, keyvalue.ErrLost
+		return 0, keyvalue.ErrOutcomeUnknown
 	case "lost_after":
 		_, _ = s.apply(key, value, expect)
-		return 0, keyvalue.ErrLost
+		return 0, keyvalue.ErrOutcomeUnknown
 	}
 	return s.apply(key, value, expect)
 }
@@ -89,13 +89,15 @@
 }
 
 // Grant implements keyvalue.Store.
-func (s *store) Grant(context.Context, time.Duration) (uint64, error) { return 0, keyvalue.ErrDown }
+func (s *store) Grant(context.Context, time.Duration) (uint64, error) {
+	return 0, keyvalue.ErrUnavailable
+}
 
 // KeepAlive implements keyvalue.Store.
-func (s *store) KeepAlive(context.Context, uint64) error { return keyvalue.ErrDown }
+func (s *store) KeepAlive(context.Context, uint64) error { return keyvalue.ErrUnavailable }
 
 // Revoke implements keyvalue.Store.
-func (s *store) Revoke(context.Context, uint64) error { return keyvalue.ErrDown }
+func (s *store) Revoke(context.Context, uint64) error { return keyvalue.ErrUnavailable }
 
 func configurationJSON(team string) []byte {
 	return fmt.Appendf(nil, `{"format": 1, "team": %q, "deployments": []}`, team)
@@ -179,7 +181,7 @@
 		return
 	}
 	change := w.unresolved[pick%len(w.unresolved)]
-	_, err := w.editor(i).Find(context.Background(), change)
+	_, err := w.editor(i).FindChange(context.Background(), change)
 	outcome := "accepted"
 	if err != nil {
 		outcome = string(problem.From(err).Kind.Outcome)
@@ -202,13 +204,13 @@
 	if w.mutated.takeOlder {
 		w.holders[i] = &configuration.Holder{}
 	}
-	w.holders[i].Take(doc)
+	w.holders[i].Update(doc)
 }
 
 // fetchFromPeer lets an instance apply the document of another one.
 func (w *simulation) fetchFromPeer(to, from int) {
 	if d := w.holders[from].Current(); d != nil {
-		w.holders[to].Take(d)
+		w.holders[to].Update(d)
 	}
 }
 
@@ -229,7 +231,7 @@
 		w.t.Fatalf("decode: %v", err)
 	}
 	for id, reported := range w.reported {
-		_, in := doc.Accepted(id)
+		_, in := doc.AcceptedRevision(id)
 		if reported == "accepted" && !in {
 			w.t.Fatalf("change %s was reported accepted, but is not in the history", id)
 		}
@@ -305,13 +307,13 @@
 // make concurrent changes while the key-value service is down, answers with an older
 // revision, applies a write late or loses its answer.
 func TestReportedOutcomesAreTrueAndRevisionsOnlyRise(t *testing.T) {
-	proof.CheckN(t, 400, simulate(mutations{}))
+	property.CheckN(t, 400, simulate(mutations{}))
 }
 
 // Checks that the invariants detect an editor that reports a lost answer as a refusal:
 // the change may be in force.
 func TestRefuteLostAnswerReportedAsRefusal(t *testing.T) {
-	proof.Refute(t, simulate(mutations{
+	property.CheckFails(t, simulate(mutations{
 		lostAsRefused: true,
 	}))
 }
@@ -319,7 +321,7 @@
 // Checks that the invariants detect an instance that applies an older revision, which
 // the service may answer with after an outage, and so undoes an accepted change.
 func TestRefuteHolderThatTakesOlderRevision(t *testing.T) {
-	proof.Refute(t, simulate(mutations{
+	property.CheckFails(t, simulate(mutations{
 		takeOlder: true,
 	}))
 }
--- a/internal/fleet/confirmation/keeper.go
+++ b/internal/fleet/confirmation/keeper.go
@@ -47,30 +47,30 @@
 
 // Source reads from the key-value service without waiting for changes.
 type Source interface {
-	// Changes returns the changes below prefix after a revision, and the revision up to
+	// ChangesSince returns the changes below prefix after a revision, and the revision up to
 	// which they are complete.
-	Changes(ctx context.Context, prefix string, after uint64) ([]keyvalue.Change, uint64, error)
+	ChangesSince(ctx context.Context, prefix string, after uint64) ([]keyvalue.Change, uint64, error)
 	Get(ctx context.Context, key string) (keyvalue.Item, error)
 }
 
-// Keeper keeps a Record up to date: it confirms regularly that the configuration in
+// Confirmer keeps a Record up to date: it confirms regularly that the configuration in
 // force is the newest one.
-type Keeper struct {
+type Confirmer struct {
 	Record *Record
 	Source Source
 	// Key is the key of the configuration in the key-value service.
 	Key string
-	// Held returns the revision of the configuration in force.
-	Held func() uint64
-	// Take puts newer configurations in force.
-	Take func([]keyvalue.Change)
+	// HeldRevision returns the revision of the configuration in force.
+	HeldRevision func() uint64
+	// Apply puts newer configurations in force.
+	Apply func([]keyvalue.Change)
 	// Needed reports whether anything depends on confirmations.
 	Needed func() bool
-	// Relays reports whether other instances get their confirmations from this one.
-	Relays func() bool
-	// Confirmed is called after each confirmation with its instant and the confirmed
+	// IsRelay reports whether other instances get their confirmations from this one.
+	IsRelay func() bool
+	// OnConfirm is called after each confirmation with its instant and the confirmed
 	// revision. It may be nil.
-	Confirmed func(at timer.Instant, revision uint64)
+	OnConfirm func(at timer.Instant, revision uint64)
 	Timer     timer.Service
 	Journal   *journal.Journal
 
@@ -90,14 +90,14 @@
 }
 
 // Run keeps the configuration confirmed until t dies.
-func (k *Keeper) Run(t *tomb.Tomb) error {
+func (k *Confirmer) Run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
 	var b backoff
 	for timer.Wait(k.Timer, k.checkDelay(), t.Dying()) {
 		now := k.Timer.Now()
 		if k.due(now) && now >= b.until {
 			err := k.Confirm(ctx)
-			b = b.next(err, k.Timer.Now(), k.Relays())
+			b = b.next(err, k.Timer.Now(), k.IsRelay())
 		}
 	}
 	return nil
@@ -105,9 +105,9 @@
 
 // checkDelay returns the time until the next check. It is short before the first
 // confirmation if one is or may become needed.
-func (k *Keeper) checkDelay() time.Duration {
+func (k *Confirmer) checkDelay() time.Duration {
 	_, confirmed := k.Record.Age(k.Timer.Now())
-	if !confirmed && (k.Held() == 0 || k.Needed()) {
+	if !confirmed && (k.HeldRevision() == 0 || k.Needed()) {
 		return startupCheckInterval
 	}
 	return checkInterval
@@ -134,8 +134,8 @@
 }
 
 // due reports whether this instance should confirm by itself now.
-func (k *Keeper) due(now timer.Instant) bool {
-	if !k.Needed() || k.Held() == 0 {
+func (k *Confirmer) due(now timer.Instant) bool {
+	if !k.Needed() || k.HeldRevision() == 0 {
 		return false
 	}
 	if k.heldSince == 0 {
@@ -143,18 +143,18 @@
 	}
 	age, ok := k.Record.Age(now)
 	switch {
-	case !ok && !k.Relays():
+	case !ok && !k.IsRelay():
 		return now.Sub(k.heldSince) >= firstConfirmDelay
 	case !ok:
 		return true
-	case k.Relays():
+	case k.IsRelay():
 		return age >= relayConfirmAge
 	}
 	return age >= followerConfirmAge
 }
 
 // Confirm confirms the configuration with the key-value service now.
-func (k *Keeper) Confirm(ctx context.Context) error {
+func (k *Confirmer) Confirm(ctx context.Context) error {
 	k.confirming.Lock()
 	defer k.confirming.Unlock()
 	err := k.confirmLocked(ctx)
@@ -165,12 +165,12 @@
 // confirmLocked reads the changes since the configuration in force and applies them.
 // The confirmation counts from the start of the call, as the answer describes that
 // instant or a later one. The caller holds confirming.
-func (k *Keeper) confirmLocked(ctx context.Context) error {
+func (k *Confirmer) confirmLocked(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	k.checkedRevision = max(k.checkedRevision, k.Held())
+	k.checkedRevision = max(k.checkedRevision, k.HeldRevision())
 	started := k.Timer.Now()
-	changes, checkedRevision, err := k.Source.Changes(ctx, k.Key, k.checkedRevision)
+	changes, checkedRevision, err := k.Source.ChangesSince(ctx, k.Key, k.checkedRevision)
 	if errors.Is(err, keyvalue.ErrCompacted) {
 		changes, checkedRevision, err = k.readCurrent(ctx)
 	}
@@ -178,18 +178,18 @@
 		return err
 	}
 	if len(changes) > 0 {
-		k.Take(changes)
+		k.Apply(changes)
 	}
 	for _, c := range changes {
-		if c.Key == k.Key && !c.Removed && c.Revision > k.Held() {
+		if c.Key == k.Key && !c.Removed && c.Revision > k.HeldRevision() {
 			// A configuration that could not be put in force must not count as current.
 			return errNotApplied
 		}
 	}
 	k.checkedRevision = max(k.checkedRevision, checkedRevision)
 	k.Record.Confirm(started)
-	if k.Confirmed != nil {
-		k.Confirmed(started, k.Held())
+	if k.OnConfirm != nil {
+		k.OnConfirm(started, k.HeldRevision())
 	}
 	return nil
 }
@@ -198,7 +198,7 @@
 
 // readCurrent reads the configuration itself when the service no longer has the
 // changes.
-func (k *Keeper) readCurrent(ctx context.Context) ([]keyvalue.Change, uint64, error) {
+func (k *Confirmer) readCurrent(ctx context.Context) ([]keyvalue.Change, uint64, error) {
 	item, err := k.Source.Get(ctx, k.Key)
 	if err != nil {
 		return nil, 0, err
@@ -208,7 +208,7 @@
 
 // Refresh confirms the configuration for a request with an unknown key, unless a
 // Refresh did so within minRefreshInterval or a confirmation is in progress.
-func (k *Keeper) Refresh(ctx context.Context) {
+func (k *Confirmer) Refresh(ctx context.Context) {
 	now := k.Timer.Now()
 	k.mu.Lock()
 	recent := k.lastRefresh != 0 && now.Sub(k.lastRefresh) < minRefreshInterval
@@ -225,16 +225,16 @@
 	k.logTransition(k.confirmLocked(ctx))
 }
 
-// Accept records the confirmation of another instance that a revision was current at an
+// AcceptRemote records the confirmation of another instance that a revision was current at an
 // instant. It is ignored if the configuration in force is older than that revision.
-func (k *Keeper) Accept(at timer.Instant, revision uint64) {
-	if k.Held() >= revision {
+func (k *Confirmer) AcceptRemote(at timer.Instant, revision uint64) {
+	if k.HeldRevision() >= revision {
 		k.Record.Confirm(at)
 	}
 }
 
 // logTransition logs when confirmations start to fail and when they succeed again.
-func (k *Keeper) logTransition(err error) {
+func (k *Confirmer) logTransition(err error) {
 	k.mu.Lock()
 	wasFailing := k.failing
 	k.failing = err != nil
@@ -244,12 +244,12 @@
 	}
 	age, _ := k.Record.Age(k.Timer.Now())
 	fields := log.Fields{
-		"revision": k.Held(),
+		"revision": k.HeldRevision(),
 		"age_ms":   age.Milliseconds(),
 	}
 	if err != nil {
-		k.Journal.Trouble("configuration not confirmed", err, fields)
+		k.Journal.Warn("configuration not confirmed", err, fields)
 		return
 	}
-	k.Journal.Event("configuration confirmed", fields)
+	k.Journal.Info("configuration confirmed", fields)
 }
--- a/internal/fleet/confirmation/keeper_test.go
+++ b/internal/fleet/confirmation/keeper_test.go
@@ -10,26 +10,26 @@
 
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
-	"github.com/egretbend/egretbend/internal/standin/space"
+	"github.com/egretbend/egretbend/internal/standin/memorystore"
 )
 
-// spaceSource is a Source on a space.Space. It does not wait for changes.
+// spaceSource is a Source on a memorystore.Store. It does not wait for changes.
 type spaceSource struct {
-	*space.Space
+	*memorystore.Store
 }
 
-// Changes implements Source.
-func (a spaceSource) Changes(ctx context.Context, prefix string, after uint64) ([]keyvalue.Change, uint64, error) {
+// ChangesSince implements Source.
+func (a spaceSource) ChangesSince(ctx context.Context, prefix string, after uint64) ([]keyvalue.Change, uint64, error) {
 	return a.Watch(ctx, prefix, after, 0)
 }
 
-// fixture is a Keeper with a key-value service of its own.
+// fixture is a Confirmer with a key-value service of its own.
 type fixture struct {
-	Keeper
+	Confirmer
 	clock        *timer.Manual
-	store        *space.Space
+	store        *memorystore.Store
 	heldRevision uint64
-	fault        space.Fault
+	fault        memorystore.Fault
 }
 
 const key = "configuration"
@@ -40,19 +40,19 @@
 	}
 	d.clock.Advance(time.Hour)
 	t.Cleanup(d.clock.Run(0, time.Millisecond))
-	d.store = &space.Space{
+	d.store = &memorystore.Store{
 		Timer: d.clock,
-		Fault: func(space.Call) space.Fault { return d.fault },
+		Fault: func(memorystore.Operation) memorystore.Fault { return d.fault },
 	}
-	d.Keeper = Keeper{
-		Record: &Record{},
-		Source: spaceSource{d.store},
-		Key:    key,
-		Held:   func() uint64 { return d.heldRevision },
-		Take:   func(changes []keyvalue.Change) { d.heldRevision = changes[len(changes)-1].Revision },
-		Needed: func() bool { return true },
-		Relays: func() bool { return true },
-		Timer:  d.clock,
+	d.Confirmer = Confirmer{
+		Record:       &Record{},
+		Source:       spaceSource{d.store},
+		Key:          key,
+		HeldRevision: func() uint64 { return d.heldRevision },
+		Apply:        func(changes []keyvalue.Change) { d.heldRevision = changes[len(changes)-1].Revision },
+		Needed:       func() bool { return true },
+		IsRelay:      func() bool { return true },
+		Timer:        d.clock,
 	}
 	return d
 }
@@ -86,7 +86,7 @@
 	is := is.New(t)
 	d := newFixture(t)
 	d.heldRevision = d.putConfiguration(is)
-	d.Take = func([]keyvalue.Change) {}
+	d.Apply = func([]keyvalue.Change) {}
 	d.putConfiguration(is)
 	is.True(d.Confirm(context.Background()) != nil)
 	_, ok := d.Record.Age(d.clock.Now())
@@ -99,9 +99,9 @@
 	is := is.New(t)
 	d := newFixture(t)
 	d.heldRevision = 4
-	d.Accept(d.clock.Now(), 5)
+	d.AcceptRemote(d.clock.Now(), 5)
 	is.True(!d.Record.Within(d.clock.Now(), time.Second))
-	d.Accept(d.clock.Now(), 4)
+	d.AcceptRemote(d.clock.Now(), 4)
 	is.True(d.Record.Within(d.clock.Now(), time.Second))
 }
 
@@ -115,7 +115,7 @@
 		d.Refresh(context.Background())
 		d.clock.Advance(4 * time.Millisecond)
 	}
-	is.True(d.store.Calls(space.Watch) <= 3)
+	is.True(d.store.CallCount(memorystore.Watch) <= 3)
 }
 
 // Guards against a follower that calls the key-value service at each check while it is
@@ -123,7 +123,7 @@
 func TestFollowerBacksOffDuringOutage(t *testing.T) {
 	is := is.New(t)
 	d := newFixture(t)
-	d.Relays = func() bool { return false }
+	d.IsRelay = func() bool { return false }
 	var b backoff
 	asked := 0
 	for second := range 12 {
@@ -152,7 +152,7 @@
 	began := d.clock.Now()
 	stop := d.clock.Run(10*time.Millisecond, time.Millisecond)
 	defer stop()
-	is.True(timer.Until(timer.Real{}, time.Millisecond, 10*time.Second, nil, func() bool {
+	is.True(timer.Poll(timer.Real{}, time.Millisecond, 10*time.Second, nil, func() bool {
 		_, ok := d.Record.Age(d.clock.Now())
 		return ok
 	}))
--- a/internal/fleet/bulletin/board.go
+++ b/internal/fleet/crashnotice/board.go
@@ -1,4 +1,4 @@
-package bulletin
+package crashnotice
 
 import (
 	"context"
@@ -14,20 +14,20 @@
 	"github.com/egretbend/egretbend/internal/kernel/wake"
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 	"github.com/egretbend/egretbend/internal/route/fingerprint"
-	"github.com/egretbend/egretbend/internal/route/suspect"
+	"github.com/egretbend/egretbend/internal/route/poison"
 )
 
 // Secret provides the secret of the fleet, with which fingerprints are made.
 type Secret interface {
-	// Known returns the secret, or nil while it is not known.
-	Known() []byte
+	// Value returns the secret, or nil while it is not known.
+	Value() []byte
 }
 
-// Poster publishes the notices of this instance to all others.
-type Poster interface {
-	// Post replaces the published notices.
-	Post(ctx context.Context, value []byte) error
-	// Renew keeps the notices of the last Post from expiring.
+// Publisher publishes the notices of this instance to all others.
+type Publisher interface {
+	// Publish replaces the published notices.
+	Publish(ctx context.Context, value []byte) error
+	// Renew keeps the notices of the last Publish from expiring.
 	Renew(ctx context.Context) error
 }
 
@@ -35,17 +35,17 @@
 // instance has seen.
 type Board struct {
 	Secret Secret
-	Poster Poster
+	Poster Publisher
 	// Key is the key of the notices of this incarnation of the instance.
 	Key string
-	// Instances returns the number of instances.
-	Instances func() int
-	// Chosen reports whether this instance runs the trials of a convicted request. Nil
+	// InstanceCount returns the number of instances.
+	InstanceCount func() int
+	// RunsTrial reports whether this instance runs the trials of a convicted request. Nil
 	// means never.
-	Chosen  func(p fingerprint.Print) bool
-	Timer   timer.Service
-	Journal *journal.Journal
-	Metrics *Metrics
+	RunsTrial func(p fingerprint.Fingerprint) bool
+	Timer     timer.Service
+	Journal   *journal.Journal
+	Metrics   *Metrics
 
 	// hasEvidence is set while there is evidence. Otherwise a request costs no more than
 	// this check.
@@ -53,27 +53,27 @@
 	wake        wake.Signal
 
 	mu       sync.Mutex
-	evidence suspect.Evidence
+	evidence poison.Tracker
 	// own holds the notices of this instance, in the order in which they were added.
 	own []notice
 	// keyOutdated is set when the published value holds notices that own no longer has.
 	keyOutdated bool
 	// trials holds the start of the last trial of each convicted request at this instance.
-	trials map[fingerprint.Print]timer.Instant
+	trials map[fingerprint.Fingerprint]timer.Instant
 	// limiter bounds the rate of writes.
 	limiter writeLimiter
 }
 
 // Judge returns the verdict on a request. sum is called only if there is evidence.
-func (b *Board) Judge(sum func() fingerprint.Sum) suspect.Verdict {
+func (b *Board) Judge(sum func() fingerprint.Digest) poison.Verdict {
 	if !b.hasEvidence.Load() {
-		return suspect.Verdict{}
+		return poison.Verdict{}
 	}
-	secret := b.Secret.Known()
+	secret := b.Secret.Value()
 	if secret == nil {
-		return suspect.Verdict{}
+		return poison.Verdict{}
 	}
-	print := sum().Under(secret)
+	print := sum().Keyed(secret)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Timer.Now()
@@ -94,20 +94,20 @@
 
 // allowTrial reports whether this instance may run a convicted request once, to see whether
 // upstreams still crash, and records the trial. b.mu must be held.
-func (b *Board) allowTrial(p fingerprint.Print, now timer.Instant) bool {
-	if at, ok := b.trials[p]; ok && now.Sub(at) < trialInterval || b.Chosen == nil || !b.Chosen(p) {
+func (b *Board) allowTrial(p fingerprint.Fingerprint, now timer.Instant) bool {
+	if at, ok := b.trials[p]; ok && now.Sub(at) < trialInterval || b.RunsTrial == nil || !b.RunsTrial(p) {
 		return false
 	}
 	if b.trials == nil {
-		b.trials = make(map[fingerprint.Print]timer.Instant)
+		b.trials = make(map[fingerprint.Fingerprint]timer.Instant)
 	}
 	b.trials[p] = now
 	return true
 }
 
-// Ended records that an upstream ended while it ran a request, and returns the new
+// RecordCrash records that an upstream ended while it ran a request, and returns the new
 // verdict on the request.
-func (b *Board) Ended(c suspect.Crash) suspect.Verdict {
+func (b *Board) RecordCrash(c poison.Crash) poison.Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Timer.Now()
@@ -115,30 +115,30 @@
 		b.addOwn(notice{
 			Print:    c.Print,
 			Upstream: c.Incarnation,
-			Row:      c.Row,
+			Row:      c.Consecutive,
 			at:       c.At,
 		})
 		b.updateHasEvidence()
 	}
-	b.Metrics.setKnown(b.evidence.Len(), b.evidence.Guilty())
+	b.Metrics.setKnown(b.evidence.Len(), b.evidence.PoisonCount())
 	return b.evidence.Judge(c.Print, now)
 }
 
-// Answered records that a request was answered, which clears it. sum is called only if
+// RecordAnswer records that a request was answered, which clears it. sum is called only if
 // there is evidence.
-func (b *Board) Answered(sum func() fingerprint.Sum) {
+func (b *Board) RecordAnswer(sum func() fingerprint.Digest) {
 	if !b.hasEvidence.Load() {
 		return
 	}
-	secret := b.Secret.Known()
+	secret := b.Secret.Value()
 	if secret == nil {
 		return
 	}
-	print := sum().Under(secret)
+	print := sum().Keyed(secret)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Timer.Now()
-	crashes := b.evidence.Ends(print)
+	crashes := b.evidence.CrashCount(print)
 	if crashes == 0 {
 		return
 	}
@@ -174,8 +174,8 @@
 // updateHasEvidence sets hasEvidence from the evidence. b.mu must be held.
 func (b *Board) updateHasEvidence() { b.hasEvidence.Store(!b.evidence.Empty()) }
 
-// Take applies changes of the keys of all instances.
-func (b *Board) Take(changes []keyvalue.Change) {
+// Apply applies changes of the keys of all instances.
+func (b *Board) Apply(changes []keyvalue.Change) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Timer.Now()
@@ -190,7 +190,7 @@
 		}
 		notices, err := decode(c.Value, now)
 		if err != nil {
-			b.Journal.Trouble("cannot decode notices of crashes", err, log.Fields{
+			b.Journal.Warn("cannot decode notices of crashes", err, log.Fields{
 				"key": c.Key,
 			})
 			continue
--- a/internal/fleet/bulletin/board_test.go
+++ b/internal/fleet/crashnotice/board_test.go
@@ -1,4 +1,4 @@
-package bulletin
+package crashnotice
 
 import (
 	"context"
@@ -15,14 +15,14 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 	"github.com/egretbend/egretbend/internal/route/crash"
 	"github.com/egretbend/egretbend/internal/route/fingerprint"
-	"github.com/egretbend/egretbend/internal/route/suspect"
-	"github.com/egretbend/egretbend/internal/standin/space"
+	"github.com/egretbend/egretbend/internal/route/poison"
+	"github.com/egretbend/egretbend/internal/standin/memorystore"
 )
 
 // boardFixture holds a store for several boards, with a clock of its own.
 type boardFixture struct {
 	clock *timer.Manual
-	store *space.Space
+	store *memorystore.Store
 }
 
 func newBoardFixture() *boardFixture {
@@ -30,7 +30,7 @@
 		clock: &timer.Manual{},
 	}
 	d.clock.Advance(time.Hour)
-	d.store = &space.Space{
+	d.store = &memorystore.Store{
 		Timer: d.clock,
 	}
 	return d
@@ -40,45 +40,47 @@
 	return &Board{
 		Secret: fixedSecret{},
 		Key:    key,
-		Poster: &Key{
-			Space: d.store,
+		Poster: &KeyPublisher{
+			Store: d.store,
 			Name:  key,
 			Timer: d.clock,
 		},
-		Instances: func() int { return 20 },
-		Timer:     d.clock,
+		InstanceCount: func() int { return 20 },
+		Timer:         d.clock,
 	}
 }
 
-func sumOf(body string) fingerprint.Sum { return fingerprint.Of(fingerprint.Parts{Body: []byte(body)}) }
+func sumOf(body string) fingerprint.Digest {
+	return fingerprint.DigestOf(fingerprint.Parts{Body: []byte(body)})
+}
 
 // crashUpstreams records that n upstreams ended while they ran a request, one after the
 // other. Their incarnations are numbered starting with from.
 func (d *boardFixture) crashUpstreams(b *Board, body string, from, n int) {
 	for i := range n {
 		d.clock.Advance(time.Millisecond)
-		b.Ended(suspect.Crash{
+		b.RecordCrash(poison.Crash{
 			Incarnation: crash.IncarnationOf("u", uint64(from+i)),
-			Print:       sumOf(body).Under(fixedSecret{}.Known()),
+			Print:       sumOf(body).Keyed(fixedSecret{}.Value()),
 			At:          d.clock.Now(),
-			Row:         judge(b, body).Crashes + 1,
+			Consecutive: judge(b, body).Crashes + 1,
 		})
 	}
 }
 
 // answer records that a request was answered.
-func answer(b *Board, body string) { b.Answered(func() fingerprint.Sum { return sumOf(body) }) }
+func answer(b *Board, body string) { b.RecordAnswer(func() fingerprint.Digest { return sumOf(body) }) }
 
 // judge returns the verdict of a board on a request.
-func judge(b *Board, body string) suspect.Verdict {
-	return b.Judge(func() fingerprint.Sum { return sumOf(body) })
+func judge(b *Board, body string) poison.Verdict {
+	return b.Judge(func() fingerprint.Digest { return sumOf(body) })
 }
 
 // deliver passes the published notices of one board to another one.
 func (d *boardFixture) deliver(is *is.I, from, to *Board) {
 	item, err := d.store.Get(context.Background(), from.Key)
 	is.NoErr(err)
-	to.Take([]keyvalue.Change{{Item: item}})
+	to.Apply([]keyvalue.Change{{Item: item}})
 }
 
 // Guards against instances that count only the crashes that they have seen themselves.
@@ -91,11 +93,11 @@
 	d.deliver(is, a, b)
 	d.crashUpstreams(b, "deadly", 2, 2)
 	is.NoErr(b.post(context.Background()))
-	is.True(!judge(c, "deadly").Refused())
+	is.True(!judge(c, "deadly").Quarantined())
 	d.deliver(is, a, c)
 	d.deliver(is, b, c)
-	is.True(judge(c, "deadly").Refused())
-	is.True(!judge(c, "another").Suspects())
+	is.True(judge(c, "deadly").Quarantined())
+	is.True(!judge(c, "another").Suspected())
 	d.deliver(is, b, c) // the same notices again add nothing
 	is.Equal(judge(c, "deadly").Crashes, 4)
 }
@@ -122,9 +124,9 @@
 	is.True(b.hasUnpublished())
 	is.NoErr(b.post(context.Background()))
 	d.deliver(is, b, a)
-	is.True(!judge(a, "plain").Suspects())
+	is.True(!judge(a, "plain").Suspected())
 	d.deliver(is, a, b) // the old notice is ignored
-	is.True(!judge(b, "plain").Suspects())
+	is.True(!judge(b, "plain").Suspected())
 }
 
 // Guards against notices that are lost with the instance that published them, or with a
@@ -137,11 +139,11 @@
 	is.NoErr(a.post(context.Background()))
 	d.deliver(is, a, b)
 	gone := keyvalue.Change{Item: keyvalue.Item{Key: "a"}, Removed: true}
-	b.Take([]keyvalue.Change{gone})
-	is.True(judge(b, "deadly").Refused())
+	b.Apply([]keyvalue.Change{gone})
+	is.True(judge(b, "deadly").Quarantined())
 	is.True(!a.hasUnpublished())
-	d.store.Lapse(a.Poster.(*Key).lease)
-	a.Take([]keyvalue.Change{gone})
+	d.store.ExpireLease(a.Poster.(*KeyPublisher).lease)
+	a.Apply([]keyvalue.Change{gone})
 	is.True(a.hasUnpublished())
 	is.True(a.post(context.Background()) != nil) // fails because the lease has expired
 	is.NoErr(a.post(context.Background()))
@@ -168,7 +170,7 @@
 	is.True(!a.hasUnpublished())
 	started := d.board("c")
 	d.deliver(is, a, started)
-	is.True(!judge(started, "popular").Suspects())
+	is.True(!judge(started, "popular").Suspected())
 }
 
 // Guards against a flood of different requests that crash upstreams and fill the memory,
@@ -191,7 +193,7 @@
 	each := 20 * writePausePerInstance // at twenty instances
 	is.True(calls <= int(d.clock.Now().Sub(begun)/each)+writeBurst+1)
 	is.True(len(a.own) <= maxNotices)
-	is.True(a.evidence.Len() <= suspect.MaxCrashes)
+	is.True(a.evidence.Len() <= poison.MaxCrashes)
 	item, err := d.store.Get(context.Background(), "a")
 	is.NoErr(err)
 	is.True(len(item.Value) < 100*maxNotices)
@@ -210,30 +212,30 @@
 	is := is.New(t)
 	d := newBoardFixture()
 	a, b := d.board("a"), d.board("b")
-	a.Chosen = func(fingerprint.Print) bool { return true }
+	a.RunsTrial = func(fingerprint.Fingerprint) bool { return true }
 	d.crashUpstreams(a, "deadly", 0, 4)
 	d.crashUpstreams(b, "deadly", 0, 4)
-	is.True(judge(a, "deadly").Refused())
+	is.True(judge(a, "deadly").Quarantined())
 	d.clock.Advance(time.Minute)
-	is.True(!judge(a, "deadly").Refused())
-	is.True(judge(a, "deadly").Refused())
-	is.True(judge(b, "deadly").Refused())
+	is.True(!judge(a, "deadly").Quarantined())
+	is.True(judge(a, "deadly").Quarantined())
+	is.True(judge(b, "deadly").Quarantined())
 	d.clock.Advance(trialInterval)
-	is.True(!judge(a, "deadly").Refused())
+	is.True(!judge(a, "deadly").Quarantined())
 	answer(a, "deadly")
-	is.True(!judge(a, "deadly").Suspects())
+	is.True(!judge(a, "deadly").Suspected())
 }
 
 // Guards against computing the digest of each request while no crash is known.
 func TestNoDigestWithoutEvidence(t *testing.T) {
 	d := newBoardFixture()
 	a := d.board("a")
-	sum := func() fingerprint.Sum {
+	sum := func() fingerprint.Digest {
 		t.Fatal("a digest was computed without evidence")
-		return fingerprint.Sum{}
+		return fingerprint.Digest{}
 	}
 	a.Judge(sum)
-	a.Answered(sum)
+	a.RecordAnswer(sum)
 }
 
 // Guards against data races between requests, changes from other instances and the
@@ -251,13 +253,13 @@
 		wg.Go(func() {
 			d.crashUpstreams(a, "deadly", 10*i, 1)
 			judge(a, "deadly")
-			a.Take([]keyvalue.Change{{Item: keyvalue.Item{Key: "b", Value: []byte("[]")}}})
+			a.Apply([]keyvalue.Change{{Item: keyvalue.Item{Key: "b", Value: []byte("[]")}}})
 		})
 	}
 	wg.Wait()
 	published := func() bool { return !a.hasUnpublished() }
-	is.True(timer.Until(timer.Real{}, time.Millisecond, 10*time.Second, nil, published))
-	is.True(d.store.Calls(space.Commit) <= writeBurst)
+	is.True(timer.Poll(timer.Real{}, time.Millisecond, 10*time.Second, nil, published))
+	is.True(d.store.CallCount(memorystore.Commit) <= writeBurst)
 	tb.Kill(nil)
 	is.NoErr(tb.Wait())
 }
--- a/internal/fleet/bulletin/fleet_test.go
+++ b/internal/fleet/crashnotice/fleet_test.go
@@ -1,4 +1,4 @@
-package bulletin
+package crashnotice
 
 import (
 	"testing"
--- a/internal/fleet/bulletin/gossip.go
+++ b/internal/fleet/crashnotice/gossip.go
@@ -1,4 +1,4 @@
-package bulletin
+package crashnotice
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// Gossip is a Poster that spreads the notices by gossip between instances.
-type Gossip struct {
+// GossipPublisher is a Publisher that spreads the notices by gossip between instances.
+type GossipPublisher struct {
 	State *gossip.State
 	// Key is the key of the board.
 	Key string
@@ -22,8 +22,8 @@
 	value   []byte
 }
 
-// Post implements Poster.
-func (g *Gossip) Post(_ context.Context, value []byte) error {
+// Publish implements Publisher.
+func (g *GossipPublisher) Publish(_ context.Context, value []byte) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.value = value
@@ -31,9 +31,9 @@
 	return nil
 }
 
-// Renew implements Poster. An entry expires at a fixed time of day, so it is published
+// Renew implements Publisher. An entry expires at a fixed time of day, so it is published
 // again as a newer version.
-func (g *Gossip) Renew(context.Context) error {
+func (g *GossipPublisher) Renew(context.Context) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if e, ok := g.State.Find(gossip.KindCrashes, g.Key); ok && time.Until(time.Unix(e.Expires, 0)) < noticeTTL/2 {
@@ -43,7 +43,7 @@
 }
 
 // mergeEntry publishes the value as a new version of the entry. g.mu must be held.
-func (g *Gossip) mergeEntry() {
+func (g *GossipPublisher) mergeEntry() {
 	g.version++
 	g.State.Merge(gossip.Entry{
 		Kind: gossip.KindCrashes,
@@ -69,7 +69,7 @@
 	for {
 		changed := l.State.Changed(gossip.KindCrashes)
 		if changes := l.newEntries(); len(changes) > 0 {
-			l.Board.Take(changes)
+			l.Board.Apply(changes)
 		}
 		select {
 		case <-changed:
--- a/internal/fleet/bulletin/gossip_test.go
+++ b/internal/fleet/crashnotice/gossip_test.go
@@ -1,4 +1,4 @@
-package bulletin
+package crashnotice
 
 import (
 	"context"
@@ -17,15 +17,15 @@
 	d := newBoardFixture()
 	var state gossip.State
 	a, b := d.board("a"), d.board("b")
-	a.Poster = &Gossip{State: &state, Key: "a"}
-	b.Poster = &Gossip{State: &state, Key: "b"}
+	a.Poster = &GossipPublisher{State: &state, Key: "a"}
+	b.Poster = &GossipPublisher{State: &state, Key: "b"}
 	listener := Listener{State: &state, Board: b}
 	d.crashUpstreams(a, "deadly", 0, 4)
 	is.NoErr(a.post(context.Background()))
 	changes := listener.newEntries()
 	is.Equal(len(changes), 1)
-	b.Take(changes)
-	is.True(judge(b, "deadly").Refused())
+	b.Apply(changes)
+	is.True(judge(b, "deadly").Quarantined())
 	d.crashUpstreams(b, "other", 10, 1)
 	is.NoErr(b.post(context.Background()))
 	is.Equal(len(listener.newEntries()), 0) // only its own entry changed
--- a/internal/fleet/bulletin/key.go
+++ b/internal/fleet/crashnotice/key.go
@@ -1,4 +1,4 @@
-package bulletin
+package crashnotice
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 // that published them. They are renewed after half of it while there are any.
 const noticeTTL = 10 * time.Minute
 
-// Key is a Poster that writes one key of the key-value service under a lease.
-type Key struct {
-	Space keyvalue.Space
+// KeyPublisher is a Publisher that writes one key of the key-value service under a lease.
+type KeyPublisher struct {
+	Store keyvalue.TransactionalStore
 	// Name is the key. Each incarnation of an instance has a key of its own, so that it
 	// does not overwrite the notices of an earlier one.
 	Name  string
@@ -27,14 +27,14 @@
 	renewedAt timer.Instant
 }
 
-// Post implements Poster.
-func (k *Key) Post(ctx context.Context, value []byte) error {
+// Publish implements Publisher.
+func (k *KeyPublisher) Publish(ctx context.Context, value []byte) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err := k.ensureLease(ctx); err != nil {
 		return err
 	}
-	_, err := k.Space.Commit(ctx, keyvalue.Transaction{
+	_, err := k.Store.Commit(ctx, keyvalue.Transaction{
 		Writes: []keyvalue.Write{
 			{Key: k.Name, Value: value, Lease: k.lease},
 		},
@@ -45,8 +45,8 @@
 	return err
 }
 
-// Renew implements Poster.
-func (k *Key) Renew(ctx context.Context) error {
+// Renew implements Publisher.
+func (k *KeyPublisher) Renew(ctx context.Context) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.lease == 0 {
@@ -57,13 +57,13 @@
 
 // ensureLease grants the lease if there is none, and renews it once half of it has
 // passed. k.mu must be held.
-func (k *Key) ensureLease(ctx context.Context) error {
+func (k *KeyPublisher) ensureLease(ctx context.Context) error {
 	now := k.Timer.Now()
 	if k.lease != 0 && now.Sub(k.renewedAt) < noticeTTL/2 {
 		return nil
 	}
 	if k.lease != 0 {
-		err := k.Space.KeepAlive(ctx, k.lease)
+		err := k.Store.KeepAlive(ctx, k.lease)
 		if err == nil {
 			k.renewedAt = now
 		}
@@ -71,7 +71,7 @@
 			return err
 		}
 	}
-	lease, err := k.Space.Grant(ctx, noticeTTL)
+	lease, err := k.Store.Grant(ctx, noticeTTL)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/bulletin/metrics.go
+++ b/internal/fleet/crashnotice/metrics.go
@@ -1,4 +1,4 @@
-package bulletin
+package crashnotice
 
 import "github.com/prometheus/client_golang/prometheus"
 
--- a/internal/fleet/bulletin/notice.go
+++ b/internal/fleet/crashnotice/notice.go
@@ -1,4 +1,4 @@
-package bulletin
+package crashnotice
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/route/crash"
 	"github.com/egretbend/egretbend/internal/route/fingerprint"
-	"github.com/egretbend/egretbend/internal/route/suspect"
+	"github.com/egretbend/egretbend/internal/route/poison"
 )
 
 // maxNotices bounds the notices that one instance publishes.
@@ -16,10 +16,10 @@
 // notice is what an instance publishes: that an upstream ended while it ran a request,
 // or that a request was answered.
 type notice struct {
-	Print fingerprint.Print `json:"print"`
+	Print fingerprint.Fingerprint `json:"print"`
 	// Upstream is the incarnation that ended; empty if the request was answered.
 	Upstream crash.Incarnation `json:"upstream,omitempty"`
-	// Row is the Row of the suspect.Crash.
+	// Row is the field Consecutive of the poison.Crash.
 	Row int `json:"row,omitempty"`
 	// AgeMS is the age of the notice in milliseconds when it was published.
 	AgeMS int64 `json:"age_ms"`
@@ -29,13 +29,13 @@
 	published bool
 }
 
-// crash converts the notice of a crash for suspect.Evidence.
-func (n notice) crash() suspect.Crash {
-	return suspect.Crash{
+// crash converts the notice of a crash for poison.Tracker.
+func (n notice) crash() poison.Crash {
+	return poison.Crash{
 		Incarnation: n.Upstream,
 		Print:       n.Print,
 		At:          n.at,
-		Row:         n.Row,
+		Consecutive: n.Row,
 	}
 }
 
--- a/internal/fleet/bulletin/part.go
+++ b/internal/fleet/crashnotice/part.go
@@ -1,4 +1,4 @@
-package bulletin
+package crashnotice
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"github.com/egretbend/egretbend/internal/kernel/part"
 	"github.com/egretbend/egretbend/internal/route/crash"
 	"github.com/egretbend/egretbend/internal/route/fingerprint"
-	"github.com/egretbend/egretbend/internal/route/suspect"
+	"github.com/egretbend/egretbend/internal/route/poison"
 )
 
 func init() {
@@ -30,9 +30,9 @@
 }
 
 func makePart(h *part.Host) (part.Part, error) {
-	state := part.Get[*gossip.State](h)
-	members := part.Get[*member.Table](h)
-	keeper := &secret.Gossip{
+	state := part.MustGet[*gossip.State](h)
+	members := part.MustGet[*member.Table](h)
+	keeper := &secret.GossipSecret{
 		State: state,
 	}
 	self := members.Self()
@@ -40,12 +40,12 @@
 	board := &Board{
 		Secret: keeper,
 		Key:    key,
-		Poster: &Gossip{
+		Poster: &GossipPublisher{
 			State: state,
 			Key:   key,
 		},
-		Instances: func() int { return len(members.View().Alive) },
-		Chosen: func(p fingerprint.Print) bool {
+		InstanceCount: func() int { return len(members.View().Alive) },
+		RunsTrial: func(p fingerprint.Fingerprint) bool {
 			top := members.View().Top(p.String(), 1)
 			return len(top) == 1 && top[0].ID == self.ID
 		},
@@ -53,13 +53,13 @@
 		Journal: h.Journal,
 		Metrics: NewMetrics(h.Metrics),
 	}
-	part.Put(h, board)
-	part.Put(h, &crash.Reporter{
+	part.Provide(h, board)
+	part.Provide(h, &crash.Reporter{
 		Secret:  keeper,
 		Timer:   h.Timer,
 		Journal: h.Journal,
 		Metrics: crash.NewMetrics(h.Metrics),
-		Ended:   board.Report,
+		OnCrash: board.ReportCrash,
 	})
 	return &bulletinPart{
 		board: board,
@@ -80,12 +80,12 @@
 // Stop implements part.Part.
 func (p *bulletinPart) Stop() {}
 
-// Report records a crash that a crash.Reporter found, and returns the log fields for it.
-func (b *Board) Report(c crash.Cut, print fingerprint.Print) log.Fields {
-	return b.Ended(suspect.Crash{
+// ReportCrash records a crash that a crash.Reporter found, and returns the log fields for it.
+func (b *Board) ReportCrash(c crash.Cut, print fingerprint.Fingerprint) log.Fields {
+	return b.RecordCrash(poison.Crash{
 		Incarnation: c.Incarnation,
 		Print:       print,
 		At:          c.At,
-		Row:         c.Row,
+		Consecutive: c.Consecutive,
 	}).Fields()
 }
--- a/internal/fleet/bulletin/publish.go
+++ b/internal/fleet/crashnotice/publish.go
@@ -1,4 +1,4 @@
-package bulletin
+package crashnotice
 
 import (
 	"context"
@@ -21,7 +21,8 @@
 	expireInterval = 10 * time.Second
 	// answeredTTL is how long the notice of an answered request is published.
 	answeredTTL = time.Minute
-	// callTimeout bounds a call of the Poster, retryPause is the pause after a failed one.
+	// callTimeout bounds a call of the Publisher, retryPause is the pause after a failed
+	// one.
 	callTimeout = 2 * time.Second
 	retryPause  = 500 * time.Millisecond
 )
@@ -77,13 +78,13 @@
 	if !b.hasUnpublished() {
 		return
 	}
-	timer.Wait(b.Timer, b.limiter.reserve(b.Timer.Now(), b.Instances()), t.Dying())
+	timer.Wait(b.Timer, b.limiter.reserve(b.Timer.Now(), b.InstanceCount()), t.Dying())
 	if !t.Alive() {
 		return
 	}
 	if err := b.post(ctx); err != nil && t.Alive() {
 		b.Metrics.countWrite("failed")
-		b.Journal.Trouble("notices of crashes not told", err, log.Fields{})
+		b.Journal.Warn("notices of crashes not told", err, log.Fields{})
 		timer.Wait(b.Timer, retryPause, t.Dying())
 		b.wake.Set()
 		return
@@ -110,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	if err := b.Poster.Post(ctx, value); err != nil {
+	if err := b.Poster.Publish(ctx, value); err != nil {
 		return err
 	}
 	b.mu.Lock()
@@ -141,7 +142,7 @@
 		if n.Upstream == "" {
 			return now.Sub(n.at) >= answeredTTL
 		}
-		expired := !b.evidence.Judge(n.Print, now).Suspects()
+		expired := !b.evidence.Judge(n.Print, now).Suspected()
 		if expired && n.published {
 			// An instance that starts would take the published notice as a new crash.
 			b.keyOutdated = true
@@ -155,7 +156,7 @@
 		}
 	}
 	b.updateHasEvidence()
-	b.Metrics.setKnown(b.evidence.Len(), b.evidence.Guilty())
+	b.Metrics.setKnown(b.evidence.Len(), b.evidence.PoisonCount())
 	idle := len(b.own) == 0
 	b.mu.Unlock()
 	if idle {
@@ -164,6 +165,6 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := b.Poster.Renew(ctx); err != nil {
-		b.Journal.Trouble("cannot renew notices of crashes", err, log.Fields{})
+		b.Journal.Warn("cannot renew notices of crashes", err, log.Fields{})
 	}
 }
--- a/internal/fleet/bulletin/simulation_test.go
+++ b/internal/fleet/crashnotice/simulation_test.go
@@ -1,4 +1,4 @@
-package bulletin
+package crashnotice
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 	"github.com/egretbend/egretbend/internal/route/crash"
 	"github.com/egretbend/egretbend/internal/route/fingerprint"
-	"github.com/egretbend/egretbend/internal/route/suspect"
-	"github.com/egretbend/egretbend/internal/standin/space"
+	"github.com/egretbend/egretbend/internal/route/poison"
+	"github.com/egretbend/egretbend/internal/standin/memorystore"
 )
 
 // Times and limits of a simulated fleet.
@@ -82,9 +82,9 @@
 // simRequest is a request that an instance handles.
 type simRequest struct {
 	crashing int // number of the crashing request; 0 for a plain one
-	sum      fingerprint.Sum
+	sum      fingerprint.Digest
 	instance *simInstance
-	verdict  suspect.Verdict
+	verdict  poison.Verdict
 	tried    []int
 	// crashes counts the upstreams that ended while they ran the request, retried the
 	// retries by the client.
@@ -100,7 +100,7 @@
 	fleetPlan
 	rng       *rand.Rand
 	clock     *timer.Manual
-	store     *space.Space
+	store     *memorystore.Store
 	instances []*simInstance
 	upstreams []*simUpstream
 	running   []*simRequest
@@ -134,7 +134,7 @@
 		lateSends:  map[int]int{},
 	}
 	f.clock.Advance(time.Hour)
-	f.store = &space.Space{
+	f.store = &memorystore.Store{
 		Timer: f.clock,
 	}
 	for i := range p.instances {
@@ -154,7 +154,7 @@
 // fixedSecret is a Secret that is the same at all instances.
 type fixedSecret struct{}
 
-func (fixedSecret) Known() []byte { return []byte("secret") }
+func (fixedSecret) Value() []byte { return []byte("secret") }
 
 // startInstance starts a new incarnation of an instance, which reads the stored notices.
 func (f *simFleet) startInstance(in *simInstance) {
@@ -162,13 +162,13 @@
 	in.board = &Board{
 		Secret: fixedSecret{},
 		Key:    key,
-		Poster: &Key{
-			Space: f.store,
+		Poster: &KeyPublisher{
+			Store: f.store,
 			Name:  key,
 			Timer: f.clock,
 		},
-		Instances: func() int { return f.fleetPlan.instances },
-		Chosen: func(p fingerprint.Print) bool {
+		InstanceCount: func() int { return f.fleetPlan.instances },
+		RunsTrial: func(p fingerprint.Fingerprint) bool {
 			best := f.instances[0]
 			for _, other := range f.instances {
 				if member.Score(other.name, p.String()) > member.Score(best.name, p.String()) {
@@ -215,7 +215,7 @@
 		if d.at > now {
 			return false
 		}
-		in.board.Take([]keyvalue.Change{d.change})
+		in.board.Apply([]keyvalue.Change{d.change})
 		return true
 	})
 	select {
@@ -309,8 +309,8 @@
 		retried:  retried,
 	}
 	copy(q.sum[:], body)
-	q.verdict = q.instance.board.Judge(func() fingerprint.Sum { return q.sum })
-	if q.verdict.Refused() {
+	q.verdict = q.instance.board.Judge(func() fingerprint.Digest { return q.sum })
+	if q.verdict.Quarantined() {
 		if crashing == 0 {
 			f.refused++
 		}
@@ -363,7 +363,7 @@
 		}
 		f.drop(q)
 		f.served++
-		q.instance.board.Answered(func() fingerprint.Sum { return q.sum })
+		q.instance.board.RecordAnswer(func() fingerprint.Digest { return q.sum })
 	}
 }
 
@@ -388,13 +388,13 @@
 	for _, q := range slices.Clone(u.runs) {
 		f.drop(q)
 		q.crashes++
-		q.instance.board.Ended(suspect.Crash{
+		q.instance.board.RecordCrash(poison.Crash{
 			Incarnation: incarnation,
-			Print:       q.sum.Under(fixedSecret{}.Known()),
+			Print:       q.sum.Keyed(fixedSecret{}.Value()),
 			At:          now,
-			Row:         q.verdict.Crashes + q.crashes,
+			Consecutive: q.verdict.Crashes + q.crashes,
 		})
-		if len(q.tried) < simMaxAttempts && q.verdict.MayRepeat(q.crashes, 0) {
+		if len(q.tried) < simMaxAttempts && q.verdict.MayRetry(q.crashes, 0) {
 			f.send(q)
 			continue
 		}
--- a/internal/fleet/duty/doc.go
+++ b/internal/fleet/duty/doc.go
@@ -3,13 +3,13 @@
 // capacity orders.
 //
 //	holder := &duty.Holder{
-//		Space:    store,
-//		Presence: registry,
-//		Key:      registry.DutyKey(duty.Name),
-//		Sign:     registry.Key,
-//		Name:     "gent-a-1",
+//		Store:       store,
+//		Presence:    registry,
+//		Key:         registry.DutyKey(duty.DutyName),
+//		InstanceKey: registry.InstanceKey,
+//		Name:        "gent-a-1",
 //	}
-//	fence, ok := holder.Fence()
+//	fence, ok := holder.FencingToken()
 //
 // This is leader election over the key-value service: a key names the holder. The
 // revision at which the holder wrote that key is its fencing token, so a later holder
--- a/internal/fleet/duty/holder.go
+++ b/internal/fleet/duty/holder.go
@@ -16,13 +16,13 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// Name is the name, in the registry, of the duty to make the calls that only one instance
+// DutyName is the name, in the registry, of the duty to make the calls that only one instance
 // may make at a time.
-const Name = "orders"
+const DutyName = "orders"
 
 // Intervals and timeouts of the election.
 const (
-	// keepInterval is the time between two calls of Keep.
+	// keepInterval is the time between two calls of Maintain.
 	keepInterval = 600 * time.Millisecond
 	// maxLeaseAge is how long after the last renewal of its lease the holder
 	// may still make calls. It is shorter than the lease, so that a holder that
@@ -31,26 +31,26 @@
 	// takeoverDelay is how long the holder must be missing before another instance
 	// takes over. A holder that restarts continues without this delay.
 	takeoverDelay = 1500 * time.Millisecond
-	// TurnWait is the time between the detection that the previous holder is missing
+	// HandoverWait is the time between the detection that the previous holder is missing
 	// and the first order of the new one. Engines must not get orders from two holders
 	// within three seconds, and a holder whose lease was revoked relies on it for
 	// another maxLeaseAge at most.
-	TurnWait = 3*time.Second + maxLeaseAge
-	// keepTimeout is the time limit of one call of Keep.
+	HandoverWait = 3*time.Second + maxLeaseAge
+	// keepTimeout is the time limit of one call of Maintain.
 	keepTimeout = 900 * time.Millisecond
 )
 
 // Presence is the view of the instances that the election uses.
 type Presence interface {
-	// Lease returns the ID of this instance's lease, zero if it has none, and
+	// LeaseRenewedWithin returns the ID of this instance's lease, zero if it has none, and
 	// whether the lease was renewed within the given time.
-	Lease(within time.Duration) (uint64, bool)
-	// Duty returns the last value read from the key of a duty. HolderOf parses it.
-	Duty(duty string) string
+	LeaseRenewedWithin(within time.Duration) (uint64, bool)
+	// DutyValue returns the last value read from the key of a duty. ParseValue parses it.
+	DutyValue(duty string) string
 	// Present reports whether the view contains an instance.
 	Present(name string) bool
-	// First returns the instance that is next to take over a duty.
-	First() string
+	// FirstEligible returns the instance that is next to take over a duty.
+	FirstEligible() string
 	// Synced reports whether the view has been read from the key-value service.
 	Synced() bool
 }
@@ -59,14 +59,14 @@
 // lease: the instance that the key names is the holder as long as that instance's own
 // key exists.
 type Holder struct {
-	Space    keyvalue.Space
+	Store    keyvalue.TransactionalStore
 	Presence Presence
 	Timer    timer.Service
 	Journal  *journal.Journal
-	// Key is the duty's key, to which the holder writes its name. Sign returns
+	// Key is the duty's key, to which the holder writes its name. InstanceKey returns
 	// the key that exists as long as an instance is alive.
-	Key  string
-	Sign func(name string) string
+	Key         string
+	InstanceKey func(name string) string
 	// Name is the name of this instance. It stays the same over a restart, so a
 	// holder that restarts is still the holder.
 	Name string
@@ -99,7 +99,7 @@
 // has to wait as well.
 const waitingMark = "waiting"
 
-// encodeValue returns the value to store for a holder. HolderOf parses it.
+// encodeValue returns the value to store for a holder. ParseValue parses it.
 func encodeValue(name string, waitOver bool) []byte {
 	if waitOver {
 		return []byte(name)
@@ -107,9 +107,9 @@
 	return []byte(name + " " + waitingMark)
 }
 
-// HolderOf returns the instance named by a stored value, and whether that instance
+// ParseValue returns the instance named by a stored value, and whether that instance
 // still has to wait before it makes calls.
-func HolderOf(value string) (name string, waiting bool) {
+func ParseValue(value string) (name string, waiting bool) {
 	name, rest, _ := strings.Cut(value, " ")
 	return name, rest == waitingMark
 }
@@ -120,8 +120,8 @@
 	ticker := h.Timer.Every(keepInterval)
 	defer ticker.Close()
 	for {
-		if err := h.Keep(ctx); err != nil {
-			h.Journal.Detail("checking or acquiring the duty failed", log.Fields{
+		if err := h.Maintain(ctx); err != nil {
+			h.Journal.Debug("checking or acquiring the duty failed", log.Fields{
 				"error": err.Error(),
 			})
 		}
@@ -133,10 +133,10 @@
 	}
 }
 
-// Fence returns the fencing token, which is the revision of Key, and whether this
+// FencingToken returns the fencing token, which is the revision of Key, and whether this
 // instance may make calls now.
-func (h *Holder) Fence() (uint64, bool) {
-	lease, fresh := h.Presence.Lease(maxLeaseAge)
+func (h *Holder) FencingToken() (uint64, bool) {
+	lease, fresh := h.Presence.LeaseRenewedWithin(maxLeaseAge)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.fence, h.fence != 0 && fresh && lease == h.lease && h.Timer.Now() >= h.callsFrom
@@ -146,12 +146,12 @@
 // before it makes calls.
 func (h *Holder) Holds() bool { return h.holds.Load() }
 
-// Keep acquires the duty if this instance should hold it, and renews it after a change
+// Maintain acquires the duty if this instance should hold it, and renews it after a change
 // of lease or at the end of the wait. Run calls it every keepInterval.
-func (h *Holder) Keep(ctx context.Context) error {
+func (h *Holder) Maintain(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
 	defer cancel()
-	lease, fresh := h.Presence.Lease(maxLeaseAge)
+	lease, fresh := h.Presence.LeaseRenewedWithin(maxLeaseAge)
 	if h.fence != 0 && lease == h.lease && (h.waitOver || h.Timer.Now() < h.callsFrom) {
 		return nil
 	}
@@ -169,11 +169,11 @@
 // missing for takeoverDelay. Other instances don't try, since each try is a call that
 // is charged for.
 func (h *Holder) shouldAcquire(ctx context.Context) (bool, error) {
-	holder, _ := HolderOf(h.Presence.Duty(Name))
+	holder, _ := ParseValue(h.Presence.DutyValue(DutyName))
 	if holder == h.Name || h.fence != 0 {
 		return true, nil
 	}
-	if h.Presence.First() != h.Name {
+	if h.Presence.FirstEligible() != h.Name {
 		h.missing = missingHolder{}
 		return false, nil
 	}
@@ -197,14 +197,14 @@
 // it counted from the acquisition seconds later, no engine would get the weights of a
 // step in the meantime.
 func (h *Holder) recordMissing(ctx context.Context, holder string) error {
-	item, err := h.Space.Get(ctx, h.Key)
+	item, err := h.Store.Get(ctx, h.Key)
 	if err != nil {
 		return err
 	}
-	if name, _ := HolderOf(string(item.Value)); name != holder {
+	if name, _ := ParseValue(string(item.Value)); name != holder {
 		return nil
 	}
-	_, err = h.Space.Get(ctx, h.Sign(holder))
+	_, err = h.Store.Get(ctx, h.InstanceKey(holder))
 	if !errors.Is(err, keyvalue.ErrNotFound) {
 		return err
 	}
@@ -220,11 +220,11 @@
 // itself (before a restart, under an earlier lease or with the waiting mark), or an
 // instance whose own key is gone.
 func (h *Holder) acquire(ctx context.Context, lease uint64) error {
-	item, err := h.Space.Get(ctx, h.Key)
+	item, err := h.Store.Get(ctx, h.Key)
 	if err != nil && !errors.Is(err, keyvalue.ErrNotFound) {
 		return err
 	}
-	previous, waiting := HolderOf(string(item.Value))
+	previous, waiting := ParseValue(string(item.Value))
 	if h.fence != 0 && previous != h.Name {
 		// Another instance is the holder. This one tries again only once that
 		// instance is missing, like any other.
@@ -233,7 +233,7 @@
 	}
 	callsFrom := h.firstCallTime(previous, waiting)
 	if h.missing.holder == previous && h.missing.revision == item.Revision && h.fence == 0 {
-		callsFrom = max(h.Timer.Now(), h.missing.since.Add(TurnWait))
+		callsFrom = max(h.Timer.Now(), h.missing.since.Add(HandoverWait))
 	}
 	if item.Revision == 0 {
 		// The key is never removed, so nobody has held the duty or given an order yet.
@@ -241,7 +241,7 @@
 	}
 	waitOver := h.Timer.Now() >= callsFrom
 	tx := keyvalue.Transaction{
-		Expects: []keyvalue.Expect{
+		Expects: []keyvalue.Condition{
 			{Key: h.Key, Revision: item.Revision},
 		},
 		Writes: []keyvalue.Write{
@@ -249,11 +249,11 @@
 		},
 	}
 	if previous != "" && previous != h.Name {
-		tx.Expects = append(tx.Expects, keyvalue.Expect{
-			Key: h.Sign(previous),
+		tx.Expects = append(tx.Expects, keyvalue.Condition{
+			Key: h.InstanceKey(previous),
 		})
 	}
-	rev, err := h.Space.Commit(ctx, tx)
+	rev, err := h.Store.Commit(ctx, tx)
 	if errors.Is(err, keyvalue.ErrConflict) {
 		h.markLost(err)
 		return nil
@@ -265,7 +265,7 @@
 	h.waitOver = waitOver
 	h.holds.Store(true)
 	h.missing = missingHolder{}
-	h.Journal.Event("duty held", log.Fields{
+	h.Journal.Info("duty held", log.Fields{
 		"fencing": rev,
 		"before":  previous,
 		"wait_ms": max(0, callsFrom.Sub(h.Timer.Now())).Milliseconds(),
@@ -273,7 +273,7 @@
 	return nil
 }
 
-// set stores the values that Fence reads.
+// set stores the values that FencingToken reads.
 func (h *Holder) set(fence, lease uint64, callsFrom timer.Instant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -287,12 +287,12 @@
 	switch {
 	case previous != h.Name:
 		// It is not known how long the previous holder has been missing.
-		return now.Add(TurnWait)
+		return now.Add(HandoverWait)
 	case h.fence != 0:
 		// This instance has held the duty since it started: its wait is unchanged.
 		return max(h.callsFrom, now)
 	case waiting:
-		return now.Add(TurnWait)
+		return now.Add(HandoverWait)
 	}
 	return now
 }
@@ -302,7 +302,7 @@
 // markLost resets the state after another instance took over the duty.
 func (h *Holder) markLost(err error) {
 	if h.fence != 0 {
-		h.Journal.Trouble("duty lost", err, log.Fields{
+		h.Journal.Warn("duty lost", err, log.Fields{
 			"fencing": h.fence,
 		})
 	}
--- a/internal/fleet/duty/holder_test.go
+++ b/internal/fleet/duty/holder_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
-	"github.com/egretbend/egretbend/internal/standin/proof"
-	"github.com/egretbend/egretbend/internal/standin/space"
+	"github.com/egretbend/egretbend/internal/standin/memorystore"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
 const (
@@ -32,36 +32,36 @@
 	first   string
 }
 
-// Lease implements Presence.
-func (p *fakePresence) Lease(within time.Duration) (uint64, bool) {
+// LeaseRenewedWithin implements Presence.
+func (p *fakePresence) LeaseRenewedWithin(within time.Duration) (uint64, bool) {
 	return p.lease, p.lease != 0 && p.clock.Now().Sub(p.renewed) < within
 }
 
-// Duty implements Presence.
-func (p *fakePresence) Duty(string) string { return p.holder }
+// DutyValue implements Presence.
+func (p *fakePresence) DutyValue(string) string { return p.holder }
 
 // Present implements Presence.
 func (p *fakePresence) Present(name string) bool { return p.present[name] }
 
-// First implements Presence.
-func (p *fakePresence) First() string { return p.first }
+// FirstEligible implements Presence.
+func (p *fakePresence) FirstEligible() string { return p.first }
 
 // Synced implements Presence.
 func (p *fakePresence) Synced() bool { return true }
 
-func newHolder(clock timer.Service, store *space.Space, name string) (*Holder, *fakePresence) {
+func newHolder(clock timer.Service, store *memorystore.Store, name string) (*Holder, *fakePresence) {
 	p := &fakePresence{
 		clock:   clock,
 		present: map[string]bool{},
 		first:   name,
 	}
 	return &Holder{
-		Space:    store,
-		Presence: p,
-		Timer:    clock,
-		Key:      dutyKey,
-		Sign:     instanceKey,
-		Name:     name,
+		Store:       store,
+		Presence:    p,
+		Timer:       clock,
+		Key:         dutyKey,
+		InstanceKey: instanceKey,
+		Name:        name,
 	}, p
 }
 
@@ -71,19 +71,19 @@
 	is := is.New(t)
 	ctx := context.Background()
 	clock := &timer.Manual{}
-	store := &space.Space{
+	store := &memorystore.Store{
 		Timer: clock,
 	}
 	h, p := newHolder(clock, store, "a")
 	p.lease, p.renewed = 1, clock.Now()
-	is.NoErr(h.Keep(ctx))
-	first, ok := h.Fence()
+	is.NoErr(h.Maintain(ctx))
+	first, ok := h.FencingToken()
 	is.True(ok)
 
 	restarted, p := newHolder(clock, store, "a")
 	p.lease, p.renewed, p.holder, p.first = 2, clock.Now(), "a", "b"
-	is.NoErr(restarted.Keep(ctx))
-	second, ok := restarted.Fence()
+	is.NoErr(restarted.Maintain(ctx))
+	second, ok := restarted.FencingToken()
 	is.True(ok)             // without a wait
 	is.True(second > first) // engines that check fencing tokens accept it
 }
@@ -94,7 +94,7 @@
 func simulateHolders(t *rapid.T, skipWait bool) {
 	ctx := context.Background()
 	clock := &timer.Manual{}
-	store := &space.Space{
+	store := &memorystore.Store{
 		Timer: clock,
 	}
 	type node struct {
@@ -124,7 +124,7 @@
 				n.pause = rapid.IntRange(1, 60).Draw(t, "pause")
 				continue
 			case 1:
-				store.Lapse(n.p.lease)
+				store.ExpireLease(n.p.lease)
 			}
 			if rapid.IntRange(0, 6).Draw(t, "renews") == 0 {
 				if err := n.p.renew(ctx, store, name); err != nil {
@@ -132,13 +132,13 @@
 				}
 			}
 			n.p.readView(ctx, store)
-			if err := n.h.Keep(ctx); err != nil {
+			if err := n.h.Maintain(ctx); err != nil {
 				t.Fatal(err)
 			}
 			if skipWait {
 				n.h.callsFrom = 0
 			}
-			if _, ok := n.h.Fence(); !ok {
+			if _, ok := n.h.FencingToken(); !ok {
 				continue
 			}
 			other := "a"
@@ -155,7 +155,7 @@
 
 // renew renews the lease of an instance, or writes its key under a new one, as the
 // registry does.
-func (p *fakePresence) renew(ctx context.Context, store *space.Space, name string) error {
+func (p *fakePresence) renew(ctx context.Context, store *memorystore.Store, name string) error {
 	if p.lease != 0 && store.KeepAlive(ctx, p.lease) == nil {
 		p.renewed = p.clock.Now()
 		return nil
@@ -174,7 +174,7 @@
 }
 
 // readView reads the view from the key-value service.
-func (p *fakePresence) readView(ctx context.Context, store *space.Space) {
+func (p *fakePresence) readView(ctx context.Context, store *memorystore.Store) {
 	p.present = map[string]bool{}
 	p.first = ""
 	for _, name := range []string{"a", "b"} {
@@ -192,14 +192,14 @@
 }
 
 // newActiveHolder returns a holder "a" that may give orders.
-func newActiveHolder(is *is.I) (*timer.Manual, *space.Space, *Holder, *fakePresence) {
+func newActiveHolder(is *is.I) (*timer.Manual, *memorystore.Store, *Holder, *fakePresence) {
 	clock := &timer.Manual{}
-	store := &space.Space{
+	store := &memorystore.Store{
 		Timer: clock,
 	}
 	h, p := newHolder(clock, store, "a")
 	is.NoErr(p.renew(context.Background(), store, "a"))
-	is.NoErr(h.Keep(context.Background()))
+	is.NoErr(h.Maintain(context.Background()))
 	return clock, store, h, p
 }
 
@@ -211,7 +211,7 @@
 	clock, store, _, _ := newActiveHolder(is)
 	b, pb := newHolder(clock, store, "b")
 	const step = 100 * time.Millisecond
-	for since := time.Duration(0); since < leaseTTL+TurnWait+2*keepInterval; since += step {
+	for since := time.Duration(0); since < leaseTTL+HandoverWait+2*keepInterval; since += step {
 		clock.Advance(step)
 		if since%(5*step) == 0 {
 			is.NoErr(pb.renew(ctx, store, "b"))
@@ -220,8 +220,8 @@
 		if since%keepInterval != 0 {
 			continue
 		}
-		is.NoErr(b.Keep(ctx))
-		if _, ok := b.Fence(); ok {
+		is.NoErr(b.Maintain(ctx))
+		if _, ok := b.FencingToken(); ok {
 			is.True(since >= leaseTTL+3*time.Second) // the last order of a is at least three seconds old
 			return
 		}
@@ -236,25 +236,25 @@
 	ctx := context.Background()
 	clock, store, a, pa := newActiveHolder(is)
 	b, pb := newHolder(clock, store, "b")
-	store.Lapse(pa.lease)
+	store.ExpireLease(pa.lease)
 	clock.Advance(tick)
 	is.NoErr(pb.renew(ctx, store, "b"))
 	pb.readView(ctx, store)
-	is.NoErr(b.Keep(ctx)) // b records that a is missing
+	is.NoErr(b.Maintain(ctx)) // b records that a is missing
 	is.NoErr(pa.renew(ctx, store, "a"))
 	pa.readView(ctx, store)
-	is.NoErr(a.Keep(ctx))
-	_, ok := a.Fence()
+	is.NoErr(a.Maintain(ctx))
+	_, ok := a.FencingToken()
 	is.True(ok) // a continues under another lease
-	store.Lapse(pa.lease)
+	store.ExpireLease(pa.lease)
 	clock.Advance(takeoverDelay)
 	// b's view has not been read since, so b does not know that a was back.
 	is.NoErr(pb.renew(ctx, store, "b"))
-	is.NoErr(b.Keep(ctx))
-	clock.Advance(TurnWait - takeoverDelay)
+	is.NoErr(b.Maintain(ctx))
+	clock.Advance(HandoverWait - takeoverDelay)
 	is.NoErr(pb.renew(ctx, store, "b"))
-	is.NoErr(b.Keep(ctx))
-	_, ok = b.Fence()
+	is.NoErr(b.Maintain(ctx))
+	_, ok = b.FencingToken()
 	is.Equal(ok, false)
 }
 
@@ -262,11 +262,11 @@
 
 // Guards against engines that get orders from two holders within three seconds.
 func TestHoldersKeepHandoverWait(t *testing.T) {
-	proof.CheckN(t, 200, func(t *rapid.T) { simulateHolders(t, false) })
+	property.CheckN(t, 200, func(t *rapid.T) { simulateHolders(t, false) })
 }
 
 // Shows that without the wait of a new holder, engines get orders from two holders within
 // three seconds.
 func TestHoldersOverlapWithoutHandoverWait(t *testing.T) {
-	proof.Refute(t, func(t *rapid.T) { simulateHolders(t, true) })
+	property.CheckFails(t, func(t *rapid.T) { simulateHolders(t, true) })
 }
--- a/internal/fleet/gossip/bench_test.go
+++ b/internal/fleet/gossip/bench_test.go
@@ -24,11 +24,11 @@
 				other.Merge(e)
 			}
 			for range Transmissions * n / MaxEntries * 2 {
-				s.Ask("a")
+				s.NewExchange("a")
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				other.Answer(s.Ask("a"), 0)
+				other.HandleArgs(s.NewExchange("a"), 0)
 			}
 		})
 	}
--- a/internal/fleet/gossip/decoded.go
+++ b/internal/fleet/gossip/decoded.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Decoded caches the decoded values of all entries of one kind, so that a change
+// DecodeCache caches the decoded values of all entries of one kind, so that a change
 // of one entry decodes only that entry. Its zero value is empty and ready to use.
-type Decoded[T any] struct {
+type DecodeCache[T any] struct {
 	mu     sync.Mutex
 	values map[string]decodedValue[T]
 }
@@ -18,7 +18,7 @@
 // List returns the values of all entries of one kind, in no particular order.
 // decode returns the value of an entry, or false to leave the entry out; all
 // calls must pass the same decode function.
-func (d *Decoded[T]) List(s *State, k Kind, decode func(e Entry) (T, bool)) []T {
+func (d *DecodeCache[T]) List(s *State, k Kind, decode func(e Entry) (T, bool)) []T {
 	entries := s.List(k)
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fleet/gossip/doc.go
+++ b/internal/fleet/gossip/doc.go
@@ -7,8 +7,8 @@
 // that one instance knows, and builds and answers the messages of an exchange:
 //
 //	var s gossip.State
-//	s.Merge(entry)               // true if the entry was newer
-//	reply := s.Answer(args, now) // the entries that the sender of args lacks
+//	s.Merge(entry)                   // true if the entry was newer
+//	reply := s.HandleArgs(args, now) // the entries that the sender of args lacks
 //
 // Two instances first compare one root hash of all their entries. Only if it
 // differs do they compare a hash for each bucket of keys, and then send the
--- a/internal/fleet/gossip/exchange.go
+++ b/internal/fleet/gossip/exchange.go
@@ -41,8 +41,8 @@
 	return xxhash.Sum64(b[:])
 }
 
-// Ask returns the first message of an exchange.
-func (s *State) Ask(from string) Args {
+// NewExchange returns the first message of an exchange.
+func (s *State) NewExchange(from string) Args {
 	return Args{
 		From:  from,
 		Fresh: s.nextFresh(),
@@ -50,10 +50,10 @@
 	}
 }
 
-// Answer merges the entries of a message, and replies with entries that the
+// HandleArgs merges the entries of a message, and replies with entries that the
 // sender lacks if the root hashes still differ. now is the wall-clock time in
 // Unix seconds; expired entries are not merged.
-func (s *State) Answer(args Args, now int64) Reply {
+func (s *State) HandleArgs(args Args, now int64) Reply {
 	s.MergeAll(unexpired(args.Fresh, now))
 	digest := s.Digest()
 	if args.Root == digest.Root() {
@@ -70,11 +70,11 @@
 	return reply
 }
 
-// Take merges the entries of a reply. If the two instances still differ, it
+// HandleReply merges the entries of a reply. If the two instances still differ, it
 // returns the second message of the exchange, with the entries of the differing
 // buckets, and true. now is the wall-clock time in Unix seconds; expired entries
 // are not merged.
-func (s *State) Take(from string, reply Reply, now int64) (Args, bool) {
+func (s *State) HandleReply(from string, reply Reply, now int64) (Args, bool) {
 	s.MergeAll(unexpired(reply.Entries, now))
 	digest := s.Digest()
 	if reply.Digest == nil || len(reply.Digest) != Buckets || digest == Digest(reply.Digest) {
--- a/internal/fleet/gossip/property_test.go
+++ b/internal/fleet/gossip/property_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/egretbend/egretbend/internal/fleet/gossip"
-	"github.com/egretbend/egretbend/internal/standin/proof"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
 // oracle holds the highest version of each key.
@@ -61,15 +61,15 @@
 // exchange runs one exchange. lost is the message that does not arrive: "answer"
 // is the first reply, "second" the second message; empty loses none.
 func (w *simulation) exchange(from, to int, lost string) {
-	args := w.states[from].Ask("a")
-	reply := w.states[to].Answer(args, 0)
+	args := w.states[from].NewExchange("a")
+	reply := w.states[to].HandleArgs(args, 0)
 	if lost == "answer" {
 		return
 	}
-	next, more := w.states[from].Take("a", reply, 0)
+	next, more := w.states[from].HandleReply("a", reply, 0)
 	if more && lost != "second" {
-		reply = w.states[to].Answer(next, 0)
-		w.states[from].Take("a", reply, 0)
+		reply = w.states[to].HandleArgs(next, 0)
+		w.states[from].HandleReply("a", reply, 0)
 	}
 }
 
@@ -137,10 +137,10 @@
 // fleet can't reach each other for a while. A leaving mark must not disappear
 // again, and must reach every instance.
 func TestVersionsNeverDecreaseAndReachAll(t *testing.T) {
-	proof.Check(t, historyProperty(false))
+	property.Check(t, historyProperty(false))
 }
 
 // A state that keeps only the entries that it received last loses the others.
 func TestLastWriteWinsLosesEntries(t *testing.T) {
-	proof.Refute(t, historyProperty(true))
+	property.CheckFails(t, historyProperty(true))
 }
--- a/internal/fleet/gossip/state.go
+++ b/internal/fleet/gossip/state.go
@@ -121,9 +121,9 @@
 	return s.wake
 }
 
-// Changes returns the number of changes to the entries of one kind. Data derived
+// ChangeCount returns the number of changes to the entries of one kind. Data derived
 // from these entries must be rebuilt when the number changes.
-func (s *State) Changes(k Kind) uint64 { return s.changeCounts[k].Load() }
+func (s *State) ChangeCount(k Kind) uint64 { return s.changeCounts[k].Load() }
 
 // Find returns the entry with this kind and key.
 func (s *State) Find(k Kind, key string) (Entry, bool) {
--- a/internal/fleet/detour/call.go
+++ b/internal/fleet/kvfallback/call.go
@@ -1,4 +1,4 @@
-package detour
+package kvfallback
 
 import (
 	"context"
@@ -48,8 +48,8 @@
 	Transaction keyvalue.Transaction
 }
 
-// Answer is the answer to a Call.
-type Answer struct {
+// Reply is the answer to a Call.
+type Reply struct {
 	Item     keyvalue.Item
 	Listing  keyvalue.Listing
 	Changes  []keyvalue.Change
@@ -81,8 +81,8 @@
 	FailureNotFound:  keyvalue.ErrNotFound,
 	FailureLeaseGone: keyvalue.ErrLeaseGone,
 	FailureCompacted: keyvalue.ErrCompacted,
-	FailureBusy:      keyvalue.ErrBusy,
-	FailureDown:      keyvalue.ErrDown,
+	FailureBusy:      keyvalue.ErrRateLimited,
+	FailureDown:      keyvalue.ErrUnavailable,
 	FailureInvalid:   keyvalue.ErrInvalid,
 }
 
@@ -104,7 +104,7 @@
 }
 
 // Err returns the answer's error.
-func (a Answer) Err() error {
+func (a Reply) Err() error {
 	switch a.Failure {
 	case FailureNone:
 		return nil
@@ -115,7 +115,7 @@
 	}
 	err, ok := failures[a.Failure]
 	if !ok {
-		err = keyvalue.ErrLost
+		err = keyvalue.ErrOutcomeUnknown
 	}
 	return &remoteError{
 		kind: err,
@@ -158,16 +158,16 @@
 	return time.Duration(size) * time.Second / peerBytesPerSecond
 }
 
-// At makes the call to a key-value service and returns its result and error.
-func (c Call) At(ctx context.Context, s keyvalue.Space) Answer {
-	var a Answer
+// MakeAt makes the call to a key-value service and returns its result and error.
+func (c Call) MakeAt(ctx context.Context, s keyvalue.TransactionalStore) Reply {
+	var a Reply
 	var err error
 	wait := time.Duration(c.WaitMS) * time.Millisecond
 	switch c.Kind {
 	case KindGet:
 		a.Item, err = s.Get(ctx, c.Key)
 	case KindRange:
-		a.Listing, err = s.Range(ctx, c.Key, keyvalue.Freshness(c.Stale))
+		a.Listing, err = s.Range(ctx, c.Key, keyvalue.Consistency(c.Stale))
 	case KindWatch:
 		a.Changes, a.Revision, err = s.Watch(ctx, c.Key, c.After, wait)
 	case KindCommit:
@@ -195,20 +195,20 @@
 
 // Server makes calls to the service for other instances.
 type Server struct {
-	space *Space
+	space *Store
 }
 
 // Register lets other instances call the service through this one, which uses its
 // direct path only.
-func (s *Space) Register(server *peer.Server) error {
+func (s *Store) Register(server *peer.Server) error {
 	return server.Register(receiver, &Server{
 		space: s,
 	})
 }
 
 // Call makes one call. It fails at once while the direct path is known to be broken.
-func (s *Server) Call(c *Call, a *Answer) error {
-	if !s.space.Fresh() {
+func (s *Server) Call(c *Call, a *Reply) error {
+	if !s.space.TriesDirectFirst() {
 		a.Failure = FailureDown
 		return nil
 	}
@@ -218,7 +218,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	*a = c.At(ctx, s.space.Direct)
+	*a = c.MakeAt(ctx, s.space.Direct)
 	if c.Kind != KindWatch {
 		s.space.recordDirect(a.Err())
 	}
@@ -231,11 +231,11 @@
 }
 
 // Call implements Peers.
-func (p *PeerCalls) Call(ctx context.Context, address string, c Call) (Answer, error) {
-	var a Answer
+func (p *PeerCalls) Call(ctx context.Context, address string, c Call) (Reply, error) {
+	var a Reply
 	err := p.Client.Call(ctx, address, receiver+".Call", &c, &a)
 	if err != nil {
-		return a, fmt.Errorf("%w: %w", keyvalue.ErrLost, err)
+		return a, fmt.Errorf("%w: %w", keyvalue.ErrOutcomeUnknown, err)
 	}
 	return a, nil
 }
--- a/internal/fleet/detour/doc.go
+++ b/internal/fleet/kvfallback/doc.go
@@ -1,10 +1,10 @@
-// Package detour sends calls of the key-value service through other instances
+// Package kvfallback sends calls of the key-value service through other instances
 // while the service rejects the calls of this instance or cannot be reached by it.
 //
-//	space := &detour.Space{
-//		Direct: store,
-//		Peers:  &detour.PeerCalls{Client: client},
-//		Others: func() []string { return addresses },
+//	space := &kvfallback.Store{
+//		Direct:        store,
+//		Peers:         &kvfallback.PeerCalls{Client: client},
+//		PeerAddresses: func() []string { return addresses },
 //	}
 //
 // Calls use the direct path while it works. After a failure they go through
@@ -15,4 +15,4 @@
 // A call that fails on one path may have taken effect, and is still repeated on the
 // other one. Callers make their transactions conditional on revisions and read the
 // items of a conflict, so a repetition does no harm.
-package detour
+package kvfallback
--- a/internal/fleet/detour/space.go
+++ b/internal/fleet/kvfallback/space.go
@@ -1,4 +1,4 @@
-package detour
+package kvfallback
 
 import (
 	"context"
@@ -47,20 +47,20 @@
 
 // Peers asks other instances to make calls to the service.
 type Peers interface {
-	Call(ctx context.Context, address string, c Call) (Answer, error)
+	Call(ctx context.Context, address string, c Call) (Reply, error)
 }
 
-// Space is a keyvalue.Space that uses the direct path or, while that fails, other
-// instances.
-type Space struct {
-	Direct keyvalue.Space
+// Store is a keyvalue.TransactionalStore that uses the direct path or, while that fails,
+// other instances.
+type Store struct {
+	Direct keyvalue.TransactionalStore
 	Peers  Peers
-	// Others returns the addresses of the other instances.
-	Others  func() []string
-	Timer   timer.Service
-	Journal *journal.Journal
-	// Turned is called when the direct path fails after it worked. It may be nil.
-	Turned func()
+	// PeerAddresses returns the addresses of the other instances.
+	PeerAddresses func() []string
+	Timer         timer.Service
+	Journal       *journal.Journal
+	// OnDirectLost is called when the direct path fails after it worked. It may be nil.
+	OnDirectLost func()
 
 	mu             sync.Mutex
 	directFailedAt timer.Instant
@@ -72,38 +72,38 @@
 	directLost chan struct{}
 }
 
-// Fresh reports whether to try the direct path first: the last call on it was
+// TriesDirectFirst reports whether to try the direct path first: the last call on it was
 // answered, or failed at least directRetryInterval ago. While it is false, calls of
 // other instances are rejected at once, without a call of the service.
-func (s *Space) Fresh() bool {
+func (s *Store) TriesDirectFirst() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.directFailed || s.Timer.Now().Sub(s.directFailedAt) >= directRetryInterval
 }
 
-// Good reports whether the last call on the direct path was answered.
-func (s *Space) Good() bool {
+// DirectOK reports whether the last call on the direct path was answered.
+func (s *Store) DirectOK() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.directFailed
 }
 
 // paused reports whether all paths failed within the last outagePause.
-func (s *Space) paused() bool {
+func (s *Store) paused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Timer.Now() < s.pausedUntil
 }
 
 // pause stops all calls for outagePause.
-func (s *Space) pause() {
+func (s *Store) pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pausedUntil = s.Timer.Now().Add(outagePause)
 }
 
 // avoidPeer excludes an instance for peerAvoidTime.
-func (s *Space) avoidPeer(address string) {
+func (s *Store) avoidPeer(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.avoidUntil == nil {
@@ -114,7 +114,7 @@
 
 // directState returns whether the last call on the direct path failed, and a channel
 // that is closed when that path fails after it worked.
-func (s *Space) directState() (failed bool, lost <-chan struct{}) {
+func (s *Store) directState() (failed bool, lost <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.directLost == nil {
@@ -124,8 +124,8 @@
 }
 
 // recordDirect records the result of a call on the direct path. If the path failed
-// after it worked, it ends the watches on it and calls Turned.
-func (s *Space) recordDirect(err error) {
+// after it worked, it ends the watches on it and calls OnDirectLost.
+func (s *Store) recordDirect(err error) {
 	failed := unavailable(err)
 	s.mu.Lock()
 	failedBefore := s.directFailed
@@ -140,14 +140,14 @@
 	s.mu.Unlock()
 	switch {
 	case failed && !failedBefore:
-		if s.Turned != nil {
-			s.Turned()
+		if s.OnDirectLost != nil {
+			s.OnDirectLost()
 		}
-		s.Journal.Trouble("dependency lost", err, log.Fields{
+		s.Journal.Warn("dependency lost", err, log.Fields{
 			"dependency": "key-value service, direct way",
 		})
 	case !failed && failedBefore:
-		s.Journal.Event("dependency regained", log.Fields{
+		s.Journal.Info("dependency regained", log.Fields{
 			"dependency": "key-value service, direct way",
 		})
 	}
@@ -156,18 +156,18 @@
 // unavailable reports whether an error means that the service was not reached, refused
 // the call or did not answer.
 func unavailable(err error) bool {
-	return errors.Is(err, keyvalue.ErrDown) || errors.Is(err, keyvalue.ErrBusy) || errors.Is(err, keyvalue.ErrLost) ||
+	return errors.Is(err, keyvalue.ErrUnavailable) || errors.Is(err, keyvalue.ErrRateLimited) || errors.Is(err, keyvalue.ErrOutcomeUnknown) ||
 		errors.Is(err, context.DeadlineExceeded)
 }
 
 // do makes a call on the direct path and through other instances, in the order that
-// Fresh gives, until one path answers.
-func (s *Space) do(ctx context.Context, c Call) (Answer, error) {
+// TriesDirectFirst gives, until one path answers.
+func (s *Store) do(ctx context.Context, c Call) (Reply, error) {
 	if s.paused() {
-		return Answer{}, keyvalue.ErrDown
+		return Reply{}, keyvalue.ErrUnavailable
 	}
-	paths := []func(context.Context, Call) (Answer, error){s.callPeers, s.callDirect}
-	if s.Fresh() {
+	paths := []func(context.Context, Call) (Reply, error){s.callPeers, s.callDirect}
+	if s.TriesDirectFirst() {
 		paths[0], paths[1] = paths[1], paths[0]
 	}
 	var errs []error
@@ -178,26 +178,27 @@
 		}
 		errs = append(errs, err)
 		if ctx.Err() != nil {
-			return Answer{}, combineErrors(errs)
+			return Reply{}, combineErrors(errs)
 		}
 	}
 	s.pause()
-	return Answer{}, combineErrors(errs)
+	return Reply{}, combineErrors(errs)
 }
 
 // combineErrors joins the errors of all attempts at a call. If any of them is neither
-// ErrDown nor ErrBusy, the call may have taken effect, and the result is ErrLost.
+// ErrUnavailable nor ErrRateLimited, the call may have taken effect, and the result is
+// ErrOutcomeUnknown.
 func combineErrors(errs []error) error {
 	for _, err := range errs {
-		if !errors.Is(err, keyvalue.ErrDown) && !errors.Is(err, keyvalue.ErrBusy) {
-			return errors.Join(keyvalue.ErrLost, err)
+		if !errors.Is(err, keyvalue.ErrUnavailable) && !errors.Is(err, keyvalue.ErrRateLimited) {
+			return errors.Join(keyvalue.ErrOutcomeUnknown, err)
 		}
 	}
 	return errors.Join(errs...)
 }
 
 // callPeers makes a call through other instances, one after the other.
-func (s *Space) callPeers(ctx context.Context, c Call) (Answer, error) {
+func (s *Store) callPeers(ctx context.Context, c Call) (Reply, error) {
 	var errs []error
 	for _, address := range s.pickPeers() {
 		callCtx, cancel := context.WithTimeout(ctx, c.timeout(peerTimeout)+c.transferTime())
@@ -206,7 +207,7 @@
 		if err != nil {
 			s.avoidPeer(address)
 		} else if err = a.Err(); !unavailable(err) {
-			s.Journal.Detail("detour", log.Fields{
+			s.Journal.Debug("detour", log.Fields{
 				"call":    c.Kind.String(),
 				"through": address,
 			})
@@ -218,16 +219,16 @@
 		}
 	}
 	if len(errs) == 0 {
-		return Answer{}, keyvalue.ErrDown
+		return Reply{}, keyvalue.ErrUnavailable
 	}
-	return Answer{}, combineErrors(errs)
+	return Reply{}, combineErrors(errs)
 }
 
 // callDirect makes a call on the direct path.
-func (s *Space) callDirect(ctx context.Context, c Call) (Answer, error) {
+func (s *Store) callDirect(ctx context.Context, c Call) (Reply, error) {
 	callCtx, cancel := context.WithTimeout(ctx, c.timeout(directTimeout)+c.transferTime())
 	defer cancel()
-	a := c.At(callCtx, s.Direct)
+	a := c.MakeAt(callCtx, s.Direct)
 	err := a.Err()
 	if ctx.Err() == nil || err == nil {
 		s.recordDirect(err)
@@ -237,11 +238,11 @@
 
 // pickPeers returns up to maxPeersTried other instances in random order, without those
 // that failed within peerAvoidTime.
-func (s *Space) pickPeers() []string {
+func (s *Store) pickPeers() []string {
 	now := s.Timer.Now()
 	s.mu.Lock()
 	var peers []string
-	for _, address := range s.Others() {
+	for _, address := range s.PeerAddresses() {
 		if now >= s.avoidUntil[address] {
 			peers = append(peers, address)
 		}
@@ -251,11 +252,11 @@
 	return peers[:min(len(peers), maxPeersTried)]
 }
 
-// Watch implements keyvalue.Space. It uses one path only; when that path fails, the
-// caller lists again on the other one.
-func (s *Space) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]keyvalue.Change, uint64, error) {
+// Watch implements keyvalue.TransactionalStore. It uses one path only; when that path
+// fails, the caller lists again on the other one.
+func (s *Store) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]keyvalue.Change, uint64, error) {
 	if s.paused() {
-		return nil, 0, keyvalue.ErrDown
+		return nil, 0, keyvalue.ErrUnavailable
 	}
 	c := Call{
 		Kind:   KindWatch,
@@ -276,15 +277,15 @@
 		case <-ctx.Done():
 		}
 	}()
-	a := c.At(ctx, s.Direct)
+	a := c.MakeAt(ctx, s.Direct)
 	return a.Changes, a.Revision, a.Err()
 }
 
 // watchAtPeer watches through one other instance, for peerWatchWait at most.
-func (s *Space) watchAtPeer(ctx context.Context, c Call) ([]keyvalue.Change, uint64, error) {
+func (s *Store) watchAtPeer(ctx context.Context, c Call) ([]keyvalue.Change, uint64, error) {
 	peers := s.pickPeers()
 	if len(peers) == 0 {
-		return nil, 0, keyvalue.ErrDown
+		return nil, 0, keyvalue.ErrUnavailable
 	}
 	c.WaitMS = min(c.WaitMS, peerWatchWait.Milliseconds())
 	ctx, cancel := context.WithTimeout(ctx, peerWatchWait+peerTimeout)
@@ -297,8 +298,8 @@
 	return a.Changes, a.Revision, a.Err()
 }
 
-// Get implements keyvalue.Space.
-func (s *Space) Get(ctx context.Context, key string) (keyvalue.Item, error) {
+// Get implements keyvalue.TransactionalStore.
+func (s *Store) Get(ctx context.Context, key string) (keyvalue.Item, error) {
 	a, err := s.do(ctx, Call{
 		Kind: KindGet,
 		Key:  key,
@@ -306,8 +307,8 @@
 	return a.Item, err
 }
 
-// Range implements keyvalue.Space.
-func (s *Space) Range(ctx context.Context, prefix string, f keyvalue.Freshness) (keyvalue.Listing, error) {
+// Range implements keyvalue.TransactionalStore.
+func (s *Store) Range(ctx context.Context, prefix string, f keyvalue.Consistency) (keyvalue.Listing, error) {
 	a, err := s.do(ctx, Call{
 		Kind:  KindRange,
 		Key:   prefix,
@@ -316,9 +317,9 @@
 	return a.Listing, err
 }
 
-// Changes returns the changes below a prefix after a revision without waiting, and the
+// ChangesSince returns the changes below a prefix after a revision without waiting, and the
 // revision up to which they are complete.
-func (s *Space) Changes(ctx context.Context, prefix string, after uint64) ([]keyvalue.Change, uint64, error) {
+func (s *Store) ChangesSince(ctx context.Context, prefix string, after uint64) ([]keyvalue.Change, uint64, error) {
 	a, err := s.do(ctx, Call{
 		Kind:  KindWatch,
 		Key:   prefix,
@@ -327,8 +328,8 @@
 	return a.Changes, a.Revision, err
 }
 
-// Commit implements keyvalue.Space.
-func (s *Space) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
+// Commit implements keyvalue.TransactionalStore.
+func (s *Store) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
 	a, err := s.do(ctx, Call{
 		Kind:        KindCommit,
 		Transaction: tx,
@@ -336,8 +337,8 @@
 	return a.Revision, err
 }
 
-// Grant implements keyvalue.Space.
-func (s *Space) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+// Grant implements keyvalue.TransactionalStore.
+func (s *Store) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	a, err := s.do(ctx, Call{
 		Kind:   KindGrant,
 		WaitMS: ttl.Milliseconds(),
@@ -345,8 +346,8 @@
 	return a.Lease, err
 }
 
-// KeepAlive implements keyvalue.Space.
-func (s *Space) KeepAlive(ctx context.Context, lease uint64) error {
+// KeepAlive implements keyvalue.TransactionalStore.
+func (s *Store) KeepAlive(ctx context.Context, lease uint64) error {
 	_, err := s.do(ctx, Call{
 		Kind:  KindKeepAlive,
 		Lease: lease,
@@ -354,8 +355,8 @@
 	return err
 }
 
-// Revoke implements keyvalue.Space.
-func (s *Space) Revoke(ctx context.Context, lease uint64) error {
+// Revoke implements keyvalue.TransactionalStore.
+func (s *Store) Revoke(ctx context.Context, lease uint64) error {
 	_, err := s.do(ctx, Call{
 		Kind:  KindRevoke,
 		Lease: lease,
--- a/internal/fleet/detour/space_test.go
+++ b/internal/fleet/kvfallback/space_test.go
@@ -1,4 +1,4 @@
-package detour
+package kvfallback
 
 import (
 	"context"
@@ -11,44 +11,44 @@
 
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
-	"github.com/egretbend/egretbend/internal/standin/space"
+	"github.com/egretbend/egretbend/internal/standin/memorystore"
 )
 
 // peersStub implements Peers: it makes all calls to one service, or fails them.
 type peersStub struct {
-	space keyvalue.Space
+	space keyvalue.TransactionalStore
 	calls int
 	fail  error
 }
 
 // Call implements Peers.
-func (l *peersStub) Call(ctx context.Context, _ string, c Call) (Answer, error) {
+func (l *peersStub) Call(ctx context.Context, _ string, c Call) (Reply, error) {
 	l.calls++
 	if l.fail != nil {
-		return Answer{}, l.fail
+		return Reply{}, l.fail
 	}
-	return c.At(ctx, l.space), nil
+	return c.MakeAt(ctx, l.space), nil
 }
 
 // newDownStore returns a service that is down for all calls.
-func newDownStore(clock timer.Service) *space.Space {
-	return &space.Space{
+func newDownStore(clock timer.Service) *memorystore.Store {
+	return &memorystore.Store{
 		Timer: clock,
-		Fault: func(space.Call) space.Fault { return space.Down },
+		Fault: func(memorystore.Operation) memorystore.Fault { return memorystore.Down },
 	}
 }
 
-// newSpace returns a Space with one service on the direct path and another one behind
+// newSpace returns a Store with one service on the direct path and another one behind
 // its peers.
-func newSpace(clock timer.Service, direct, elsewhere *space.Space) (*Space, *peersStub) {
+func newSpace(clock timer.Service, direct, elsewhere *memorystore.Store) (*Store, *peersStub) {
 	peers := &peersStub{
 		space: elsewhere,
 	}
-	return &Space{
-		Direct: direct,
-		Peers:  peers,
-		Others: func() []string { return []string{"one", "two", "three", "four", "five"} },
-		Timer:  clock,
+	return &Store{
+		Direct:        direct,
+		Peers:         peers,
+		PeerAddresses: func() []string { return []string{"one", "two", "three", "four", "five"} },
+		Timer:         clock,
 	}, peers
 }
 
@@ -59,7 +59,7 @@
 	is := is.New(t)
 	ctx := context.Background()
 	clock := &timer.Manual{}
-	store := &space.Space{
+	store := &memorystore.Store{
 		Timer: clock,
 	}
 	down := newDownStore(clock)
@@ -74,12 +74,12 @@
 	is.NoErr(err)
 	is.Equal(item.Revision, rev)
 	is.Equal(peers.calls, 2)
-	is.Equal(down.Calls(space.Commit)+down.Calls(space.Get), 1) // the failed path is not tried again at once
+	is.Equal(down.CallCount(memorystore.Commit)+down.CallCount(memorystore.Get), 1) // the failed path is not tried again at once
 	clock.Advance(directRetryInterval)
 	down.Fault = nil
 	_, err = s.Get(ctx, "other")
 	is.True(errors.Is(err, keyvalue.ErrNotFound))
-	is.True(s.Good()) // the direct path was tried again
+	is.True(s.DirectOK()) // the direct path was tried again
 }
 
 // The service is down for all instances. Every call is billed, even one that is not
@@ -93,10 +93,10 @@
 	s, peers := newSpace(clock, down, down)
 	for range 50 {
 		_, err := s.Get(ctx, "k")
-		is.True(errors.Is(err, keyvalue.ErrDown))
+		is.True(errors.Is(err, keyvalue.ErrUnavailable))
 	}
 	is.Equal(peers.calls, maxPeersTried)
-	is.Equal(down.Calls(space.Get), 1+maxPeersTried)
+	is.Equal(down.CallCount(memorystore.Get), 1+maxPeersTried)
 }
 
 // The answer to a write is lost, and the other paths are down. The write may have taken
@@ -105,18 +105,18 @@
 func TestLostAnswerIsNotReportedAsDown(t *testing.T) {
 	is := is.New(t)
 	clock := &timer.Manual{}
-	lossy := &space.Space{
+	lossy := &memorystore.Store{
 		Timer: clock,
-		Fault: func(space.Call) space.Fault { return space.LostAfter },
+		Fault: func(memorystore.Operation) memorystore.Fault { return memorystore.LostAfter },
 	}
 	s, peers := newSpace(clock, lossy, lossy)
-	peers.fail = keyvalue.ErrDown
+	peers.fail = keyvalue.ErrUnavailable
 	_, err := s.Commit(context.Background(), keyvalue.Transaction{
 		Writes: []keyvalue.Write{
 			{Key: "k", Value: []byte("v")},
 		},
 	})
-	is.True(errors.Is(err, keyvalue.ErrLost))
+	is.True(errors.Is(err, keyvalue.ErrOutcomeUnknown))
 }
 
 // Guards against a conflict that loses its items on the way through another instance:
@@ -125,13 +125,13 @@
 	is := is.New(t)
 	ctx := context.Background()
 	clock := &timer.Manual{}
-	store := &space.Space{
+	store := &memorystore.Store{
 		Timer: clock,
 	}
 	down := newDownStore(clock)
 	s, _ := newSpace(clock, down, store)
 	tx := keyvalue.Transaction{
-		Expects: []keyvalue.Expect{
+		Expects: []keyvalue.Condition{
 			{Key: "k"},
 		},
 		Writes: []keyvalue.Write{
@@ -153,26 +153,26 @@
 	is := is.New(t)
 	clock := &timer.Manual{}
 	var fails atomic.Bool
-	store := &space.Space{
+	store := &memorystore.Store{
 		Timer: clock,
-		Fault: func(c space.Call) space.Fault {
-			if c != space.Watch && fails.Load() {
-				return space.LostBefore
+		Fault: func(c memorystore.Operation) memorystore.Fault {
+			if c != memorystore.Watch && fails.Load() {
+				return memorystore.LostBefore
 			}
-			return space.None
+			return memorystore.None
 		},
 	}
 	s, peers := newSpace(clock, store, store)
-	peers.fail = keyvalue.ErrDown
+	peers.fail = keyvalue.ErrUnavailable
 	ended := make(chan error, 1)
 	go func() {
 		_, _, err := s.Watch(context.Background(), "p/", 1, time.Hour)
 		ended <- err
 	}()
-	is.True(timer.Until(timer.Real{}, time.Millisecond, 10*time.Second, nil, func() bool { return store.Calls(space.Watch) > 0 }))
+	is.True(timer.Poll(timer.Real{}, time.Millisecond, 10*time.Second, nil, func() bool { return store.CallCount(memorystore.Watch) > 0 }))
 	fails.Store(true)
 	_, err := s.Get(context.Background(), "k")
-	is.True(errors.Is(err, keyvalue.ErrLost))
+	is.True(errors.Is(err, keyvalue.ErrOutcomeUnknown))
 	limit := timer.Real{}.Once(10 * time.Second)
 	defer limit.Close()
 	select {
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -62,9 +62,9 @@
 	return h.fencingNumber, true
 }
 
-// Last returns the last fencing number that this instance held, or zero if it
+// LastFencingNumber returns the last fencing number that this instance held, or zero if it
 // never held the lease.
-func (h *Holder) Last() uint64 {
+func (h *Holder) LastFencingNumber() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lastNumber
@@ -144,7 +144,7 @@
 		return
 	}
 	fencingNumber, err := h.Store.Put(ctx, h.Key, []byte(h.Self), 0, leaseID)
-	if errors.Is(err, keyvalue.ErrLost) {
+	if errors.Is(err, keyvalue.ErrOutcomeUnknown) {
 		fencingNumber, err = h.confirmPut(ctx, leaseID)
 	}
 	if err != nil {
@@ -183,7 +183,7 @@
 	fencingNumber := h.fencingNumber
 	h.leaseID, h.fencingNumber = 0, 0
 	h.mu.Unlock()
-	h.Journal.Event("lease_lost", log.Fields{
+	h.Journal.Info("lease_lost", log.Fields{
 		"key":            h.Key,
 		"fencing_number": fencingNumber,
 	})
--- a/internal/fleet/lease/property_test.go
+++ b/internal/fleet/lease/property_test.go
@@ -10,7 +10,7 @@
 	"github.com/egretbend/egretbend/internal/fleet/lease"
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
-	"github.com/egretbend/egretbend/internal/standin/proof"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
 // fakeStore is a key-value service that holds one item under a lease, and whose
@@ -45,9 +45,9 @@
 	s.expire()
 	switch {
 	case s.fault == "down" && !applied:
-		return keyvalue.ErrDown
+		return keyvalue.ErrUnavailable
 	case s.fault == "lost" && applied:
-		return keyvalue.ErrLost
+		return keyvalue.ErrOutcomeUnknown
 	}
 	return nil
 }
@@ -176,11 +176,11 @@
 // it; the service is down or loses answers. Two instances that act as holder at
 // once would order the same engines to different versions.
 func TestOneHolderAtATimeWithIncreasingNumbers(t *testing.T) {
-	proof.Check(t, historyProperty(func(h *lease.Holder, now timer.Instant) (uint64, bool) { return h.Held(now) }))
+	property.Check(t, historyProperty(func(h *lease.Holder, now timer.Instant) (uint64, bool) { return h.Held(now) }))
 }
 
 // A holder that does not compare with the clock still considers the lease held
 // after a pause.
 func TestPausedHolderKeepsLeaseWithoutClockCheck(t *testing.T) {
-	proof.Refute(t, historyProperty(func(h *lease.Holder, _ timer.Instant) (uint64, bool) { return h.Held(0) }))
+	property.CheckFails(t, historyProperty(func(h *lease.Holder, _ timer.Instant) (uint64, bool) { return h.Held(0) }))
 }
--- a/internal/fleet/listing/book.go
+++ b/internal/fleet/listing/book.go
@@ -16,11 +16,11 @@
 	goneTTLSeconds = 3600
 )
 
-// Book reads and writes the instance list in the gossip state.
-type Book struct {
+// Table reads and writes the instance list in the gossip state.
+type Table struct {
 	State *gossip.State
 
-	decoded gossip.Decoded[upstreamEntry]
+	decoded gossip.DecodeCache[upstreamEntry]
 }
 
 // upstreamEntry is the value of a gossip entry of kind upstream. The entry's major
@@ -31,7 +31,7 @@
 }
 
 // List returns the upstreams that are in the list, with their leaving marks.
-func (b *Book) List() []roster.Instance {
+func (b *Table) List() []roster.Instance {
 	leaving := make(map[string]uint64)
 	for _, e := range b.State.List(gossip.KindLeaving) {
 		leaving[e.Key] = e.Version.Major
@@ -50,13 +50,13 @@
 }
 
 // Changes returns a counter that rises when the result of List may have changed.
-func (b *Book) Changes() uint64 {
-	return b.State.Changes(gossip.KindUpstream) + b.State.Changes(gossip.KindLeaving)
+func (b *Table) Changes() uint64 {
+	return b.State.ChangeCount(gossip.KindUpstream) + b.State.ChangeCount(gossip.KindLeaving)
 }
 
 // MarkLeaving marks an incarnation of an upstream as leaving. It reports whether the
 // mark is new.
-func (b *Book) MarkLeaving(id string, incarnation uint64) bool {
+func (b *Table) MarkLeaving(id string, incarnation uint64) bool {
 	return b.State.Merge(gossip.Entry{
 		Kind: gossip.KindLeaving,
 		Key:  id,
@@ -69,7 +69,7 @@
 
 // MarkLeavingByID marks the current incarnation of an upstream as leaving. It reports
 // whether the upstream is known.
-func (b *Book) MarkLeavingByID(id string) bool {
+func (b *Table) MarkLeavingByID(id string) bool {
 	e, ok := b.State.Find(gossip.KindUpstream, id)
 	if !ok {
 		return false
@@ -78,9 +78,9 @@
 	return true
 }
 
-// Seen records an upstream that is in the platform's list. It reports whether that
+// Upsert records an upstream that is in the platform's list. It reports whether that
 // changed anything.
-func (b *Book) Seen(in roster.Instance) bool {
+func (b *Table) Upsert(in roster.Instance) bool {
 	changed := false
 	if in.Leaving {
 		changed = b.MarkLeaving(in.ID, in.Incarnation)
@@ -103,9 +103,9 @@
 	}, minor, 0) || changed
 }
 
-// Missing records that an upstream is no longer in the platform's list. It reports
+// MarkGone records that an upstream is no longer in the platform's list. It reports
 // whether that changed anything.
-func (b *Book) Missing(in roster.Instance) bool {
+func (b *Table) MarkGone(in roster.Instance) bool {
 	old, ok := b.State.Find(gossip.KindUpstream, in.ID)
 	if !ok || old.Version.Major != in.Incarnation {
 		return false
@@ -118,7 +118,7 @@
 
 // mergeEntry writes an entry with the given minor version and expiry, a Unix time in
 // seconds, to the gossip state.
-func (b *Book) mergeEntry(p upstreamEntry, minor uint64, expires int64) bool {
+func (b *Table) mergeEntry(p upstreamEntry, minor uint64, expires int64) bool {
 	value, err := json.Marshal(p)
 	if err != nil {
 		return false
--- a/internal/fleet/listing/part.go
+++ b/internal/fleet/listing/part.go
@@ -22,15 +22,15 @@
 }
 
 func makePart(h *part.Host) (part.Part, error) {
-	book := &Book{
-		State: part.Get[*gossip.State](h),
+	book := &Table{
+		State: part.MustGet[*gossip.State](h),
 	}
-	part.Put(h, book)
+	part.Provide(h, book)
 	return &listingPart{
 		reader: &Reader{
 			Book:    book,
-			Source:  part.Get[roster.Source](h),
-			Table:   part.Get[*member.Table](h),
+			Source:  part.MustGet[roster.Source](h),
+			Table:   part.MustGet[*member.Table](h),
 			Timer:   h.Timer,
 			Journal: h.Journal,
 		},
--- a/internal/fleet/listing/reader.go
+++ b/internal/fleet/listing/reader.go
@@ -33,7 +33,7 @@
 // Reader reads the platform's list while this instance is one of the readers of its
 // failure domain.
 type Reader struct {
-	Book    *Book
+	Book    *Table
 	Source  roster.Source
 	Table   *member.Table
 	Timer   timer.Service
@@ -65,19 +65,19 @@
 	defer cancel()
 	list, err := r.Source.List(ctx)
 	if err != nil {
-		r.Journal.Trouble("instance_list_unreachable", err, nil)
+		r.Journal.Warn("instance_list_unreachable", err, nil)
 		return
 	}
-	r.Take(list)
+	r.Apply(list)
 }
 
-// Take compares a list with the known upstreams and records the differences.
-func (r *Reader) Take(list []roster.Instance) {
+// Apply compares a list with the known upstreams and records the differences.
+func (r *Reader) Apply(list []roster.Instance) {
 	present := make(map[string]bool, len(list))
 	for _, in := range list {
 		present[in.ID] = true
-		if r.Book.Seen(in) {
-			r.Journal.Event("upstream_listed", log.Fields{
+		if r.Book.Upsert(in) {
+			r.Journal.Info("upstream_listed", log.Fields{
 				"upstream": in.ID,
 				"leaving":  in.Leaving,
 			})
@@ -102,8 +102,8 @@
 	next := make(map[string]int)
 	for _, in := range missing {
 		next[in.ID] = r.misses[in.ID] + 1
-		if next[in.ID] >= missesUntilGone && r.Book.Missing(in) {
-			r.Journal.Event("upstream_gone", log.Fields{
+		if next[in.ID] >= missesUntilGone && r.Book.MarkGone(in) {
+			r.Journal.Info("upstream_gone", log.Fields{
 				"upstream": in.ID,
 			})
 		}
