--- a/internal/rollout/session/work.go
+++ b/internal/rollout/session/work.go
@@ -8,26 +8,26 @@
 	"github.com/egretbend/egretbend/internal/rollout/sample"
 )
 
-// Work describes an attempt for the runner to start.
-type Work struct {
+// Attempt describes an attempt for the runner to start.
+type Attempt struct {
 	Key        sample.Key
 	Deployment string
 	Prompt     string
 	MaxTokens  int
-	// Attempt is the number of attempts at the sample that run, including this
+	// RunningAttempts is the number of attempts at the sample that run, including this
 	// one.
-	Attempt int
+	RunningAttempts int
 	// Second is set when another attempt at the sample is still running.
 	Second bool
-	// Lead is by how many step numbers this step is ahead of the oldest open
+	// StepLead is by how many step numbers this step is ahead of the oldest open
 	// one.
-	Lead uint64
+	StepLead uint64
 }
 
 // Limits are the limits on the attempts that Next returns.
 type Limits struct {
-	// AtOnce is the largest number of attempts that run at the same time.
-	AtOnce int
+	// MaxAttempts is the largest number of attempts that run at the same time.
+	MaxAttempts int
 	// SecondAttempts is the budget of second attempts of a step, as a share of
 	// its samples.
 	SecondAttempts float64
@@ -57,9 +57,9 @@
 // comes first, with its pending samples and then with second attempts at its
 // stragglers. Later steps follow only after that, because otherwise a second
 // attempt for the step that the trainer waits for would queue behind them.
-func (s *Session) Next(l Limits, now timer.Instant) (Work, bool) {
-	if s.runningAttempts >= l.AtOnce {
-		return Work{}, false
+func (s *Session) Next(l Limits, now timer.Instant) (Attempt, bool) {
+	if s.runningAttempts >= l.MaxAttempts {
+		return Attempt{}, false
 	}
 	oldest, found := uint64(0), false
 	for _, st := range s.stepsByNumber {
@@ -81,7 +81,7 @@
 			return s.startAttempt(it, lead, now), true
 		}
 	}
-	return Work{}, false
+	return Attempt{}, false
 }
 
 // Progress records the number of tokens of an attempt at a sample, if no other
@@ -164,7 +164,7 @@
 }
 
 // startAttempt marks an item as running and returns the attempt to start.
-func (s *Session) startAttempt(it *item, lead uint64, now timer.Instant) Work {
+func (s *Session) startAttempt(it *item, lead uint64, now timer.Instant) Attempt {
 	second := it.state == running
 	if !second {
 		it.firstAttemptAt = now
@@ -175,14 +175,14 @@
 	it.lastAttemptAt = now
 	it.attempts++
 	s.runningAttempts++
-	return Work{
-		Key:        it.key,
-		Deployment: it.step.spec.Deployment,
-		Prompt:     it.group.Prompt,
-		MaxTokens:  it.group.MaxTokens,
-		Attempt:    it.attempts,
-		Second:     second,
-		Lead:       lead,
+	return Attempt{
+		Key:             it.key,
+		Deployment:      it.step.spec.Deployment,
+		Prompt:          it.group.Prompt,
+		MaxTokens:       it.group.MaxTokens,
+		RunningAttempts: it.attempts,
+		Second:          second,
+		StepLead:        lead,
 	}
 }
 
@@ -201,17 +201,17 @@
 	return slices.ContainsFunc(st.itemsByLength, func(it *item) bool { return it.state == pending })
 }
 
-// Wanted reports whether Finish would still accept a result for key. Attempts
+// NeedsResult reports whether Finish would still accept a result for key. Attempts
 // poll it, so that they end soon after their step was dropped or another attempt
 // finished first.
-func (s *Session) Wanted(key sample.Key) bool {
+func (s *Session) NeedsResult(key sample.Key) bool {
 	it, ok := s.findItem(key)
 	return ok && it.state == running
 }
 
 // Finish takes the result of an attempt and reports whether it was accepted. A
 // result is ignored if another attempt finished first or the step was dropped.
-func (s *Session) Finish(key sample.Key, k Kept, now timer.Instant) bool {
+func (s *Session) Finish(key sample.Key, k FinishedSample, now timer.Instant) bool {
 	s.runningAttempts--
 	it, ok := s.findItem(key)
 	if !ok || it.state != running {
@@ -237,8 +237,8 @@
 	}
 }
 
-// Return undoes a Next whose attempt was not admitted.
-func (s *Session) Return(w Work) {
+// UndoNext undoes a Next whose attempt was not admitted.
+func (s *Session) UndoNext(w Attempt) {
 	s.runningAttempts--
 	it, ok := s.findItem(w.Key)
 	if !ok || it.state != running {
@@ -254,7 +254,7 @@
 
 // Recover takes a finished sample from a copy on another instance. It reports
 // whether the sample was accepted, which it is only while it is pending.
-func (s *Session) Recover(key sample.Key, k Kept) bool {
+func (s *Session) Recover(key sample.Key, k FinishedSample) bool {
 	it, ok := s.findItem(key)
 	if !ok || it.state != pending {
 		return false
@@ -265,7 +265,7 @@
 }
 
 // makeReady sets the result of an item and queues it for delivery.
-func (s *Session) makeReady(it *item, k Kept) {
+func (s *Session) makeReady(it *item, k FinishedSample) {
 	it.state = ready
 	it.result = k
 	s.ready = append(s.ready, it)
--- a/internal/rollout/stream/generator.go
+++ b/internal/rollout/stream/generator.go
@@ -35,7 +35,7 @@
 type Task struct {
 	RequestID  string
 	Caller     string
-	Class      limit.Class
+	Class      limit.Priority
 	Weight     float64
 	Deployment string
 	Prompt     string
@@ -44,62 +44,62 @@
 	// Resume holds the tokens of an earlier attempt. The generation continues
 	// after them and does not emit them again.
 	Resume []string
-	// Staleness applies the deployment's bound on weight versions.
-	Staleness bool
-	// Lead is the number of versions that are expected to be published before
+	// BoundStaleness applies the deployment's bound on weight versions.
+	BoundStaleness bool
+	// VersionLead is the number of versions that are expected to be published before
 	// the result is delivered.
-	Lead uint64
-	// Share is the share of the deployment that the caller may claim while its
+	VersionLead uint64
+	// ClaimedShare is the share of the deployment that the caller may claim while its
 	// capacity is short; zero claims no particular share.
-	Share float64
+	ClaimedShare float64
 	// Avoid lists the IDs of upstreams that run other attempts at the same
 	// result.
 	Avoid []string
-	// Chosen, if not nil, is called with the ID of each upstream that is chosen.
-	Chosen func(upstream string)
+	// OnChosen, if not nil, is called with the ID of each upstream that is chosen.
+	OnChosen func(upstream string)
 }
 
 // digest returns the fingerprint that identifies the generation when it is
 // requested again.
-func (t *Task) digest() fingerprint.Sum {
-	return fingerprint.Of(fingerprint.Parts{
+func (t *Task) digest() fingerprint.Digest {
+	return fingerprint.DigestOf(fingerprint.Parts{
 		Organisation: t.Caller,
 		Host:         t.Deployment,
 		Body:         []byte(t.Prompt),
 	})
 }
 
-// Finish describes how a generation ended and where it ran.
-type Finish struct {
+// Result describes how a generation ended and where it ran.
+type Result struct {
 	// Reason is the finish reason that the engine reported.
 	Reason string
 	// Upstreams lists the IDs of the upstreams of all attempts, in order.
 	Upstreams []string
 }
 
-// Enter admits a generation, or refuses it at once. The caller passes the trip to
+// Admit admits a generation, or refuses it at once. The caller passes the trip to
 // Run or closes it.
-func (g *Generator) Enter(task Task) (*router.Trip, error) {
-	job := router.Job{
-		RequestID:  task.RequestID,
-		Caller:     task.Caller,
-		Class:      task.Class,
-		Weight:     task.Weight,
-		Deployment: task.Deployment,
-		Key:        prefixHash(task.Prompt),
-		Staleness:  task.Staleness,
-		Lead:       task.Lead,
-		Share:      task.Share,
+func (g *Generator) Admit(task Task) (*router.Dispatch, error) {
+	job := router.Request{
+		RequestID:      task.RequestID,
+		Caller:         task.Caller,
+		Class:          task.Class,
+		Weight:         task.Weight,
+		Deployment:     task.Deployment,
+		PrefixHash:     prefixHash(task.Prompt),
+		BoundStaleness: task.BoundStaleness,
+		VersionLead:    task.VersionLead,
+		ClaimedShare:   task.ClaimedShare,
 	}
 	if task.Class != limit.Training {
-		job.Sum = task.digest
+		job.Digest = task.digest
 	}
-	trip, err := g.Router.Enter(job)
+	trip, err := g.Router.Admit(job)
 	if err != nil {
 		return nil, err
 	}
 	if trip.Set.Deployment.Kind != configuration.KindModel {
-		trip.Close(limit.Neutral)
+		trip.Close(limit.Ignored)
 		return nil, problem.UnknownDeployment.Withf("deployment %q is not a model", task.Deployment)
 	}
 	return trip, nil
@@ -107,7 +107,7 @@
 
 // Run generates to the end of the stream, passes each new token to emit, and
 // closes the trip. The deadline is that of ctx.
-func (g *Generator) Run(ctx context.Context, trip *router.Trip, task Task, emit func(engine.Token) error) (Finish, error) {
+func (g *Generator) Run(ctx context.Context, trip *router.Dispatch, task Task, emit func(engine.Token) error) (Result, error) {
 	r := &generation{
 		generator:  g,
 		trip:       trip,
@@ -116,7 +116,7 @@
 		emit:       emit,
 	}
 	for _, id := range task.Avoid {
-		trip.Avoid(id)
+		trip.Exclude(id)
 	}
 	finish, err := r.runAttempts(ctx)
 	trip.Close(r.limitResult(err))
@@ -135,7 +135,7 @@
 // generation is the state of a generation during its attempts.
 type generation struct {
 	generator *Generator
-	trip      *router.Trip
+	trip      *router.Dispatch
 	task      Task
 	// tokenTexts holds the texts of all tokens so far, resumed ones included.
 	tokenTexts []string
@@ -152,19 +152,19 @@
 
 // runAttempts makes attempts until one reaches the end of the stream or no other
 // may be made.
-func (r *generation) runAttempts(ctx context.Context) (Finish, error) {
+func (r *generation) runAttempts(ctx context.Context) (Result, error) {
 	var lastErr error
 	for {
-		u, err := r.trip.Next()
+		u, err := r.trip.NextUpstream()
 		if err != nil {
-			return Finish{}, r.finalError(err, lastErr)
+			return Result{}, r.finalError(err, lastErr)
 		}
-		if r.task.Chosen != nil {
-			r.task.Chosen(u.ID)
+		if r.task.OnChosen != nil {
+			r.task.OnChosen(u.ID)
 		}
 		reason, err := r.attempt(ctx, u)
 		if err == nil {
-			return Finish{
+			return Result{
 				Reason:    reason,
 				Upstreams: r.upstreams,
 			}, nil
@@ -174,7 +174,7 @@
 			continue
 		}
 		if ctx.Err() != nil || errors.Is(err, errConsumer) || !r.trip.MayRetry() {
-			return Finish{}, r.finalError(nil, lastErr)
+			return Result{}, r.finalError(nil, lastErr)
 		}
 	}
 }
@@ -210,7 +210,7 @@
 	now := r.generator.Timer.Now()
 	tokens := len(r.tokenTexts) - before
 	if finish.Report != nil {
-		u.Heard(*finish.Report, now)
+		u.RecordReport(*finish.Report, now)
 	}
 	r.recordOutcome(ctx, u, err, now.Sub(started), tokens, now)
 	return finish.Reason, err
@@ -221,8 +221,8 @@
 func (r *generation) handleToken(u *upstream.Upstream, t engine.Token) error {
 	if t.Version != r.version || t.Index == 0 {
 		r.version = t.Version
-		u.SawVersion(t.Version)
-		if _, oldest, ok := r.trip.Bound(0); ok && t.Version.Less(oldest) {
+		u.RecordVersion(t.Version)
+		if _, oldest, ok := r.trip.VersionBounds(0); ok && t.Version.Less(oldest) {
 			return errStaleVersion
 		}
 	}
@@ -242,15 +242,15 @@
 		u.Succeeded(took / time.Duration(max(1, tokens)))
 	case errors.As(err, &refused):
 		r.wasRefused = true
-		u.Ended()
+		u.Cancelled()
 	case ctx.Err() != nil, errors.Is(err, errConsumer), errors.Is(err, errStaleVersion):
-		u.Ended()
+		u.Cancelled()
 	default:
 		if !errors.Is(err, engine.ErrNotSent) {
 			r.mayHaveRun = true
 		}
-		if errors.Is(err, engine.ErrBroken) {
-			r.trip.CutOff(u)
+		if errors.Is(err, engine.ErrIncompleteResponse) {
+			r.trip.ReportCutOff(u)
 		}
 		u.Failed(now)
 	}
@@ -260,11 +260,11 @@
 func (r *generation) limitResult(err error) limit.Result {
 	switch {
 	case err == nil:
-		return limit.Good
+		return limit.Succeeded
 	case r.wasRefused:
-		return limit.Pushed
+		return limit.Overloaded
 	}
-	return limit.Neutral
+	return limit.Ignored
 }
 
 // finalError returns the error for the caller: choiceErr if no attempt was made,
--- a/internal/rollout/stream/property_test.go
+++ b/internal/rollout/stream/property_test.go
@@ -20,7 +20,7 @@
 	"github.com/egretbend/egretbend/internal/route/limit"
 	"github.com/egretbend/egretbend/internal/route/router"
 	"github.com/egretbend/egretbend/internal/route/upstream"
-	"github.com/egretbend/egretbend/internal/standin/proof"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
 const (
@@ -73,7 +73,7 @@
 		e.generatedBy[i] = v
 	}
 	if end < maxTokens {
-		return engine.Finish{}, engine.ErrBroken
+		return engine.Finish{}, engine.ErrIncompleteResponse
 	}
 	return engine.Finish{
 		Reason: "length",
@@ -81,8 +81,8 @@
 }
 
 // Report implements engine.Adapter.
-func (e *fakeEngines) Report(context.Context, string) (engine.Report, error) {
-	return engine.Report{}, engine.ErrNotSent
+func (e *fakeEngines) Report(context.Context, string) (engine.LoadReport, error) {
+	return engine.LoadReport{}, engine.ErrNotSent
 }
 
 // Order implements engine.Adapter.
@@ -95,7 +95,7 @@
 	clock := &timer.Manual{}
 	clock.Advance(time.Hour)
 	state := &gossip.State{}
-	board := &version.Board{
+	board := &version.Table{
 		State: state,
 	}
 	if boundStaleness {
@@ -112,7 +112,7 @@
 		e.t.Fatalf("configuration: %v", err)
 	}
 	holder := &configuration.Holder{}
-	holder.Take(doc)
+	holder.Update(doc)
 	table := &upstream.Table{}
 	var list []roster.Instance
 	for i := range 4 {
@@ -133,8 +133,8 @@
 			Limiter: &limit.Limiter{
 				Timer: clock,
 			},
-			Board: board,
-			Timer: clock,
+			Versions: board,
+			Timer:    clock,
 		},
 	}
 }
@@ -151,12 +151,12 @@
 		boundStaleness := rapid.Bool().Draw(t, "staleness")
 		g := newGenerator(e, boundStaleness)
 		task := stream.Task{
-			Deployment: "m",
-			MaxTokens:  maxTokens,
-			Weight:     1,
-			Staleness:  boundStaleness,
+			Deployment:     "m",
+			MaxTokens:      maxTokens,
+			Weight:         1,
+			BoundStaleness: boundStaleness,
 		}
-		trip, err := g.Enter(task)
+		trip, err := g.Admit(task)
 		if err != nil {
 			t.Fatalf("enter: %v", err)
 		}
@@ -189,10 +189,10 @@
 // and streams that are generated with weights that are too old. Engines break
 // streams, refuse requests, and restart with old weights during a generation.
 func TestStreamIsCompleteWithTrueVersions(t *testing.T) {
-	proof.Check(t, checkGeneration(false))
+	property.Check(t, checkGeneration(false))
 }
 
 // An engine that starts again instead of resuming repeats the first tokens.
 func TestIgnoringResumeRepeatsTokens(t *testing.T) {
-	proof.Refute(t, checkGeneration(true))
+	property.CheckFails(t, checkGeneration(true))
 }
--- a/internal/route/catalog/catalog_test.go
+++ b/internal/route/catalog/catalog_test.go
@@ -32,11 +32,11 @@
 func TestSplitByWeight(t *testing.T) {
 	is := is.New(t)
 	r := Route{
-		Split: []Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}},
+		Split: []WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}},
 	}
-	is.Equal(r.Choose(0.89), "a")
-	is.Equal(r.Choose(0.91), "b")
-	is.Equal(Route{}.Choose(0.5), "")
+	is.Equal(r.ChooseService(0.89), "a")
+	is.Equal(r.ChooseService(0.91), "b")
+	is.Equal(Route{}.ChooseService(0.5), "")
 }
 
 // After an outage the service returns an older configuration. Guards against putting it into
@@ -44,14 +44,14 @@
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	is := is.New(t)
 	var h Holder
-	is.True(h.Take(Configuration{Version: 4}.WithIndex()))
-	is.Equal(h.Take(Configuration{Version: 3}.WithIndex()), false)
-	is.Equal(h.Take(Configuration{Version: 4}.WithIndex()), false)
+	is.True(h.Update(Configuration{Version: 4}.WithIndex()))
+	is.Equal(h.Update(Configuration{Version: 3}.WithIndex()), false)
+	is.Equal(h.Update(Configuration{Version: 4}.WithIndex()), false)
 	is.Equal(h.Current().Version, uint64(4))
 }
 
-func newListed(id string, born int64, leaving bool) Listed {
-	return Listed{
+func newListed(id string, born int64, leaving bool) Entry {
+	return Entry{
 		ID:      id,
 		Service: "s",
 		Address: "a",
@@ -66,17 +66,17 @@
 func TestIncarnationsOfAnUpstream(t *testing.T) {
 	is := is.New(t)
 	clock := &timer.Manual{}
-	b := &Book{
+	b := &Upstreams{
 		Timer: clock,
 	}
 	now := clock.Now().Add(time.Hour)
-	b.Update([]Listed{newListed("u", 1, false)}, nil)
+	b.Update([]Entry{newListed("u", 1, false)}, nil)
 	first := b.Group("s").Upstreams[0]
 	is.True(first.Usable(now))
-	b.Update([]Listed{newListed("u", 1, true)}, nil)
-	b.Update([]Listed{newListed("u", 1, false)}, nil)
+	b.Update([]Entry{newListed("u", 1, true)}, nil)
+	b.Update([]Entry{newListed("u", 1, false)}, nil)
 	is.Equal(first.Usable(now), false) // the leaving mark can't be removed
-	b.Update([]Listed{newListed("u", 2, false)}, nil)
+	b.Update([]Entry{newListed("u", 2, false)}, nil)
 	second := b.Group("s").Upstreams[0]
 	is.True(second != first)
 	is.True(second.Usable(now))
--- a/internal/route/catalog/configuration.go
+++ b/internal/route/catalog/configuration.go
@@ -24,8 +24,8 @@
 	Rollout Kind = "rollout"
 )
 
-// Share is a service with its weight in the split of a route's requests.
-type Share struct {
+// WeightedService is a service with its weight in the split of a route's requests.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -36,7 +36,7 @@
 	Host      string
 	Prefix    string
 	Kind      Kind
-	Split     []Share
+	Split     []WeightedService
 	Timeout   time.Duration
 	Objective time.Duration
 	// Attempts is the maximum number of upstreams that one request may be sent to.
@@ -60,9 +60,9 @@
 	return r.Kind == Idempotent || r.Kind == Rollout || (r.Kind == Streaming && r.Resumable)
 }
 
-// Choose returns the service for a random number in [0, 1), in proportion to the weights in
+// ChooseService returns the service for a random number in [0, 1), in proportion to the weights in
 // r.Split. It returns "" if r.Split is empty.
-func (r Route) Choose(random float64) string {
+func (r Route) ChooseService(random float64) string {
 	total := 0.0
 	for _, s := range r.Split {
 		total += s.Weight
@@ -89,8 +89,8 @@
 
 // Scaling bounds how many upstreams of a service may be ordered, and gives their cost.
 type Scaling struct {
-	// Most is the maximum number of upstreams in one failure domain.
-	Most int
+	// MaxPerDomain is the maximum number of upstreams in one failure domain.
+	MaxPerDomain int
 	// BootTime is the time from the order of an upstream until it serves requests.
 	BootTime time.Duration
 	// Prices are the prices of an upstream by failure domain, relative to each other.
@@ -158,9 +158,9 @@
 // Current returns the current configuration, or nil before the first one.
 func (h *Holder) Current() *Configuration { return h.current.Load() }
 
-// Take makes c the current configuration and reports true, unless the current one has the same
+// Update makes c the current configuration and reports true, unless the current one has the same
 // or a higher version.
-func (h *Holder) Take(c *Configuration) bool {
+func (h *Holder) Update(c *Configuration) bool {
 	for {
 		old := h.current.Load()
 		if old != nil && old.Version >= c.Version {
--- a/internal/route/catalog/upstreams.go
+++ b/internal/route/catalog/upstreams.go
@@ -10,8 +10,8 @@
 	"github.com/egretbend/egretbend/internal/route/upstream"
 )
 
-// Listed is the entry of an upstream in the platform's list. It is immutable.
-type Listed struct {
+// Entry is the entry of an upstream in the platform's list. It is immutable.
+type Entry struct {
 	ID            string
 	Service       string
 	Address       string
@@ -29,7 +29,7 @@
 // Upstream is a listed upstream with its state.
 type Upstream struct {
 	*upstream.Upstream
-	listed atomic.Pointer[Listed]
+	listed atomic.Pointer[Entry]
 	// reservedTokens is the engine memory, in tokens, reserved for streams of this instance.
 	reservedTokens atomic.Int64
 }
@@ -41,7 +41,7 @@
 func (u *Upstream) Reserved() int64 { return u.reservedTokens.Load() }
 
 // Listed returns the upstream's entry in the platform's list.
-func (u *Upstream) Listed() *Listed { return u.listed.Load() }
+func (u *Upstream) Listed() *Entry { return u.listed.Load() }
 
 // ModelVersion returns the weight version of a model according to the list.
 func (u *Upstream) ModelVersion(model string) uint64 { return u.Listed().Versions[model] }
@@ -54,8 +54,8 @@
 	Set *upstream.Set
 }
 
-// Book holds all upstreams by ID. Its zero value is empty; Timer must be set before Update.
-type Book struct {
+// Upstreams holds all upstreams by ID. Its zero value is empty; Timer must be set before Update.
+type Upstreams struct {
 	Timer timer.Service
 
 	mu     sync.Mutex
@@ -64,7 +64,7 @@
 }
 
 // Group returns the upstreams of a service; it is never nil.
-func (b *Book) Group(service string) *Group {
+func (b *Upstreams) Group(service string) *Group {
 	if groups := b.groups.Load(); groups != nil {
 		if g := (*groups)[service]; g != nil {
 			return g
@@ -76,7 +76,7 @@
 }
 
 // Groups returns all groups by service. The map must not be changed.
-func (b *Book) Groups() map[string]*Group {
+func (b *Upstreams) Groups() map[string]*Group {
 	if groups := b.groups.Load(); groups != nil {
 		return *groups
 	}
@@ -84,7 +84,7 @@
 }
 
 // Update adds or replaces the given entries, and removes the upstreams with the ids in gone.
-func (b *Book) Update(entries []Listed, gone []string) {
+func (b *Upstreams) Update(entries []Entry, gone []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byID == nil {
@@ -107,7 +107,7 @@
 // it creates a new upstream, which takes over neither the counts nor the leaving mark. initial
 // reports whether the book was empty, in which case a new upstream skips the slow start. The
 // caller holds b.mu.
-func (b *Book) upsert(l *Listed, initial bool) {
+func (b *Upstreams) upsert(l *Entry, initial bool) {
 	u := b.byID[l.ID]
 	if u != nil {
 		old := u.Listed()
@@ -130,7 +130,7 @@
 		if initial {
 			since = since.Add(-time.Minute)
 		}
-		u.StartedAt(since)
+		u.SetSlowStart(since)
 		b.byID[l.ID] = u
 	}
 	u.listed.Store(l)
@@ -140,7 +140,7 @@
 }
 
 // rebuildGroups replaces the groups after a change of b.byID. The caller holds b.mu.
-func (b *Book) rebuildGroups() {
+func (b *Upstreams) rebuildGroups() {
 	groups := make(map[string]*Group)
 	for _, u := range b.byID {
 		service := u.Listed().Service
@@ -161,9 +161,9 @@
 	b.groups.Store(&groups)
 }
 
-// Judge updates the slowness of the upstreams of each service and limits how many are ejected.
-func (b *Book) Judge(now timer.Instant) {
+// DetectOutliers updates the slowness of the upstreams of each service and limits how many are ejected.
+func (b *Upstreams) DetectOutliers(now timer.Instant) {
 	for _, g := range b.Groups() {
-		g.Set.Judge(now)
+		g.Set.DetectOutliers(now)
 	}
 }
--- a/internal/route/crash/reporter.go
+++ b/internal/route/crash/reporter.go
@@ -46,12 +46,12 @@
 	RequestID   string
 	Incarnation Incarnation
 	Address     string
-	Sum         fingerprint.Sum
+	Sum         fingerprint.Digest
 	// At is when the connection was cut.
 	At timer.Instant
-	// Row is the number of consecutive upstream crashes during this request if this upstream
+	// Consecutive is the number of consecutive upstream crashes during this request if this upstream
 	// crashed: one more than were known when the request was sent to it.
-	Row int
+	Consecutive int
 }
 
 // Secret provides the key for fingerprints of requests.
@@ -65,9 +65,9 @@
 	Timer   timer.Service
 	Journal *journal.Journal
 	Metrics *Metrics
-	// Ended, if not nil, is called for each request that was cut by a crash. It returns
+	// OnCrash, if not nil, is called for each request that was cut by a crash. It returns
 	// additional fields for the log line.
-	Ended func(c Cut, print fingerprint.Print) log.Fields
+	OnCrash func(c Cut, print fingerprint.Fingerprint) log.Fields
 	// Dial opens a connection to an address and closes it; nil does so over TCP.
 	Dial func(ctx context.Context, address string) error
 
@@ -84,9 +84,9 @@
 	waiting    []Cut
 }
 
-// Cut reports a request that was cut once a probe tells whether its upstream crashed. It does
+// ReportCutOff reports a request that was cut once a probe tells whether its upstream crashed. It does
 // not block.
-func (r *Reporter) Cut(c Cut) {
+func (r *Reporter) ReportCutOff(c Cut) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Timer.Now()
@@ -176,7 +176,7 @@
 	return c.Close()
 }
 
-// report logs and counts one cut request, and calls r.Ended if its upstream crashed.
+// report logs and counts one cut request, and calls r.OnCrash if its upstream crashed.
 func (r *Reporter) report(c Cut, crashed bool) {
 	r.Metrics.countCut(crashed)
 	fields := log.Fields{
@@ -189,17 +189,17 @@
 	defer cancel()
 	secret, err := r.Secret.Get(ctx)
 	if err != nil {
-		r.Journal.Trouble("no secret for fingerprints", err, log.Fields{
+		r.Journal.Warn("no secret for fingerprints", err, log.Fields{
 			"request_id": c.RequestID,
 		})
 		return
 	}
-	print := c.Sum.Under(secret)
+	print := c.Sum.Keyed(secret)
 	fields["fingerprint"] = print.String()
-	if !crashed || r.Ended == nil {
+	if !crashed || r.OnCrash == nil {
 		return
 	}
-	for name, value := range r.Ended(c, print) {
+	for name, value := range r.OnCrash(c, print) {
 		fields[name] = value
 	}
 }
--- a/internal/route/crash/reporter_test.go
+++ b/internal/route/crash/reporter_test.go
@@ -36,7 +36,7 @@
 func waitForReports(t *testing.T, r *Reporter, ended string, n int) {
 	t.Helper()
 	seen := func() bool { return int(testutil.ToFloat64(r.Metrics.cuts.WithLabelValues(ended))) == n }
-	if !timer.Until(timer.Real{}, time.Millisecond, 10*time.Second, nil, seen) {
+	if !timer.Poll(timer.Real{}, time.Millisecond, 10*time.Second, nil, seen) {
 		t.Fatalf("expected %d reports with ended=%s within 10 s", n, ended)
 	}
 }
@@ -51,14 +51,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newReporter(func(context.Context, string) error { return err })
-			r.Cut(Cut{Incarnation: "u/1"})
+			r.ReportCutOff(Cut{Incarnation: "u/1"})
 			waitForReports(t, r, "false", 1)
 		})
 	}
 	r := newReporter(func(context.Context, string) error {
 		return &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 	})
-	r.Cut(Cut{Incarnation: "u/1"})
+	r.ReportCutOff(Cut{Incarnation: "u/1"})
 	waitForReports(t, r, "true", 1)
 }
 
@@ -74,12 +74,12 @@
 		return syscall.ECONNREFUSED
 	})
 	for range maxWaitingCuts + 3 {
-		r.Cut(Cut{Incarnation: "u/1"})
+		r.ReportCutOff(Cut{Incarnation: "u/1"})
 	}
 	close(release)
 	waitForReports(t, r, "true", maxWaitingCuts)
 	is.Equal(testutil.ToFloat64(r.Metrics.dropped), 3.0)
-	r.Cut(Cut{Incarnation: "u/1"})
+	r.ReportCutOff(Cut{Incarnation: "u/1"})
 	waitForReports(t, r, "true", maxWaitingCuts+1)
 	is.Equal(dials.Load(), int32(1))
 }
@@ -91,12 +91,12 @@
 	r := newReporter(func(context.Context, string) error { return syscall.ECONNREFUSED })
 	r.Timer = clock
 	for i := range maxProbes + 10 {
-		r.Cut(Cut{Incarnation: IncarnationOf("u", uint64(i))})
+		r.ReportCutOff(Cut{Incarnation: IncarnationOf("u", uint64(i))})
 	}
 	waitForReports(t, r, "true", maxProbes)
 	is.Equal(testutil.ToFloat64(r.Metrics.dropped), 10.0)
 	clock.Advance(crashTTL)
-	r.Cut(Cut{Incarnation: IncarnationOf("u", maxProbes)})
+	r.ReportCutOff(Cut{Incarnation: IncarnationOf("u", maxProbes)})
 	waitForReports(t, r, "true", maxProbes+1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/route/fingerprint/doc.go
+++ b/internal/route/fingerprint/doc.go
@@ -1,14 +1,14 @@
 // Package fingerprint identifies requests by their content, so that a repeated request is
 // recognised.
 //
-//	sum := fingerprint.Of(fingerprint.Parts{
+//	sum := fingerprint.DigestOf(fingerprint.Parts{
 //		Host:   r.Host,
 //		Target: r.URL.RequestURI(),
 //		Body:   body,
 //	})
-//	print := sum.Under(secret)
+//	print := sum.Keyed(secret)
 //
-// A Sum is a plain digest and must stay in the process that made it. A Print is keyed with a
-// secret that no caller knows, so it may be logged and sent to other instances: without the
-// secret, likely contents can't be tested against it.
+// A Digest is a plain digest and must stay in the process that made it. A Fingerprint is
+// keyed with a secret that no caller knows, so it may be logged and sent to other
+// instances: without the secret, likely contents can't be tested against it.
 package fingerprint
--- a/internal/route/fingerprint/fingerprint.go
+++ b/internal/route/fingerprint/fingerprint.go
@@ -20,12 +20,12 @@
 	Body   []byte
 }
 
-// Sum is the SHA-256 digest of a request. It must not leave the process.
-type Sum [sha256.Size]byte
+// Digest is the SHA-256 digest of a request. It must not leave the process.
+type Digest [sha256.Size]byte
 
-// Of returns the digest of a request. Each part is preceded by its length, so that requests
+// DigestOf returns the digest of a request. Each part is preceded by its length, so that requests
 // whose parts are split differently have different digests.
-func Of(p Parts) Sum {
+func DigestOf(p Parts) Digest {
 	h := sha256.New()
 	var size [8]byte
 	writeLength := func(n int) {
@@ -38,34 +38,35 @@
 	}
 	writeLength(len(p.Body))
 	h.Write(p.Body)
-	var sum Sum
+	var sum Digest
 	h.Sum(sum[:0])
 	return sum
 }
 
-// printBytes is the length of a Print in bytes.
+// printBytes is the length of a Fingerprint in bytes.
 const printBytes = 16
 
-// Print is a truncated HMAC-SHA-256 of a Sum, keyed with a secret that all instances share.
-type Print [printBytes]byte
+// Fingerprint is a truncated HMAC-SHA-256 of a Digest, keyed with a secret that all
+// instances share.
+type Fingerprint [printBytes]byte
 
-// Under returns the fingerprint of s keyed with secret.
-func (s Sum) Under(secret []byte) Print {
+// Keyed returns the fingerprint of s keyed with secret.
+func (s Digest) Keyed(secret []byte) Fingerprint {
 	h := hmac.New(sha256.New, secret)
 	h.Write(s[:])
-	var p Print
+	var p Fingerprint
 	copy(p[:], h.Sum(nil))
 	return p
 }
 
 // String implements fmt.Stringer.
-func (p Print) String() string { return base64.RawURLEncoding.EncodeToString(p[:]) }
+func (p Fingerprint) String() string { return base64.RawURLEncoding.EncodeToString(p[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
-func (p Print) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
+func (p Fingerprint) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (p *Print) UnmarshalText(text []byte) error {
+func (p *Fingerprint) UnmarshalText(text []byte) error {
 	b, err := base64.RawURLEncoding.DecodeString(string(text))
 	if err != nil {
 		return fmt.Errorf("fingerprint %q: %w", text, err)
--- a/internal/route/fingerprint/fingerprint_test.go
+++ b/internal/route/fingerprint/fingerprint_test.go
@@ -27,7 +27,7 @@
 		a, b := drawParts(t), drawParts(t)
 		same := a.Organisation == b.Organisation && a.Method == b.Method && a.Host == b.Host &&
 			a.Target == b.Target && bytes.Equal(a.Body, b.Body)
-		if (Of(a) == Of(b)) != same {
+		if (DigestOf(a) == DigestOf(b)) != same {
 			t.Fatalf("wrong comparison of the digests of %+v and %+v", a, b)
 		}
 	})
@@ -36,20 +36,20 @@
 // Guards against a fingerprint that can be reversed with a list of likely bodies.
 func TestPrintDependsOnTheSecret(t *testing.T) {
 	is := is.New(t)
-	s := Of(Parts{Body: []byte("one hide")})
-	is.Equal(s.Under([]byte("a")), s.Under([]byte("a")))
-	is.True(s.Under([]byte("a")) != s.Under([]byte("b")))
-	is.True(!bytes.HasPrefix(s[:], s.Under([]byte("a")).bytes()))
+	s := DigestOf(Parts{Body: []byte("one hide")})
+	is.Equal(s.Keyed([]byte("a")), s.Keyed([]byte("a")))
+	is.True(s.Keyed([]byte("a")) != s.Keyed([]byte("b")))
+	is.True(!bytes.HasPrefix(s[:], s.Keyed([]byte("a")).bytes()))
 }
 
-func (p Print) bytes() []byte { return p[:] }
+func (p Fingerprint) bytes() []byte { return p[:] }
 
 func TestPrintTextRoundTrip(t *testing.T) {
 	is := is.New(t)
-	p := Of(Parts{Target: "/cuts/7"}).Under([]byte("secret"))
+	p := DigestOf(Parts{Target: "/cuts/7"}).Keyed([]byte("secret"))
 	b, err := json.Marshal(p)
 	is.NoErr(err)
-	var decoded Print
+	var decoded Fingerprint
 	is.NoErr(json.Unmarshal(b, &decoded))
 	is.Equal(decoded, p)
 	is.True(json.Unmarshal([]byte(`"short"`), &decoded) != nil)
@@ -68,6 +68,6 @@
 	secret := make([]byte, 32)
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = Of(p).Under(secret)
+		_ = DigestOf(p).Keyed(secret)
 	}
 }
--- a/internal/route/forward/attempt.go
+++ b/internal/route/forward/attempt.go
@@ -44,7 +44,7 @@
 // recordUsage counts the request for its organisation when it is first sent.
 func (t *dispatch) recordUsage() {
 	if t.undoUsage == nil && t.f.Usage != nil && t.req.Organisation != "" {
-		t.undoUsage = t.f.Usage.Began(t.req.Organisation)
+		t.undoUsage = t.f.Usage.RequestStarted(t.req.Organisation)
 	}
 }
 
@@ -70,7 +70,7 @@
 		// Prefer idle connections only for the first attempt of a repeatable
 		// request: others are sent over a connection of their own, and a second
 		// attempt needs the least loaded upstream.
-		p = policy.Warm{}
+		p = policy.IdleConnection{}
 	}
 	c := p.Choose(t.group.Set, q)
 	if c.Upstream == nil && t.inFlight == 0 {
@@ -111,7 +111,7 @@
 				r.u.Failed(t.f.Timer.Now())
 				continue
 			}
-			r.u.Ended()
+			r.u.Cancelled()
 		}
 	}()
 }
--- a/internal/route/forward/count_test.go
+++ b/internal/route/forward/count_test.go
@@ -10,14 +10,14 @@
 	"pgregory.net/rapid"
 
 	"github.com/egretbend/egretbend/internal/route/catalog"
-	"github.com/egretbend/egretbend/internal/standin/proof"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
-// counter is a Counter that keeps the counts by organisation.
+// counter is a UsageCounter that keeps the counts by organisation.
 type counter map[string]int
 
-// Began implements Counter.
-func (c counter) Began(organisation string) (undo func()) {
+// RequestStarted implements UsageCounter.
+func (c counter) RequestStarted(organisation string) (undo func()) {
 	c[organisation]++
 	return func() { c[organisation]-- }
 }
@@ -25,7 +25,7 @@
 // Guards against an organisation that is billed for a request that no upstream ran, or
 // billed twice for one that ran at two upstreams.
 func TestRequestIsCountedOnceIfItRan(t *testing.T) {
-	proof.CheckN(t, 200, func(t *rapid.T) {
+	property.CheckN(t, 200, func(t *rapid.T) {
 		is := is.New(t)
 		all := []behaviour{answers, fails, refuses, unsent, breaks, misdirects}
 		s := &sender{
@@ -40,7 +40,7 @@
 			Organisation: "saddlers",
 			Route: catalog.Route{
 				Kind:     catalog.Idempotent,
-				Split:    []catalog.Share{{Service: "s", Weight: 1}},
+				Split:    []catalog.WeightedService{{Service: "s", Weight: 1}},
 				Attempts: 3,
 			},
 		})
@@ -60,7 +60,7 @@
 	_, err := f.Do(context.Background(), Request{
 		ID: "r",
 		Route: catalog.Route{
-			Split: []catalog.Share{{Service: "s", Weight: 1}},
+			Split: []catalog.WeightedService{{Service: "s", Weight: 1}},
 		},
 	})
 	is.NoErr(err)
@@ -91,7 +91,7 @@
 		ID: "r",
 		Route: catalog.Route{
 			Kind:     catalog.Idempotent,
-			Split:    []catalog.Share{{Service: "s", Weight: 1}},
+			Split:    []catalog.WeightedService{{Service: "s", Weight: 1}},
 			Attempts: 3,
 		},
 	})
--- a/internal/route/forward/dispatch.go
+++ b/internal/route/forward/dispatch.go
@@ -13,8 +13,8 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/outside/engine"
 	"github.com/egretbend/egretbend/internal/route/catalog"
+	"github.com/egretbend/egretbend/internal/route/poison"
 	"github.com/egretbend/egretbend/internal/route/policy"
-	"github.com/egretbend/egretbend/internal/route/suspect"
 	"github.com/egretbend/egretbend/internal/route/upstream"
 )
 
@@ -50,7 +50,7 @@
 	possiblyRun bool
 	// verdict tells whether the request is suspected of crashing upstreams.
 	// cutAttempts counts the attempts that were cut off.
-	verdict     suspect.Verdict
+	verdict     poison.Verdict
 	cutAttempts int
 	// winner is the upstream whose answer is returned.
 	winner *catalog.Upstream
@@ -102,7 +102,7 @@
 	t.inFlight--
 	t.recordResult(r)
 	t.outcomes[r.attempt] = outcomeOf(r)
-	if errors.Is(r.err, engine.ErrCut) {
+	if errors.Is(r.err, engine.ErrConnectionLost) {
 		t.reportCut(r.u)
 	}
 	if r.answer != nil {
@@ -154,7 +154,7 @@
 
 // mayRetry reports whether another attempt may be started after a failed one.
 func (t *dispatch) mayRetry() bool {
-	if t.possiblyRun && (!t.req.Route.Repeatable() || !t.verdict.MayRepeat(t.cutAttempts, 0)) {
+	if t.possiblyRun && (!t.req.Route.Repeatable() || !t.verdict.MayRetry(t.cutAttempts, 0)) {
 		return false
 	}
 	if t.possibleRuns() >= max(1, t.req.Route.Attempts) || t.sent >= maxSends {
@@ -167,7 +167,7 @@
 // flight.
 func (t *dispatch) mayHedge() bool {
 	return t.inFlight == 1 && t.req.Route.Repeatable() && t.req.Route.Kind != catalog.Streaming &&
-		t.verdict.MayRepeat(t.cutAttempts, t.inFlight) && t.mayRetry()
+		t.verdict.MayRetry(t.cutAttempts, t.inFlight) && t.mayRetry()
 }
 
 // possibleRuns returns how many attempts may have run or may still run.
@@ -178,20 +178,20 @@
 func (t *dispatch) recordResult(r attemptResult) {
 	now := t.f.Timer.Now()
 	if r.answer != nil && r.answer.Load != nil {
-		r.u.Heard(*r.answer.Load, now)
+		r.u.RecordReport(*r.answer.Load, now)
 	}
 	var refused *engine.RefusedError
 	switch {
 	case r.err == nil && r.answer.Status < http.StatusInternalServerError:
 		r.u.Succeeded(r.took)
-		r.u.Kept(now, r.answer.Keeps)
+		r.u.ConnectionIdle(now, r.answer.KeepAlive)
 	case r.err == nil:
 		r.u.Failed(now)
 	case errors.Is(r.err, engine.ErrMisdirected):
 		r.u.MarkLeaving()
-		r.u.Ended()
+		r.u.Cancelled()
 	case errors.As(r.err, &refused), errors.Is(r.err, context.Canceled):
-		r.u.Ended()
+		r.u.Cancelled()
 	case errors.Is(r.err, engine.ErrNotSent):
 		r.u.Unreachable(now)
 	default:
@@ -250,7 +250,7 @@
 	if t.sent > 1 || err != nil {
 		fields["tried"] = t.attemptHistory()
 	}
-	if t.verdict.Suspects() {
+	if t.verdict.Suspected() {
 		maps.Copy(fields, t.verdict.Fields())
 	}
 	if answer != nil {
--- a/internal/route/forward/forward.go
+++ b/internal/route/forward/forward.go
@@ -13,8 +13,8 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 	"github.com/egretbend/egretbend/internal/route/crash"
 	"github.com/egretbend/egretbend/internal/route/fingerprint"
+	"github.com/egretbend/egretbend/internal/route/poison"
 	"github.com/egretbend/egretbend/internal/route/policy"
-	"github.com/egretbend/egretbend/internal/route/suspect"
 )
 
 // Request is a caller's request.
@@ -35,8 +35,8 @@
 }
 
 // fingerprintSum returns the digest that identifies the request when it is sent again.
-func (r *Request) fingerprintSum() fingerprint.Sum {
-	return fingerprint.Of(fingerprint.Parts{
+func (r *Request) fingerprintSum() fingerprint.Digest {
+	return fingerprint.DigestOf(fingerprint.Parts{
 		Organisation: r.Organisation,
 		Method:       r.Method,
 		Host:         r.Host,
@@ -54,13 +54,13 @@
 	Body   []byte
 	// Stream is the rest of a streaming answer; nil if Body is complete.
 	Stream io.ReadCloser
-	// Proof is the upstream's signature of a complete answer.
-	Proof string
-	// Keeps is how long the connection may stay idle before the upstream closes
+	// Signature is the upstream's signature of a complete answer.
+	Signature string
+	// KeepAlive is how long the connection may stay idle before the upstream closes
 	// it; 0 if it is closed already.
-	Keeps time.Duration
+	KeepAlive time.Duration
 	// Load is the load that the upstream reported, if any.
-	Load     *engine.Report
+	Load     *engine.LoadReport
 	Upstream string
 	Attempts int
 	// Failures is how many upstreams answered with status 500; running out of time
@@ -71,57 +71,57 @@
 // Sender sends one attempt, which may take up to left. It returns an answer only if it
 // is complete, or streaming, and belongs to this attempt. Its errors wrap
 // engine.ErrNotSent, engine.ErrMisdirected or *engine.RefusedError if the request did
-// not run, and engine.ErrBroken or engine.ErrCrossed if it may have run.
+// not run, and engine.ErrIncompleteResponse or engine.ErrWrongAttempt if it may have run.
 type Sender interface {
 	Send(ctx context.Context, u *catalog.Upstream, req Request, left time.Duration) (*Answer, error)
 }
 
 // Forwarder sends requests to the upstreams of their route.
 type Forwarder struct {
-	Book    *catalog.Book
-	Sender  Sender
-	Timer   timer.Service
-	Journal *journal.Journal
-	Metrics *Metrics
+	Upstreams *catalog.Upstreams
+	Sender    Sender
+	Timer     timer.Service
+	Journal   *journal.Journal
+	Metrics   *Metrics
 	// Usage counts the requests that start to run; nil counts nothing.
-	Usage Counter
+	Usage UsageCounter
 	// Crashes finds out whether an upstream crashed when an attempt was cut off; nil
 	// disables it.
-	Crashes Crashes
+	Crashes CrashReporter
 	// Suspects tells which requests crash upstreams; nil disables it.
-	Suspects Suspects
+	Suspects PoisonDetector
 }
 
-// Crashes is told about attempts whose connection was lost before the answer was
+// CrashReporter is told about attempts whose connection was lost before the answer was
 // complete.
-type Crashes interface {
-	Cut(c crash.Cut)
+type CrashReporter interface {
+	ReportCutOff(c crash.Cut)
 }
 
-// Suspects tracks which requests crash the upstreams that run them.
-type Suspects interface {
+// PoisonDetector tracks which requests crash the upstreams that run them.
+type PoisonDetector interface {
 	// Judge returns the verdict on a request. It calls sum only if any crash is known.
-	Judge(sum func() fingerprint.Sum) suspect.Verdict
-	// Answered records that a request ran to completion, which clears it of suspicion. It
+	Judge(sum func() fingerprint.Digest) poison.Verdict
+	// RecordAnswer records that a request ran to completion, which clears it of suspicion. It
 	// calls sum only if any crash is known.
-	Answered(sum func() fingerprint.Sum)
+	RecordAnswer(sum func() fingerprint.Digest)
 }
 
-// Counter counts requests by organisation.
-type Counter interface {
-	// Began counts a request that is sent to an upstream; undo reverts the count.
-	Began(organisation string) (undo func())
+// UsageCounter counts requests by organisation.
+type UsageCounter interface {
+	// RequestStarted counts a request that is sent to an upstream; undo reverts the count.
+	RequestStarted(organisation string) (undo func())
 }
 
 // Do sends a request to an upstream of its route, hedges and retries it as allowed, and
 // returns the answer or the final error.
 func (f *Forwarder) Do(ctx context.Context, req Request) (*Answer, error) {
-	service := req.Route.Choose(rand.Float64())
+	service := req.Route.ChooseService(rand.Float64())
 	now := f.Timer.Now()
 	t := &dispatch{
 		f:        f,
 		req:      req,
-		group:    f.Book.Group(service),
+		group:    f.Upstreams.Group(service),
 		started:  now,
 		deadline: now.Add(timeoutFor(req, time.Now())),
 		results:  make(chan attemptResult, policy.MaxTried),
--- a/internal/route/forward/forward_test.go
+++ b/internal/route/forward/forward_test.go
@@ -15,7 +15,7 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/outside/engine"
 	"github.com/egretbend/egretbend/internal/route/catalog"
-	"github.com/egretbend/egretbend/internal/standin/proof"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
 // behaviour is what a test upstream does with an attempt.
@@ -69,24 +69,24 @@
 	case misdirects:
 		return nil, engine.ErrMisdirected
 	case cuts:
-		return nil, engine.ErrCut
+		return nil, engine.ErrConnectionLost
 	case hangs:
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return nil, engine.ErrBroken
+	return nil, engine.ErrIncompleteResponse
 }
 
 // newForwarder returns a forwarder with n upstreams on a manual clock that is advanced
 // in the background until the returned function is called.
 func newForwarder(s *sender, n int) (*Forwarder, func()) {
 	clock := &timer.Manual{}
-	book := &catalog.Book{
+	book := &catalog.Upstreams{
 		Timer: clock,
 	}
-	var list []catalog.Listed
+	var list []catalog.Entry
 	for i := range n {
-		list = append(list, catalog.Listed{
+		list = append(list, catalog.Entry{
 			ID:      fmt.Sprint("u", i),
 			Service: "s",
 			Address: fmt.Sprint("a", i),
@@ -95,9 +95,9 @@
 	}
 	book.Update(list, nil)
 	return &Forwarder{
-		Book:   book,
-		Sender: s,
-		Timer:  clock,
+		Upstreams: book,
+		Sender:    s,
+		Timer:     clock,
 	}, clock.Run(10*time.Millisecond, 200*time.Microsecond)
 }
 
@@ -106,7 +106,7 @@
 	return catalog.Route{
 		Name:      "r",
 		Kind:      kind,
-		Split:     []catalog.Share{{Service: "s", Weight: 1}},
+		Split:     []catalog.WeightedService{{Service: "s", Weight: 1}},
 		Timeout:   800 * time.Millisecond,
 		Objective: 150 * time.Millisecond,
 		Attempts:  2,
@@ -149,7 +149,7 @@
 // the first one broke although it may not be repeated.
 func TestReportedOutcomeMatchesRuns(t *testing.T) {
 	for _, kind := range []catalog.Kind{catalog.Idempotent, catalog.NonIdempotent} {
-		proof.CheckN(t, 150, checkReportedOutcome(kind))
+		property.CheckN(t, 150, checkReportedOutcome(kind))
 	}
 }
 
--- a/internal/route/forward/outcome.go
+++ b/internal/route/forward/outcome.go
@@ -23,7 +23,7 @@
 		return "refused"
 	case errors.Is(r.err, engine.ErrNotSent):
 		return "not_sent"
-	case errors.Is(r.err, engine.ErrCut):
+	case errors.Is(r.err, engine.ErrConnectionLost):
 		return "cut"
 	case errors.Is(r.err, context.Canceled):
 		return "cancelled"
--- a/internal/route/forward/suspect.go
+++ b/internal/route/forward/suspect.go
@@ -19,7 +19,7 @@
 	}
 	fingerprintSum := t.req.fingerprintSum
 	t.verdict = t.f.Suspects.Judge(fingerprintSum)
-	if t.verdict.Refused() {
+	if t.verdict.Quarantined() {
 		return nil, problem.Quarantined.Withf("%s", t.verdict).WithRetryAfter(t.verdict.RetryAfter)
 	}
 	answer, err := t.runAttempts(ctx)
@@ -32,7 +32,7 @@
 		return answer, err
 	}
 	if answer != nil {
-		t.f.Suspects.Answered(fingerprintSum)
+		t.f.Suspects.RecordAnswer(fingerprintSum)
 	}
 	return answer, err
 }
@@ -44,13 +44,13 @@
 	if t.f.Crashes == nil {
 		return
 	}
-	t.f.Crashes.Cut(crash.Cut{
+	t.f.Crashes.ReportCutOff(crash.Cut{
 		RequestID:   t.req.ID,
 		Incarnation: crash.IncarnationOf(u.ID, u.Incarnation),
 		Address:     u.Address,
 		Sum:         t.req.fingerprintSum(),
 		At:          t.f.Timer.Now(),
-		Row:         t.verdict.Crashes + t.cutAttempts,
+		Consecutive: t.verdict.Crashes + t.cutAttempts,
 	})
 }
 
@@ -73,7 +73,7 @@
 	w.ended = true
 	switch {
 	case errors.Is(err, io.EOF):
-		w.t.f.Suspects.Answered(w.t.req.fingerprintSum)
+		w.t.f.Suspects.RecordAnswer(w.t.req.fingerprintSum)
 	case w.ctx.Err() == nil:
 		w.t.reportCut(w.t.winner)
 	}
--- a/internal/route/forward/suspect_test.go
+++ b/internal/route/forward/suspect_test.go
@@ -18,34 +18,34 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 	"github.com/egretbend/egretbend/internal/route/crash"
 	"github.com/egretbend/egretbend/internal/route/fingerprint"
-	"github.com/egretbend/egretbend/internal/route/suspect"
+	"github.com/egretbend/egretbend/internal/route/poison"
 	"github.com/egretbend/egretbend/internal/route/upstream"
 )
 
 // fakeSuspects returns the same verdict on every request and counts the cuts and
 // completed requests that are reported to it.
 type fakeSuspects struct {
-	verdict suspect.Verdict
+	verdict poison.Verdict
 
 	mu      sync.Mutex
 	cuts    int
 	cleared int
 }
 
-// Judge implements Suspects.
-func (c *fakeSuspects) Judge(func() fingerprint.Sum) suspect.Verdict {
+// Judge implements PoisonDetector.
+func (c *fakeSuspects) Judge(func() fingerprint.Digest) poison.Verdict {
 	return c.verdict
 }
 
-// Answered implements Suspects.
-func (c *fakeSuspects) Answered(func() fingerprint.Sum) {
+// RecordAnswer implements PoisonDetector.
+func (c *fakeSuspects) RecordAnswer(func() fingerprint.Digest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cleared++
 }
 
-// Cut implements Crashes.
-func (c *fakeSuspects) Cut(crash.Cut) {
+// ReportCutOff implements CrashReporter.
+func (c *fakeSuspects) ReportCutOff(crash.Cut) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cuts++
@@ -82,7 +82,7 @@
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := &sender{behaviours: []behaviour{answers}}
-	c := &fakeSuspects{verdict: suspect.Verdict{Crashes: 4, RetryAfter: time.Minute}}
+	c := &fakeSuspects{verdict: poison.Verdict{Crashes: 4, RetryAfter: time.Minute}}
 	_, err := c.send(s, 2)
 	e := problem.From(err)
 	is.True(problem.Is(err, problem.Quarantined))
@@ -98,7 +98,7 @@
 	is := is.New(t)
 	for before, runs := range map[int]int{0: 3, 1: 2, 2: 1, 3: 1} {
 		s := &sender{behaviours: []behaviour{cuts}}
-		c := &fakeSuspects{verdict: suspect.Verdict{Crashes: before}}
+		c := &fakeSuspects{verdict: poison.Verdict{Crashes: before}}
 		_, err := c.send(s, 6)
 		is.True(problem.Is(err, problem.UpstreamFailed))
 		is.Equal(s.counted().runs, runs)
@@ -106,7 +106,7 @@
 		is.Equal(c.cleared, 0)
 	}
 	s := &sender{behaviours: []behaviour{hangs}}
-	c := &fakeSuspects{verdict: suspect.Verdict{Crashes: 3}}
+	c := &fakeSuspects{verdict: poison.Verdict{Crashes: 3}}
 	_, err := c.send(s, 6)
 	is.True(problem.Is(err, problem.UpstreamTimeout))
 	is.Equal(s.counted().runs, 1)
@@ -117,7 +117,7 @@
 func TestSuspectedRequestIsOfferedUntilItRuns(t *testing.T) {
 	is := is.New(t)
 	s := &sender{behaviours: []behaviour{refuses, unsent, answers}}
-	c := &fakeSuspects{verdict: suspect.Verdict{Crashes: 3}}
+	c := &fakeSuspects{verdict: poison.Verdict{Crashes: 3}}
 	_, err := c.send(s, 2)
 	is.NoErr(err)
 	is.Equal(c.cleared, 1)
@@ -139,8 +139,8 @@
 // having answered the request.
 func TestStreamThatIsCutOffIsACrash(t *testing.T) {
 	is := is.New(t)
-	for err, cuts := range map[error]int{io.EOF: 0, engine.ErrBroken: 1} {
-		c := &fakeSuspects{verdict: suspect.Verdict{Crashes: 1}}
+	for err, cuts := range map[error]int{io.EOF: 0, engine.ErrIncompleteResponse: 1} {
+		c := &fakeSuspects{verdict: poison.Verdict{Crashes: 1}}
 		f := &Forwarder{Crashes: c, Suspects: c, Timer: &timer.Manual{}}
 		w := &trackedStream{
 			ReadCloser: io.NopCloser(io.MultiReader(strings.NewReader("id: 1"), errorReader{err})),
--- a/internal/route/limit/class.go
+++ b/internal/route/limit/class.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// Class is the priority class of a request.
-type Class int
+// Priority is the priority class of a request.
+type Priority int
 
 // The classes, from the highest priority to the lowest.
 const (
-	Interactive Class = iota
+	Interactive Priority = iota
 	Training
 	Background
 	classCount // number of classes
 )
 
 // String returns the name of the class, or "unknown".
-func (c Class) String() string {
+func (c Priority) String() string {
 	switch c {
 	case Interactive:
 		return "interactive"
@@ -26,8 +26,8 @@
 	return "unknown"
 }
 
-// ParseClass returns the class with the given name.
-func ParseClass(name string) (Class, error) {
+// ParsePriority returns the class with the given name.
+func ParsePriority(name string) (Priority, error) {
 	for c := range classCount {
 		if c.String() == name {
 			return c, nil
@@ -38,10 +38,10 @@
 
 // EnginePriority returns the priority number that is sent to engines; a higher number
 // is a higher priority.
-func (c Class) EnginePriority() int { return int(classCount - c) }
+func (c Priority) EnginePriority() int { return int(classCount - c) }
 
 // limitShare returns the share of the concurrency limit up to which a class is admitted.
-func (c Class) limitShare() float64 {
+func (c Priority) limitShare() float64 {
 	switch c {
 	case Interactive:
 		return 1
@@ -53,7 +53,7 @@
 
 // maxUsage returns the usage of the whole deployment, as a multiple of its slots, above
 // which a class is refused.
-func (c Class) maxUsage() float64 {
+func (c Priority) maxUsage() float64 {
 	switch c {
 	case Interactive:
 		return 8
--- a/internal/route/limit/doc.go
+++ b/internal/route/limit/doc.go
@@ -7,9 +7,9 @@
 // only while part of the limit is unused. When the limit is nearly used up, callers
 // above their fair share are refused first.
 //
-//	permit, err := limiter.Admit(limit.Ask{Deployment: "d", Caller: "c", Weight: 1, Capacity: 40})
+//	permit, err := limiter.Admit(limit.Request{Deployment: "d", Caller: "c", Weight: 1, Capacity: 40})
 //	if err != nil {
 //		return err // problem.Overloaded, with the time to retry after
 //	}
-//	defer permit.Close(limit.Good)
+//	defer permit.Release(limit.Succeeded)
 package limit
--- a/internal/route/limit/limit_test.go
+++ b/internal/route/limit/limit_test.go
@@ -10,11 +10,11 @@
 	"github.com/egretbend/egretbend/internal/kernel/problem"
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/route/limit"
-	"github.com/egretbend/egretbend/internal/standin/proof"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
-func ask(caller string, class limit.Class) limit.Ask {
-	return limit.Ask{
+func ask(caller string, class limit.Priority) limit.Request {
+	return limit.Request{
 		Deployment: "d",
 		Caller:     caller,
 		Class:      class,
@@ -27,16 +27,16 @@
 // capacity of the upstreams, and a refusal without a retry delay. Requests of all
 // classes start and end at random while upstreams refuse.
 func TestLimitNeitherLeaksNorOverflows(t *testing.T) {
-	proof.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		clock := &timer.Manual{}
 		clock.Advance(time.Hour)
 		l := &limit.Limiter{
 			Timer: clock,
 		}
-		var open []*limit.Pass
+		var open []*limit.Permit
 		t.Repeat(map[string]func(*rapid.T){
 			"admit": func(t *rapid.T) {
-				class := rapid.SampledFrom([]limit.Class{limit.Interactive, limit.Training, limit.Background}).Draw(t, "class")
+				class := rapid.SampledFrom([]limit.Priority{limit.Interactive, limit.Training, limit.Background}).Draw(t, "class")
 				p, err := l.Admit(ask(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "caller"), class))
 				if err == nil {
 					open = append(open, p)
@@ -52,7 +52,7 @@
 					return
 				}
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "pass")
-				open[i].Close(rapid.SampledFrom([]limit.Result{limit.Good, limit.Pushed, limit.Neutral}).Draw(t, "result"))
+				open[i].Release(rapid.SampledFrom([]limit.Result{limit.Succeeded, limit.Overloaded, limit.Ignored}).Draw(t, "result"))
 				open = append(open[:i], open[i+1:]...)
 			},
 			"wait": func(*rapid.T) { clock.Advance(time.Second) },
@@ -67,7 +67,7 @@
 			},
 		})
 		for _, p := range open {
-			p.Close(limit.Neutral)
+			p.Release(limit.Ignored)
 		}
 		if _, err := l.Admit(ask("a", limit.Background)); err != nil {
 			t.Fatalf("refused without any request in flight: %v", err)
@@ -86,7 +86,7 @@
 	}
 	p, err := l.Admit(ask("modest", limit.Interactive))
 	is.NoErr(err)
-	p.Close(limit.Neutral)
+	p.Release(limit.Ignored)
 	refused := 0
 	for range 100 {
 		clock.Advance(time.Millisecond)
@@ -108,12 +108,12 @@
 	l := &limit.Limiter{
 		Timer: clock,
 	}
-	admitAt := func(class limit.Class, used float64) error {
+	admitAt := func(class limit.Priority, used float64) error {
 		a := ask("a", class)
-		a.Used = used
+		a.Usage = used
 		p, err := l.Admit(a)
 		if err == nil {
-			p.Close(limit.Neutral)
+			p.Release(limit.Ignored)
 		}
 		return err
 	}
@@ -133,7 +133,7 @@
 	for b.Loop() {
 		p, err := l.Admit(a)
 		if err == nil {
-			p.Close(limit.Neutral)
+			p.Release(limit.Ignored)
 		}
 	}
 }
@@ -150,8 +150,8 @@
 	}
 	a := ask("cutting", limit.Training)
 	a.Slots = 16
-	a.Share = 0.25
-	a.Used = 1.5 // above the maximum usage of its class: others have filled the slots
+	a.ClaimedShare = 0.25
+	a.Usage = 1.5 // above the maximum usage of its class: others have filled the slots
 	n := 0
 	for range 20 {
 		if _, err := l.Admit(a); err == nil {
@@ -159,10 +159,10 @@
 		}
 	}
 	is.Equal(n, 5) // a quarter of 1.25 times 16 slots
-	a.Share = 1
+	a.ClaimedShare = 1
 	_, err := l.Admit(a)
 	is.True(err != nil) // a caller that is alone has no claim above the maximum usage
-	a.Used = 0.5
+	a.Usage = 0.5
 	_, err = l.Admit(a)
 	is.NoErr(err) // and is not bounded below it
 }
--- a/internal/route/limit/limiter.go
+++ b/internal/route/limit/limiter.go
@@ -17,23 +17,23 @@
 	deployments sync.Map // deployment name to *deploymentLimiter
 }
 
-// Ask describes a request to be admitted.
-type Ask struct {
+// Request describes a request to be admitted.
+type Request struct {
 	Deployment string
 	Caller     string
-	Class      Class
+	Class      Priority
 	Weight     float64
 	// Capacity is the number of requests that the deployment's upstreams can run
 	// or queue at once, as far as this instance knows.
 	Capacity float64
-	// Used is the fraction of the slots that is in use, as far as this instance
+	// Usage is the fraction of the slots that is in use, as far as this instance
 	// knows; it exceeds 1 when requests queue.
-	Used float64
+	Usage float64
 	// Slots is the number of the deployment's slots.
 	Slots float64
-	// Share is the share of the slots that the caller may claim across all
+	// ClaimedShare is the share of the slots that the caller may claim across all
 	// instances while slots are scarce; zero means no particular share.
-	Share float64
+	ClaimedShare float64
 }
 
 // Result is the outcome of an admitted request, as far as it concerns the limit.
@@ -41,16 +41,16 @@
 
 // The results of an admitted request.
 const (
-	// Good means that it was answered; the limit may grow.
-	Good Result = iota
-	// Pushed means that upstreams refused it or were too slow; the limit shrinks.
-	Pushed
-	// Neutral means that the outcome tells nothing about the load; the limit stays.
-	Neutral
+	// Succeeded means that it was answered; the limit may grow.
+	Succeeded Result = iota
+	// Overloaded means that upstreams refused it or were too slow; the limit shrinks.
+	Overloaded
+	// Ignored means that the outcome tells nothing about the load; the limit stays.
+	Ignored
 )
 
-// Pass is the permit of an admitted request. It must be closed exactly once.
-type Pass struct {
+// Permit is the permit of an admitted request. It must be closed exactly once.
+type Permit struct {
 	limiter    *Limiter
 	deployment *deploymentLimiter
 	caller     *callerState
@@ -58,7 +58,7 @@
 }
 
 // Admit admits a request or refuses it at once with problem.Overloaded.
-func (l *Limiter) Admit(a Ask) (*Pass, error) {
+func (l *Limiter) Admit(a Request) (*Permit, error) {
 	now := l.Timer.Now()
 	g := l.forDeployment(a.Deployment)
 	g.initLimit(a.Capacity)
@@ -68,10 +68,10 @@
 	if reason := refusalReason(g, s, &a, limit, n); reason != "" {
 		g.inFlight.Add(-1)
 		return nil, problem.Overloaded.Withf("deployment %q: %s", a.Deployment, reason).
-			WithRetryAfter(retryDelay(n/limit, a.Used))
+			WithRetryAfter(retryDelay(n/limit, a.Usage))
 	}
 	s.inFlight.Add(1)
-	return &Pass{
+	return &Permit{
 		limiter:    l,
 		deployment: g,
 		caller:     s,
@@ -81,14 +81,14 @@
 
 // refusalReason returns why a request is refused, or "" if it is admitted. n is the
 // number of requests in flight, including this one.
-func refusalReason(g *deploymentLimiter, s *callerState, a *Ask, limit, n float64) string {
+func refusalReason(g *deploymentLimiter, s *callerState, a *Request, limit, n float64) string {
 	if n > math.Max(1, limit*a.Class.limitShare()) {
 		return "the concurrency limit is reached for priority " + a.Class.String()
 	}
 	if a.reachedClaim(s) {
 		return "the caller's share of the slots is in use and other callers claim the rest"
 	}
-	if a.Used > a.maxUsage() {
+	if a.Usage > a.maxUsage() {
 		return "its upstreams are too busy for priority " + a.Class.String()
 	}
 	if n > limit*fairShareThreshold && g.reachedFairShare(s, limit) {
@@ -103,33 +103,33 @@
 
 // contended reports whether the request claims a share of the slots and other callers
 // claim the rest.
-func (a *Ask) contended() bool { return a.Share > 0 && a.Share < 1 }
+func (a *Request) contended() bool { return a.ClaimedShare > 0 && a.ClaimedShare < 1 }
 
 // reachedClaim reports whether the caller's requests in flight have reached the share
 // it claims. The share is taken of the usage that the class is allowed in total, so
 // that all claims together fill it. The current usage of others is not considered: it
 // is known late, and two callers that relied on it would each take what the other one
 // seems to leave free.
-func (a *Ask) reachedClaim(s *callerState) bool {
-	return a.contended() && float64(s.inFlight.Load()) >= max(1, a.Share*a.Slots*a.Class.maxUsage())
+func (a *Request) reachedClaim(s *callerState) bool {
+	return a.contended() && float64(s.inFlight.Load()) >= max(1, a.ClaimedShare*a.Slots*a.Class.maxUsage())
 }
 
 // maxUsage returns the usage of the deployment above which the request is refused.
-func (a *Ask) maxUsage() float64 {
+func (a *Request) maxUsage() float64 {
 	if a.contended() {
 		return claimMaxUsage
 	}
 	return a.Class.maxUsage()
 }
 
-// Close releases the permit and adapts the limit to the result.
-func (p *Pass) Close(r Result) {
+// Release releases the permit and adapts the limit to the result.
+func (p *Permit) Release(r Result) {
 	p.caller.inFlight.Add(-1)
 	p.deployment.inFlight.Add(-1)
 	switch r {
-	case Good:
+	case Succeeded:
 		p.deployment.increase(p.capacity)
-	case Pushed:
+	case Overloaded:
 		p.deployment.decrease(p.limiter.Timer.Now())
 	}
 }
--- a/internal/route/organisation/doc.go
+++ b/internal/route/organisation/doc.go
@@ -11,6 +11,6 @@
 //	key, err := organisation.KeyOf(r.Header)
 //	org, ok := d.Find(key)
 //
-// When an instance forwards a message, Vouch and Directory.Vouched authenticate the organisation
-// without sending the key.
+// When an instance forwards a message, Sign and Directory.Verify authenticate the
+// organisation without sending the key.
 package organisation
--- a/internal/route/organisation/organisation_test.go
+++ b/internal/route/organisation/organisation_test.go
@@ -42,17 +42,17 @@
 		{Name: "saddlers", Digests: []Digest{DigestOf("k1"), DigestOf("k2")}},
 		{Name: "bookbinders", Digests: []Digest{DigestOf("k3")}},
 	})
-	voucher := Vouch("k2", "request 1")
-	o, ok := d.Vouched("saddlers", "request 1", voucher)
+	voucher := Sign("k2", "request 1")
+	o, ok := d.Verify("saddlers", "request 1", voucher)
 	is.True(ok)
 	is.Equal(o.Name, "saddlers")
 	for _, c := range [][3]string{
 		{"bookbinders", "request 1", voucher},
 		{"saddlers", "request 2", voucher},
-		{"saddlers", "request 1", Vouch("k3", "request 1")},
+		{"saddlers", "request 1", Sign("k3", "request 1")},
 		{"saddlers", "request 1", ""},
 	} {
-		_, ok = d.Vouched(c[0], c[1], c[2])
+		_, ok = d.Verify(c[0], c[1], c[2])
 		is.True(!ok)
 	}
 }
--- a/internal/route/organisation/voucher.go
+++ b/internal/route/organisation/voucher.go
@@ -6,10 +6,10 @@
 	"encoding/hex"
 )
 
-// Vouch returns a message authentication code, keyed with the digest of key. An instance that
+// Sign returns a message authentication code, keyed with the digest of key. An instance that
 // read the key sends it to another one as proof of the organisation on whose behalf the message
 // is forwarded. The key itself is not sent.
-func Vouch(key, message string) string {
+func Sign(key, message string) string {
 	digest := DigestOf(key)
 	return digest.messageMAC(message)
 }
@@ -21,8 +21,8 @@
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-// Vouched returns the named organisation if voucher was made for message with one of its keys.
-func (d Directory) Vouched(name, message, voucher string) (Organisation, bool) {
+// Verify returns the named organisation if voucher was made for message with one of its keys.
+func (d Directory) Verify(name, message, voucher string) (Organisation, bool) {
 	for _, e := range d.byDigest {
 		if e.organisation.Name == name && hmac.Equal([]byte(e.digest.messageMAC(message)), []byte(voucher)) {
 			return e.organisation, true
--- a/internal/route/suspect/doc.go
+++ b/internal/route/poison/doc.go
@@ -1,23 +1,23 @@
-// Package suspect detects poison requests, which crash the upstreams that run them, and
+// Package poison detects poison requests, which crash the upstreams that run them, and
 // quarantines them.
 //
-//	var e suspect.Evidence
-//	e.Add(suspect.Crash{
-//		Incarnation:  "desk-4/1774870592702",
+//	var e poison.Tracker
+//	e.Add(poison.Crash{
+//		Incarnation: "desk-4/1774870592702",
 //		Print:       print,
 //		At:          now,
-//		Row:         1,
+//		Consecutive: 1,
 //	})
-//	if v := e.Judge(print, now); v.Refused() {
+//	if v := e.Judge(print, now); v.Quarantined() {
 //		return problem.Quarantined.Withf("%s", v).WithRetryAfter(v.RetryAfter)
 //	}
 //
 // A crash fails every request that the upstream was running, so being in flight during a
-// crash does not by itself make a request a poison request. Evidence distributes the blame
+// crash does not by itself make a request a poison request. Tracker distributes the blame
 // for each crash among the requests in flight, in proportion to their blame for all crashes,
 // and clears a request that completes on any upstream. After several crashes a request is
 // still served, but no longer retried or hedged on further upstreams, until it is cleared or
-// quarantined. Evidence.Judge returns the Verdict on a request.
+// quarantined. Tracker.Judge returns the Verdict on a request.
 //
-// Evidence does no I/O and is not safe for concurrent use.
-package suspect
+// Tracker does no I/O and is not safe for concurrent use.
+package poison
--- a/internal/route/suspect/evidence.go
+++ b/internal/route/poison/evidence.go
@@ -1,4 +1,4 @@
-package suspect
+package poison
 
 import (
 	"slices"
@@ -9,7 +9,7 @@
 	"github.com/egretbend/egretbend/internal/route/fingerprint"
 )
 
-// Limits of Evidence.
+// Limits of a Tracker.
 const (
 	// MaxCrashes is the maximum number of upstream crashes kept.
 	MaxCrashes = 256
@@ -26,23 +26,24 @@
 // crashed.
 type Crash struct {
 	Incarnation crash.Incarnation
-	Print       fingerprint.Print
+	Print       fingerprint.Fingerprint
 	At          timer.Instant
-	// Row is the number of consecutive upstream crashes during this request, including this
+	// Consecutive is the number of consecutive upstream crashes during this request, including this
 	// one, as known when the request was sent. Upstreams that are lost at the same time while
-	// running a popular request may share one cause, so they don't add to each other's Row.
-	Row int
+	// running a popular request may share one cause, so they don't add to each other's
+	// Consecutive.
+	Consecutive int
 }
 
-// Evidence holds the known upstream crashes and the requests suspected of causing them. Its
+// Tracker holds the known upstream crashes and the requests suspected of causing them. Its
 // zero value is empty.
-type Evidence struct {
+type Tracker struct {
 	// crashes is sorted by time.
 	crashes []*upstreamCrash
 	// cleared maps a request to the time of its last completion.
-	cleared map[fingerprint.Print]timer.Instant
+	cleared map[fingerprint.Fingerprint]timer.Instant
 	// blame is derived from crashes; stale marks it as out of date.
-	blame map[fingerprint.Print]blame
+	blame map[fingerprint.Fingerprint]blame
 	stale bool
 }
 
@@ -55,7 +56,7 @@
 }
 
 // indexOf returns the index of a request in x.requests, or -1.
-func (x *upstreamCrash) indexOf(p fingerprint.Print) int {
+func (x *upstreamCrash) indexOf(p fingerprint.Fingerprint) int {
 	return slices.IndexFunc(x.requests, func(c Crash) bool { return c.Print == p })
 }
 
@@ -74,21 +75,21 @@
 func (b blame) countedCrashes() int { return min(b.total, b.consecutive) }
 
 // Empty reports whether no crash is known.
-func (e *Evidence) Empty() bool { return len(e.crashes) == 0 }
+func (e *Tracker) Empty() bool { return len(e.crashes) == 0 }
 
 // Len returns the number of known upstream crashes.
-func (e *Evidence) Len() int { return len(e.crashes) }
+func (e *Tracker) Len() int { return len(e.crashes) }
 
-// Ends returns the number of upstreams that crashed while running a request.
-func (e *Evidence) Ends(p fingerprint.Print) int {
+// CrashCount returns the number of upstreams that crashed while running a request.
+func (e *Tracker) CrashCount(p fingerprint.Fingerprint) int {
 	e.updateBlame()
 	return e.blame[p].total
 }
 
 // Add records a crash and reports whether it was added. A crash is not added if it is known
-// already, in which case only its Row may be raised, if the request was cleared at or after
-// it, or if the upstream crash has maxRequestsPerCrash requests.
-func (e *Evidence) Add(c Crash) bool {
+// already, in which case only its Consecutive may be raised, if the request was cleared
+// at or after it, or if the upstream crash has maxRequestsPerCrash requests.
+func (e *Tracker) Add(c Crash) bool {
 	if at, ok := e.cleared[c.Print]; ok && c.At <= at {
 		return false
 	}
@@ -103,8 +104,8 @@
 	}
 	x := e.crashes[at]
 	if i := x.indexOf(c.Print); i >= 0 {
-		e.stale = e.stale || c.Row > x.requests[i].Row
-		x.requests[i].Row = max(x.requests[i].Row, c.Row)
+		e.stale = e.stale || c.Consecutive > x.requests[i].Consecutive
+		x.requests[i].Consecutive = max(x.requests[i].Consecutive, c.Consecutive)
 		return false
 	}
 	if len(x.requests) >= maxRequestsPerCrash {
@@ -117,7 +118,7 @@
 
 // insert adds x at its position by time, and evicts another crash if there are more than
 // MaxCrashes.
-func (e *Evidence) insert(x *upstreamCrash) {
+func (e *Tracker) insert(x *upstreamCrash) {
 	e.stale = true
 	at, _ := slices.BinarySearchFunc(e.crashes, x.at, func(a *upstreamCrash, t timer.Instant) int { return int(a.at - t) })
 	e.crashes = slices.Insert(e.crashes, at, x)
@@ -127,7 +128,7 @@
 }
 
 // evict removes the oldest crash without a poison request, or the oldest one if all have one.
-func (e *Evidence) evict() {
+func (e *Tracker) evict() {
 	e.updateBlame()
 	at := slices.IndexFunc(e.crashes, func(x *upstreamCrash) bool {
 		return !slices.ContainsFunc(x.requests, func(c Crash) bool { return e.blame[c.Print].isPoison() })
@@ -138,9 +139,9 @@
 
 // Clear records that a request completed at the given time, removes it from earlier crashes,
 // and reports whether it was in any.
-func (e *Evidence) Clear(p fingerprint.Print, at timer.Instant) bool {
+func (e *Tracker) Clear(p fingerprint.Fingerprint, at timer.Instant) bool {
 	if e.cleared == nil {
-		e.cleared = make(map[fingerprint.Print]timer.Instant)
+		e.cleared = make(map[fingerprint.Fingerprint]timer.Instant)
 	}
 	if len(e.cleared) >= maxCleared {
 		clear(e.cleared)
@@ -150,7 +151,7 @@
 }
 
 // remove deletes a request from the matching crashes, and reports whether it was in any.
-func (e *Evidence) remove(p fingerprint.Print, matches func(x *upstreamCrash) bool) bool {
+func (e *Tracker) remove(p fingerprint.Fingerprint, matches func(x *upstreamCrash) bool) bool {
 	removed := false
 	for _, x := range e.crashes {
 		if at := x.indexOf(p); at >= 0 && matches(x) {
@@ -167,7 +168,7 @@
 
 // Expire deletes expired cleared requests and expired crashes, and reports whether any crash
 // record was deleted.
-func (e *Evidence) Expire(now timer.Instant) bool {
+func (e *Tracker) Expire(now timer.Instant) bool {
 	for p, at := range e.cleared {
 		if now.Sub(at) >= clearedTTL {
 			delete(e.cleared, p)
@@ -190,14 +191,14 @@
 // updateBlame recomputes the blame if crashes changed. It weights each request by its number
 // of crashes at first, then repeatedly distributes the blame for each crash among the
 // requests in flight, in proportion to their blame for all crashes.
-func (e *Evidence) updateBlame() {
+func (e *Tracker) updateBlame() {
 	if !e.stale {
 		return
 	}
 	e.stale = false
 	var d blameSolver
-	e.blame = make(map[fingerprint.Print]blame)
-	index := make(map[fingerprint.Print]int)
+	e.blame = make(map[fingerprint.Fingerprint]blame)
+	index := make(map[fingerprint.Fingerprint]int)
 	for _, x := range e.crashes {
 		members := make([]int, len(x.requests))
 		for i, c := range x.requests {
@@ -210,7 +211,7 @@
 			d.shares[index[p]]++
 			b := e.blame[p]
 			b.total++
-			b.consecutive = max(b.consecutive, c.Row)
+			b.consecutive = max(b.consecutive, c.Consecutive)
 			b.lastCrash = max(b.lastCrash, c.At)
 			e.blame[p] = b
 		}
--- a/internal/route/suspect/suspect_test.go
+++ b/internal/route/poison/suspect_test.go
@@ -1,4 +1,4 @@
-package suspect
+package poison
 
 import (
 	"encoding/binary"
@@ -12,10 +12,10 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/route/crash"
 	"github.com/egretbend/egretbend/internal/route/fingerprint"
-	"github.com/egretbend/egretbend/internal/standin/proof"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
-func printOf(n int) (p fingerprint.Print) {
+func printOf(n int) (p fingerprint.Fingerprint) {
 	binary.LittleEndian.PutUint64(p[:], uint64(n))
 	return p
 }
@@ -28,13 +28,13 @@
 		Incarnation: incarnationOf(incarnation),
 		Print:       printOf(print),
 		At:          at,
-		Row:         consecutive,
+		Consecutive: consecutive,
 	}
 }
 
 // addPoisonRequest adds enough crashes to make a request a poison request, one second apart,
 // the last one at the given time.
-func addPoisonRequest(e *Evidence, print, firstIncarnation int, at timer.Instant) {
+func addPoisonRequest(e *Tracker, print, firstIncarnation int, at timer.Instant) {
 	for i := range poisonMinCrashes {
 		e.Add(newCrash(firstIncarnation+i, print, 1+i, at.Add(-time.Duration(poisonMinCrashes-1-i)*time.Second)))
 	}
@@ -44,7 +44,7 @@
 // against serving it after a fourth.
 func TestFourthCrashQuarantinesRequest(t *testing.T) {
 	is := is.New(t)
-	var e Evidence
+	var e Tracker
 	at := timer.Instant(time.Hour)
 	for i := range 3 {
 		at = at.Add(time.Second)
@@ -52,29 +52,29 @@
 		is.True(!e.Add(newCrash(i, 1, 1+i, at))) // duplicate
 	}
 	v := e.Judge(printOf(1), at)
-	is.True(!v.Refused())
-	is.True(!v.MayRepeat(0, 0)) // one upstream only
+	is.True(!v.Quarantined())
+	is.True(!v.MayRetry(0, 0)) // one upstream only
 	at = at.Add(time.Second)
 	e.Add(newCrash(3, 1, 4, at))
 	v = e.Judge(printOf(1), at.Add(time.Second))
-	is.True(v.Refused())
+	is.True(v.Quarantined())
 	is.Equal(v.RetryAfter, initialQuarantine-time.Second)
 	is.Equal(v.Crashes, 4)
-	is.Equal(e.Guilty(), 1)
+	is.Equal(e.PoisonCount(), 1)
 }
 
 // Guards against a quarantine that never ends, and against one that starts at its initial
 // length again with the request's next crash.
 func TestQuarantineEndsAndGrows(t *testing.T) {
 	is := is.New(t)
-	var e Evidence
+	var e Tracker
 	at := timer.Instant(time.Hour)
 	addPoisonRequest(&e, 1, 0, at)
 	later := at.Add(initialQuarantine)
 	v := e.Judge(printOf(1), later)
-	is.True(!v.Refused())
+	is.True(!v.Quarantined())
 	is.True(v.Trial)
-	is.True(!v.MayRepeat(0, 0)) // at one upstream only
+	is.True(!v.MayRetry(0, 0)) // at one upstream only
 	e.Add(newCrash(9, 1, 5, later))
 	is.Equal(e.Judge(printOf(1), later).RetryAfter, quarantineFactor*initialQuarantine)
 	is.True(e.Expire(later.Add(time.Hour)))
@@ -86,16 +86,17 @@
 // crashed at the same time.
 func TestConcurrentCrashesCountOnce(t *testing.T) {
 	is := is.New(t)
-	var e Evidence
+	var e Tracker
 	at := timer.Instant(time.Hour)
 	for i := range 20 {
 		e.Add(newCrash(i, 1, 1, at.Add(time.Duration(i)*time.Millisecond)))
 	}
 	v := e.Judge(printOf(1), at)
 	is.Equal(v.Crashes, 1)
-	is.Equal(v.Ends, 20)
-	is.True(!v.Refused())
-	// Attempts that were cut off for another reason raise Row, but not the count of crashes.
+	is.Equal(v.TotalCrashes, 20)
+	is.True(!v.Quarantined())
+	// Attempts that were cut off for another reason raise Consecutive, but not the count
+	// of crashes.
 	e.Add(newCrash(0, 2, 9, at))
 	is.Equal(e.Judge(printOf(2), at).Crashes, 1)
 }
@@ -104,7 +105,7 @@
 // request, but always together with one of them.
 func TestBystandersAreNotQuarantined(t *testing.T) {
 	is := is.New(t)
-	var e Evidence
+	var e Tracker
 	at := timer.Instant(time.Hour)
 	incarnation := 0
 	for _, poison := range []int{1, 2} {
@@ -117,18 +118,18 @@
 			}
 		}
 	}
-	is.True(e.Judge(printOf(1), at).Refused())
-	is.True(e.Judge(printOf(2), at).Refused())
+	is.True(e.Judge(printOf(1), at).Quarantined())
+	is.True(e.Judge(printOf(2), at).Quarantined())
 	bystander := e.Judge(printOf(3), at)
 	is.Equal(bystander.Crashes, 6)
-	is.True(!bystander.Refused())
+	is.True(!bystander.Quarantined())
 }
 
 // Guards against a crash report that arrives after the request was answered by another
 // upstream.
 func TestAnsweredRequestIsCleared(t *testing.T) {
 	is := is.New(t)
-	var e Evidence
+	var e Tracker
 	at := timer.Instant(time.Hour)
 	addPoisonRequest(&e, 1, 0, at)
 	is.True(e.Clear(printOf(1), at.Add(time.Second)))
@@ -141,7 +142,7 @@
 // against a flood of them that evicts a poison request.
 func TestMemoryIsBoundedAndKeepsPoisonRequests(t *testing.T) {
 	is := is.New(t)
-	var e Evidence
+	var e Tracker
 	at := timer.Instant(time.Hour)
 	addPoisonRequest(&e, 0, 1_000_000, at)
 	for i := range 4 * MaxCrashes {
@@ -150,7 +151,7 @@
 	}
 	is.Equal(e.Len(), MaxCrashes)
 	is.True(len(e.cleared) <= maxCleared)
-	is.True(e.Judge(printOf(0), at).Refused())
+	is.True(e.Judge(printOf(0), at).Quarantined())
 	for i := range 2 * maxRequestsPerCrash {
 		e.Add(newCrash(1_000_000, 5_000+i, 1, at))
 	}
@@ -164,7 +165,7 @@
 // times, and that no innocent request is refused: neither one that was in flight beside a
 // poison request three times before it was answered, nor one that met three unrelated crashes.
 func checkRandomCrashes(t *rapid.T) {
-	var e Evidence
+	var e Tracker
 	now := timer.Instant(time.Hour)
 	poisonRuns, chanceCrashes := map[int]int{}, map[int]int{}
 	for incarnation := range rapid.IntRange(1, 120).Draw(t, "ends") {
@@ -175,14 +176,14 @@
 			first = 20
 		}
 		if culprit > 0 {
-			if e.Judge(printOf(culprit), now).Refused() {
+			if e.Judge(printOf(culprit), now).Quarantined() {
 				continue
 			}
 			poisonRuns[culprit]++
 			e.Add(newCrash(incarnation, culprit, 1+e.Judge(printOf(culprit), now).Crashes, now))
 		}
 		for _, p := range rapid.SliceOfNDistinct(rapid.IntRange(first, first+9), 0, 4, rapid.ID).Draw(t, "there") {
-			if v := e.Judge(printOf(p), now); v.Refused() {
+			if v := e.Judge(printOf(p), now); v.Quarantined() {
 				t.Fatalf("innocent request %d was refused: %+v", p, v)
 			}
 			if chanceCrashes[p] < 3 {
@@ -203,12 +204,12 @@
 }
 
 // Guards against refusing innocent requests and against serving poison requests without bound.
-func TestOnlyPoisonRequestsAreRefused(t *testing.T) { proof.Check(t, checkRandomCrashes) }
+func TestOnlyPoisonRequestsAreRefused(t *testing.T) { property.Check(t, checkRandomCrashes) }
 
 // BenchmarkJudge measures Judge with and without a change before it, with MaxCrashes crashes
 // of six requests each.
 func BenchmarkJudge(b *testing.B) {
-	var e Evidence
+	var e Tracker
 	at := timer.Instant(time.Hour)
 	for i := range MaxCrashes {
 		for j := range 6 {
--- a/internal/route/suspect/verdict.go
+++ b/internal/route/poison/verdict.go
@@ -1,4 +1,4 @@
-package suspect
+package poison
 
 import (
 	"fmt"
@@ -36,12 +36,12 @@
 // Verdict is the decision on a request with its reasons. The zero value means that the
 // request is not suspected.
 type Verdict struct {
-	Print fingerprint.Print
+	Print fingerprint.Fingerprint
 	// Crashes is the number of upstreams that crashed one after the other while running the
 	// request.
 	Crashes int
-	// Ends is the total number of upstreams that crashed while running the request.
-	Ends int
+	// TotalCrashes is the total number of upstreams that crashed while running the request.
+	TotalCrashes int
 	// Blame is the blame attributed to the request, where each crash contributes 1 in all.
 	Blame float64
 	// Age is the time since the last crash.
@@ -53,18 +53,18 @@
 }
 
 // Judge returns the verdict on a request.
-func (e *Evidence) Judge(p fingerprint.Print, now timer.Instant) Verdict {
+func (e *Tracker) Judge(p fingerprint.Fingerprint, now timer.Instant) Verdict {
 	e.updateBlame()
 	b, ok := e.blame[p]
 	if !ok || now >= b.expiry() {
 		return Verdict{}
 	}
 	v := Verdict{
-		Print:   p,
-		Crashes: b.countedCrashes(),
-		Ends:    b.total,
-		Blame:   b.share,
-		Age:     now.Sub(b.lastCrash),
+		Print:        p,
+		Crashes:      b.countedCrashes(),
+		TotalCrashes: b.total,
+		Blame:        b.share,
+		Age:          now.Sub(b.lastCrash),
 	}
 	if b.isPoison() {
 		v.RetryAfter = max(0, b.lastCrash.Add(b.quarantine()).Sub(now))
@@ -73,8 +73,8 @@
 	return v
 }
 
-// Guilty returns the number of poison requests.
-func (e *Evidence) Guilty() int {
+// PoisonCount returns the number of poison requests.
+func (e *Tracker) PoisonCount() int {
 	e.updateBlame()
 	n := 0
 	for _, b := range e.blame {
@@ -85,15 +85,15 @@
 	return n
 }
 
-// Refused reports whether the request is in quarantine.
-func (v Verdict) Refused() bool { return v.RetryAfter > 0 }
+// Quarantined reports whether the request is in quarantine.
+func (v Verdict) Quarantined() bool { return v.RetryAfter > 0 }
 
-// Suspects reports whether any crash counts against the request.
-func (v Verdict) Suspects() bool { return v.Crashes > 0 }
+// Suspected reports whether any crash counts against the request.
+func (v Verdict) Suspected() bool { return v.Crashes > 0 }
 
-// MayRepeat reports whether the request may be sent to one more upstream, given the number
+// MayRetry reports whether the request may be sent to one more upstream, given the number
 // of its connections that were cut and the number of its attempts still in flight.
-func (v Verdict) MayRepeat(cut, inFlight int) bool { return v.Crashes+cut+inFlight < singleAttemptFrom }
+func (v Verdict) MayRetry(cut, inFlight int) bool { return v.Crashes+cut+inFlight < singleAttemptFrom }
 
 // String returns the reason for the verdict, for callers and the log.
 func (v Verdict) String() string {
@@ -106,7 +106,7 @@
 	return log.Fields{
 		"fingerprint":    v.Print.String(),
 		"crashes":        v.Crashes,
-		"ends":           v.Ends,
+		"ends":           v.TotalCrashes,
 		"blame":          strconv.FormatFloat(v.Blame, 'f', 2, 64),
 		"crash_age_ms":   v.Age.Milliseconds(),
 		"retry_after_ms": v.RetryAfter.Milliseconds(),
--- a/internal/route/policy/least_reported.go
+++ b/internal/route/policy/least_reported.go
@@ -25,6 +25,6 @@
 	return Choice{
 		Upstream:   best,
 		Candidates: len(s.Upstreams),
-		Reason:     ReasonLeast,
+		Reason:     ReasonLeastReported,
 	}
 }
--- a/internal/route/policy/policy.go
+++ b/internal/route/policy/policy.go
@@ -11,18 +11,18 @@
 type Query struct {
 	// Random is a fresh random number that seeds this choice.
 	Random uint64
-	// Key is the hash of the prompt's prefix, or zero if there is none.
-	Key uint64
-	Now timer.Instant
+	// PrefixHash is the hash of the prompt's prefix, or zero if there is none.
+	PrefixHash uint64
+	Now        timer.Instant
 	// Oldest is the oldest acceptable weight version; the zero version accepts all.
 	Oldest version.Version
 	// Newest is the newest weight version. If PreferNewest is set, upstreams with
 	// older weights score worse.
 	Newest       version.Version
 	PreferNewest bool
-	// Draws is how many randomly drawn upstreams are compared; less than two means
+	// Choices is how many randomly drawn upstreams are compared; less than two means
 	// two.
-	Draws int
+	Choices int
 	// Tried holds the upstreams that must not be chosen, such as those that the
 	// request was already sent to. The first nil entry ends the list.
 	Tried [MaxTried]*upstream.Upstream
@@ -41,20 +41,20 @@
 	ReasonNone Reason = "none"
 	// ReasonRandom means that the upstream was drawn at random.
 	ReasonRandom Reason = "random"
-	// ReasonLeast means that its last report showed the least load.
-	ReasonLeast Reason = "least_reported"
-	// ReasonTwo means that it was the least loaded of those drawn.
-	ReasonTwo Reason = "less_loaded_of_two"
+	// ReasonLeastReported means that its last report showed the least load.
+	ReasonLeastReported Reason = "least_reported"
+	// ReasonLeastLoaded means that it was the least loaded of those drawn.
+	ReasonLeastLoaded Reason = "less_loaded_of_two"
 	// ReasonPrefix means that it was chosen for the prompt's prefix.
 	ReasonPrefix Reason = "prefix"
 	// ReasonSpill means that no upstream for the prefix was eligible, fast and
 	// free enough, and that the choice of TwoChoices was taken.
 	ReasonSpill Reason = "prefix_spill"
-	// ReasonWarm means that there was an idle connection to it.
-	ReasonWarm Reason = "idle_connection"
-	// ReasonLastHope means that no matching upstream was usable, since all were
+	// ReasonIdleConnection means that there was an idle connection to it.
+	ReasonIdleConnection Reason = "idle_connection"
+	// ReasonAllEjected means that no matching upstream was usable, since all were
 	// ejected for failures, and one of them was chosen nevertheless.
-	ReasonLastHope Reason = "all_out"
+	ReasonAllEjected Reason = "all_out"
 )
 
 // Choice is the result of a policy.
@@ -99,7 +99,7 @@
 			return false
 		}
 	}
-	if q.Oldest.Zero() {
+	if q.Oldest.IsZero() {
 		return true
 	}
 	v, ok := u.Version()
@@ -110,7 +110,7 @@
 // PreferNewest, an upstream with weights older than Newest scores 0.5 worse.
 func (q *Query) score(u *upstream.Upstream) float64 {
 	load := u.Load(q.Now)
-	if !q.PreferNewest || q.Newest.Zero() {
+	if !q.PreferNewest || q.Newest.IsZero() {
 		return load
 	}
 	if v, ok := u.Version(); ok && v.Less(q.Newest) {
@@ -159,7 +159,7 @@
 			return Choice{
 				Upstream:   u,
 				Candidates: len(s.Upstreams),
-				Reason:     ReasonLastHope,
+				Reason:     ReasonAllEjected,
 			}
 		}
 	}
--- a/internal/route/policy/policy_test.go
+++ b/internal/route/policy/policy_test.go
@@ -17,7 +17,7 @@
 	"github.com/egretbend/egretbend/internal/outside/roster"
 	"github.com/egretbend/egretbend/internal/route/policy"
 	"github.com/egretbend/egretbend/internal/route/upstream"
-	"github.com/egretbend/egretbend/internal/standin/proof"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
 // set returns a set of n upstreams in four failure domains with 8 slots each.
@@ -51,7 +51,7 @@
 // too old, and against a refusal although an upstream could have served it. Upstreams
 // leave, fail and report old weights at random.
 func TestChoiceIsUsableIfAnyIs(t *testing.T) {
-	proof.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		clock := &timer.Manual{}
 		clock.Advance(time.Hour)
 		s := set(rapid.IntRange(1, 12).Draw(t, "upstreams"), clock.Now())
@@ -69,7 +69,7 @@
 					u.Failed(clock.Now())
 				}
 			case 2:
-				u.Heard(engine.Report{
+				u.RecordReport(engine.LoadReport{
 					Running: 3,
 					Version: version.Version{
 						Epoch:  1,
@@ -79,9 +79,9 @@
 			}
 		}
 		q := policy.Query{
-			Random: rapid.Uint64().Draw(t, "random"),
-			Key:    rapid.Uint64().Draw(t, "key"),
-			Now:    clock.Now(),
+			Random:     rapid.Uint64().Draw(t, "random"),
+			PrefixHash: rapid.Uint64().Draw(t, "key"),
+			Now:        clock.Now(),
 			Oldest: version.Version{
 				Epoch:  1,
 				Number: 3,
@@ -97,7 +97,7 @@
 		any, healthy := false, false
 		for _, u := range s.Upstreams {
 			any = any || usable(u)
-			healthy = healthy || (usable(u) && !u.Out(q.Now))
+			healthy = healthy || (usable(u) && !u.Ejected(q.Now))
 		}
 		c := p.Choose(s, q)
 		switch {
@@ -105,7 +105,7 @@
 			t.Fatalf("none of %d upstreams was chosen although one is usable", len(s.Upstreams))
 		case c.Upstream != nil && !usable(c.Upstream):
 			t.Fatalf("%s was chosen, which is leaving, tried or too old", c.Upstream.ID)
-		case c.Upstream != nil && healthy && c.Upstream.Out(q.Now):
+		case c.Upstream != nil && healthy && c.Upstream.Ejected(q.Now):
 			t.Fatalf("%s was chosen, which is ejected, although others are not", c.Upstream.ID)
 		}
 	})
@@ -177,12 +177,12 @@
 				for b.Loop() {
 					random = random*6364136223846793005 + 1442695040888963407
 					c := p.Choose(s, policy.Query{
-						Random: random,
-						Key:    random >> 58,
-						Now:    clock.Now(),
+						Random:     random,
+						PrefixHash: random >> 58,
+						Now:        clock.Now(),
 					})
 					c.Upstream.Begin()
-					c.Upstream.Ended()
+					c.Upstream.Cancelled()
 				}
 			})
 		}
--- a/internal/route/policy/prefix_affinity.go
+++ b/internal/route/policy/prefix_affinity.go
@@ -25,13 +25,13 @@
 // Choose implements Policy.
 func (PrefixAffinity) Choose(s *upstream.Set, q Query) Choice {
 	alternative := TwoChoices{}.Choose(s, q)
-	if q.Key == 0 || alternative.Upstream == nil || alternative.Reason == ReasonLastHope {
+	if q.PrefixHash == 0 || alternative.Upstream == nil || alternative.Reason == ReasonAllEjected {
 		return alternative
 	}
 	maxScore := max(freeSlotScore, q.score(alternative.Upstream)+affinityMaxExtraLoad)
 	choice := alternative
 	choice.Reason = ReasonSpill
-	s.Walk(q.Key, affinityRingPoints, func(u *upstream.Upstream) bool {
+	s.WalkRing(q.PrefixHash, affinityRingPoints, func(u *upstream.Upstream) bool {
 		// A slow engine loses more time on each token than the cached prompt saves.
 		if u.Slow() || !q.eligible(u) || q.score(u) > maxScore {
 			return true
--- a/internal/route/policy/warm_test.go
+++ b/internal/route/policy/warm_test.go
@@ -24,26 +24,26 @@
 	opened := 0
 	for i := range uint64(60) {
 		now = now.Add(time.Second)
-		u := Warm{}.Choose(s, Query{Random: splitMix64(i), Now: now}).Upstream
-		if !u.Warm(now) {
+		u := IdleConnection{}.Choose(s, Query{Random: splitMix64(i), Now: now}).Upstream
+		if !u.HasIdleConnection(now) {
 			opened++
 		}
 		u.Begin()
 		u.Succeeded(time.Millisecond)
-		u.Kept(now, 5*time.Second)
+		u.ConnectionIdle(now, 5*time.Second)
 	}
 	is.Equal(opened, 1)
 
 	var warm *upstream.Upstream
 	for _, u := range s.Upstreams {
-		if u.Warm(now) {
+		if u.HasIdleConnection(now) {
 			warm = u
 		}
 	}
-	is.True(!warm.Warm(now.Add(6 * time.Second))) // the upstream has closed the connection
+	is.True(!warm.HasIdleConnection(now.Add(6 * time.Second))) // the upstream has closed the connection
 	for range 4 {
 		warm.Begin()
 	}
-	warm.Kept(now, 5*time.Second)
-	is.True(Warm{}.Choose(s, Query{Random: 1, Now: now}).Upstream != warm)
+	warm.ConnectionIdle(now, 5*time.Second)
+	is.True(IdleConnection{}.Choose(s, Query{Random: 1, Now: now}).Upstream != warm)
 }
--- a/internal/route/relay/call.go
+++ b/internal/route/relay/call.go
@@ -28,7 +28,7 @@
 type Call struct {
 	RequestID  string
 	Caller     string
-	Class      limit.Class
+	Class      limit.Priority
 	Weight     float64
 	Deployment string
 	Method     string
@@ -39,8 +39,8 @@
 }
 
 // fingerprintSum returns the digest that identifies the call when it is sent again.
-func (c *Call) fingerprintSum() fingerprint.Sum {
-	return fingerprint.Of(fingerprint.Parts{
+func (c *Call) fingerprintSum() fingerprint.Digest {
+	return fingerprint.DigestOf(fingerprint.Parts{
 		Organisation: c.Caller,
 		Method:       c.Method,
 		Host:         c.Deployment,
--- a/internal/route/relay/crash_test.go
+++ b/internal/route/relay/crash_test.go
@@ -14,8 +14,8 @@
 	"github.com/matryer/is"
 	"gopkg.in/tomb.v2"
 
-	"github.com/egretbend/egretbend/internal/fleet/bulletin"
 	"github.com/egretbend/egretbend/internal/fleet/configuration"
+	"github.com/egretbend/egretbend/internal/fleet/crashnotice"
 	"github.com/egretbend/egretbend/internal/fleet/gossip"
 	"github.com/egretbend/egretbend/internal/fleet/member"
 	"github.com/egretbend/egretbend/internal/fleet/secret"
@@ -69,7 +69,7 @@
 // instance relays calls and reports the crashes it sees to other instances by gossip.
 type instance struct {
 	relay *relay.Relay
-	board *bulletin.Board
+	board *crashnotice.Board
 }
 
 func newInstance(t *testing.T, name string, state *gossip.State, list []roster.Instance) *instance {
@@ -80,25 +80,25 @@
 		t.Fatal(err)
 	}
 	holder := &configuration.Holder{}
-	holder.Take(doc)
+	holder.Update(doc)
 	table := &upstream.Table{}
 	table.Build(doc.Parsed(), member.Member{ID: name}, list, clock.Now())
-	keeper := &secret.Gossip{
+	keeper := &secret.GossipSecret{
 		State: state,
 	}
-	board := &bulletin.Board{
+	board := &crashnotice.Board{
 		Secret: keeper,
 		Key:    name,
-		Poster: &bulletin.Gossip{
+		Poster: &crashnotice.GossipPublisher{
 			State: state,
 			Key:   name,
 		},
-		Instances: func() int { return 2 },
-		Timer:     clock,
+		InstanceCount: func() int { return 2 },
+		Timer:         clock,
 	}
 	var tb tomb.Tomb
 	tb.Go(func() error { return board.Run(&tb) })
-	listener := bulletin.Listener{
+	listener := crashnotice.Listener{
 		State: state,
 		Board: board,
 	}
@@ -111,15 +111,15 @@
 		board: board,
 		relay: &relay.Relay{
 			Router: &router.Router{
-				Table:   table,
-				Holder:  holder,
-				Limiter: &limit.Limiter{Timer: clock},
-				Board:   &version.Board{State: state},
-				Timer:   clock,
+				Table:    table,
+				Holder:   holder,
+				Limiter:  &limit.Limiter{Timer: clock},
+				Versions: &version.Table{State: state},
+				Timer:    clock,
 				Crashes: &crash.Reporter{
-					Secret: keeper,
-					Timer:  clock,
-					Ended:  board.Report,
+					Secret:  keeper,
+					Timer:   clock,
+					OnCrash: board.ReportCrash,
 				},
 				Suspects: board,
 			},
@@ -153,15 +153,15 @@
 	a, b := newInstance(t, "a", &state, list), newInstance(t, "b", &state, list)
 	is.True(problem.Is(a.call("deadly"), problem.UpstreamFailed))
 	is.Equal(crashes.Load(), int32(3)) // the number of attempts that the deployment allows
-	sum := func() fingerprint.Sum {
-		return fingerprint.Of(fingerprint.Parts{Method: http.MethodPost, Host: "s", Target: "/x", Body: []byte("deadly")})
+	sum := func() fingerprint.Digest {
+		return fingerprint.DigestOf(fingerprint.Parts{Method: http.MethodPost, Host: "s", Target: "/x", Body: []byte("deadly")})
 	}
 	reported := func() bool { return b.board.Judge(sum).Crashes == 3 }
-	is.True(timer.Until(timer.Real{}, time.Millisecond, 20*time.Second, nil, reported))
+	is.True(timer.Poll(timer.Real{}, time.Millisecond, 20*time.Second, nil, reported))
 	is.True(problem.Is(b.call("deadly"), problem.UpstreamFailed))
 	is.Equal(crashes.Load(), int32(4)) // one more crash is enough to quarantine the call
-	quarantined := func() bool { return a.board.Judge(sum).Refused() && b.board.Judge(sum).Refused() }
-	is.True(timer.Until(timer.Real{}, time.Millisecond, 20*time.Second, nil, quarantined))
+	quarantined := func() bool { return a.board.Judge(sum).Quarantined() && b.board.Judge(sum).Quarantined() }
+	is.True(timer.Poll(timer.Real{}, time.Millisecond, 20*time.Second, nil, quarantined))
 	for _, i := range []*instance{a, b} {
 		err := i.call("deadly")
 		is.True(problem.Is(err, problem.Quarantined))
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -31,19 +31,19 @@
 // Do sends a call and repeats it at other upstreams until it is answered or may not be
 // repeated. The deadline is that of ctx.
 func (r *Relay) Do(ctx context.Context, c Call) (*Answer, error) {
-	trip, err := r.Router.Enter(router.Job{
+	trip, err := r.Router.Admit(router.Request{
 		RequestID:  c.RequestID,
 		Caller:     c.Caller,
 		Class:      c.Class,
 		Weight:     c.Weight,
 		Deployment: c.Deployment,
-		Sum:        c.fingerprintSum,
+		Digest:     c.fingerprintSum,
 	})
 	if err != nil {
 		return nil, err
 	}
 	if trip.Set.Deployment.Kind != configuration.KindService {
-		trip.Close(limit.Neutral)
+		trip.Close(limit.Ignored)
 		return nil, problem.UnknownDeployment.Withf("deployment %q is not a service", c.Deployment)
 	}
 	answer, err := r.runAttempts(ctx, trip, c)
@@ -53,11 +53,11 @@
 
 // runAttempts sends the call to one upstream after the other. Once an attempt may have
 // run, possiblyRun stays true, whatever the outcome of later attempts.
-func (r *Relay) runAttempts(ctx context.Context, trip *router.Trip, c Call) (*Answer, error) {
+func (r *Relay) runAttempts(ctx context.Context, trip *router.Dispatch, c Call) (*Answer, error) {
 	var lastErr error
 	possiblyRun := false
 	for {
-		u, err := trip.Next()
+		u, err := trip.NextUpstream()
 		if err != nil {
 			return nil, finalError(err, lastErr, possiblyRun)
 		}
@@ -68,8 +68,8 @@
 			return answer, nil
 		}
 		lastErr = failure
-		if errors.Is(failure, engine.ErrCut) {
-			trip.CutOff(u)
+		if errors.Is(failure, engine.ErrConnectionLost) {
+			trip.ReportCutOff(u)
 		}
 		possiblyRun = possiblyRun || problem.From(failure).Kind.Outcome == problem.Unknown
 		if ctx.Err() != nil || (possiblyRun && !c.Idempotent) || !trip.MayRetry() {
@@ -99,20 +99,20 @@
 func limitResult(err error) limit.Result {
 	switch {
 	case err == nil:
-		return limit.Good
+		return limit.Succeeded
 	case problem.Is(err, problem.UpstreamRefused), problem.Is(err, problem.UpstreamTimeout):
-		return limit.Pushed
+		return limit.Overloaded
 	}
-	return limit.Neutral
+	return limit.Ignored
 }
 
 // sendAttempt makes one attempt at an upstream.
-func (r *Relay) sendAttempt(ctx context.Context, trip *router.Trip, c Call, u *upstream.Upstream) (*Answer, error) {
+func (r *Relay) sendAttempt(ctx context.Context, trip *router.Dispatch, c Call, u *upstream.Upstream) (*Answer, error) {
 	d := trip.Set.Deployment
 	attempt := c.RequestID + "." + strconv.Itoa(trip.Attempts())
 	req, err := newRequest(ctx, c, u.Address, attempt)
 	if err != nil {
-		u.Ended()
+		u.Cancelled()
 		return nil, problem.BadRequest.With(err)
 	}
 	reuse := wire.Reuse(c.Idempotent && d.EchoesAttempt)
@@ -137,7 +137,7 @@
 	switch res.StatusCode {
 	case http.StatusServiceUnavailable:
 		if res.Header.Get(engine.HeaderNotRun) != "" {
-			u.Ended()
+			u.Cancelled()
 			return nil, problem.UpstreamRefused.Withf("upstream %s refused the request", u.ID).
 				WithRetryAfter(max(time.Second, engine.RetryAfter(res.Header)))
 		}
@@ -156,7 +156,7 @@
 	// A call that its caller cancelled does not count against the upstream. One
 	// that ran out of time does, since the time was spent at the upstream.
 	if errors.Is(ctx.Err(), context.Canceled) {
-		u.Ended()
+		u.Cancelled()
 	} else {
 		u.Failed(r.Timer.Now())
 	}
@@ -171,7 +171,7 @@
 	case ctx.Err() != nil:
 		return problem.UpstreamTimeout.Withf("upstream %s: %w", u.ID, err)
 	}
-	return problem.UpstreamFailed.Withf("upstream %s: %w: %w", u.ID, engine.ErrCut, err)
+	return problem.UpstreamFailed.Withf("upstream %s: %w: %w", u.ID, engine.ErrConnectionLost, err)
 }
 
 // newRequest returns the HTTP request of one attempt.
@@ -232,9 +232,9 @@
 
 // recordLoad records the load that the service reported with its answer, if it did.
 func (r *Relay) recordLoad(u *upstream.Upstream, h http.Header) {
-	var report engine.Report
+	var report engine.LoadReport
 	n, _ := fmt.Sscanf(h.Get(HeaderLoad), "%d,%d,%d", &report.Running, &report.Waiting, &report.Slots)
 	if n == 3 {
-		u.Heard(report, r.Timer.Now())
+		u.RecordReport(report, r.Timer.Now())
 	}
 }
--- a/internal/route/relay/relay_test.go
+++ b/internal/route/relay/relay_test.go
@@ -16,9 +16,9 @@
 func TestAnswerMatchesAttemptByEchoOrFreshConnection(t *testing.T) {
 	is := is.New(t)
 	is.True(matchesAttempt("", "r.1", true, wire.Fresh))
-	is.True(!matchesAttempt("", "r.1", true, wire.Shared))
+	is.True(!matchesAttempt("", "r.1", true, wire.Pooled))
 	is.True(matchesAttempt("", "r.1", false, wire.Fresh))
-	is.True(matchesAttempt("r.1", "r.1", true, wire.Shared))
+	is.True(matchesAttempt("r.1", "r.1", true, wire.Pooled))
 	is.True(!matchesAttempt("r.2", "r.1", true, wire.Fresh))
 	is.True(!matchesAttempt("r.2", "r.1", false, wire.Fresh))
 }
--- a/internal/route/retry/budget.go
+++ b/internal/route/retry/budget.go
@@ -17,9 +17,9 @@
 	reserve = 10 * unitsPerRetry
 )
 
-// Earn records a request that succeeded. share is the fraction of a retry that it
+// Deposit records a request that succeeded. share is the fraction of a retry that it
 // adds to the budget.
-func (b *Budget) Earn(share float64) {
+func (b *Budget) Deposit(share float64) {
 	earned := int64(share * unitsPerRetry)
 	for {
 		old := b.spent.Load()
@@ -29,8 +29,8 @@
 	}
 }
 
-// Take takes one retry from the budget and reports whether one was left.
-func (b *Budget) Take() bool {
+// Withdraw takes one retry from the budget and reports whether one was left.
+func (b *Budget) Withdraw() bool {
 	for {
 		old := b.spent.Load()
 		if old+unitsPerRetry > reserve {
--- a/internal/route/retry/doc.go
+++ b/internal/route/retry/doc.go
@@ -5,8 +5,8 @@
 // they can't amplify an overload:
 //
 //	var budget retry.Budget
-//	budget.Earn(0.1) // a request succeeded and adds a tenth of a retry
-//	if !budget.Take() {
+//	budget.Deposit(0.1) // a request succeeded and adds a tenth of a retry
+//	if !budget.Withdraw() {
 //		return lastErr // no retry left
 //	}
 package retry
--- a/internal/route/router/doc.go
+++ b/internal/route/router/doc.go
@@ -2,16 +2,16 @@
 // upstream runs it. It combines the quarantine check, admission control (package
 // limit), a routing policy (package policy) and the retry budget (package retry).
 //
-// A Router admits a Job and returns a Trip, which chooses the upstream of each
+// A Router admits a Request and returns a Dispatch, which chooses the upstream of each
 // attempt:
 //
-//	trip, err := r.Enter(job) // admitted, or refused at once
+//	trip, err := r.Admit(job) // admitted, or refused at once
 //	if err != nil {
 //		return err
 //	}
-//	u, err := trip.Next() // an upstream that was not tried yet
+//	u, err := trip.NextUpstream() // an upstream that was not tried yet
 //	...
-//	trip.Close(limit.Good)
+//	trip.Close(limit.Succeeded)
 //
 // Each choice writes one log line with the chosen upstream, the number of
 // candidates and the reason.
--- a/internal/route/router/part.go
+++ b/internal/route/router/part.go
@@ -4,8 +4,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"gopkg.in/tomb.v2"
 
-	"github.com/egretbend/egretbend/internal/fleet/bulletin"
 	"github.com/egretbend/egretbend/internal/fleet/configuration"
+	"github.com/egretbend/egretbend/internal/fleet/crashnotice"
 	"github.com/egretbend/egretbend/internal/fleet/listing"
 	"github.com/egretbend/egretbend/internal/fleet/member"
 	"github.com/egretbend/egretbend/internal/fleet/version"
@@ -41,20 +41,20 @@
 	limiter := &limit.Limiter{
 		Timer: h.Timer,
 	}
-	part.Get[*member.Gauge](h).Set(limiter.Load)
-	part.Put(h, table)
-	part.Put(h, limiter)
-	part.Put(h, adapter)
-	part.Put(h, &Router{
+	part.MustGet[*member.LoadSource](h).Set(limiter.Load)
+	part.Provide(h, table)
+	part.Provide(h, limiter)
+	part.Provide(h, adapter)
+	part.Provide(h, &Router{
 		Table:    table,
-		Holder:   part.Get[*configuration.Holder](h),
+		Holder:   part.MustGet[*configuration.Holder](h),
 		Limiter:  limiter,
-		Board:    part.Get[*version.Board](h),
+		Versions: part.MustGet[*version.Table](h),
 		Timer:    h.Timer,
 		Journal:  h.Journal,
 		Metrics:  NewMetrics(h.Metrics),
-		Crashes:  part.Get[*crash.Reporter](h),
-		Suspects: part.Get[*bulletin.Board](h),
+		Crashes:  part.MustGet[*crash.Reporter](h),
+		Suspects: part.MustGet[*crashnotice.Board](h),
 	})
 	h.Metrics.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "egretbend_load_ratio",
@@ -63,9 +63,9 @@
 	return &routerPart{
 		refresher: &upstream.Refresher{
 			Table:   table,
-			Holder:  part.Get[*configuration.Holder](h),
-			Listing: part.Get[*listing.Book](h),
-			Members: part.Get[*member.Table](h),
+			Holder:  part.MustGet[*configuration.Holder](h),
+			Listing: part.MustGet[*listing.Table](h),
+			Members: part.MustGet[*member.Table](h),
 			Timer:   h.Timer,
 			Engine:  adapter,
 		},
--- a/internal/route/router/router.go
+++ b/internal/route/router/router.go
@@ -16,25 +16,25 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/route/fingerprint"
 	"github.com/egretbend/egretbend/internal/route/limit"
+	"github.com/egretbend/egretbend/internal/route/poison"
 	"github.com/egretbend/egretbend/internal/route/policy"
 	"github.com/egretbend/egretbend/internal/route/retry"
-	"github.com/egretbend/egretbend/internal/route/suspect"
 	"github.com/egretbend/egretbend/internal/route/upstream"
 )
 
 // Router admits requests and chooses the upstreams that run them.
 type Router struct {
-	Table   *upstream.Table
-	Holder  *configuration.Holder
-	Limiter *limit.Limiter
-	Board   *version.Board
-	Timer   timer.Service
-	Journal *journal.Journal
-	Metrics *Metrics
+	Table    *upstream.Table
+	Holder   *configuration.Holder
+	Limiter  *limit.Limiter
+	Versions *version.Table
+	Timer    timer.Service
+	Journal  *journal.Journal
+	Metrics  *Metrics
 	// Crashes finds out whether an upstream crashed when an attempt was cut off, Suspects
 	// tells which requests crash upstreams. Each may be nil, which disables it.
-	Crashes  Crashes
-	Suspects Suspects
+	Crashes  CrashReporter
+	Suspects PoisonDetector
 
 	budgets    sync.Map // deployment name to *retry.Budget
 	capacities sync.Map // deployment name to *capacityCache
@@ -64,26 +64,26 @@
 	}
 }
 
-// Job describes a request to be admitted and sent to an upstream.
-type Job struct {
+// Request describes a request to be admitted and sent to an upstream.
+type Request struct {
 	RequestID  string
 	Caller     string
-	Class      limit.Class
+	Class      limit.Priority
 	Weight     float64
 	Deployment string
-	// Key is the hash of the prompt's prefix, for prefix affinity; zero if there is none.
-	Key uint64
-	// Staleness enables the deployment's bound on the age of weight versions.
-	Staleness bool
-	// Lead is how many weight versions are expected to be published before the
+	// PrefixHash is the hash of the prompt's prefix, for prefix affinity; zero if there is none.
+	PrefixHash uint64
+	// BoundStaleness enables the deployment's bound on the age of weight versions.
+	BoundStaleness bool
+	// VersionLead is how many weight versions are expected to be published before the
 	// result is delivered.
-	Lead uint64
-	// Share is the share of the deployment that the caller may claim while slots
+	VersionLead uint64
+	// ClaimedShare is the share of the deployment that the caller may claim while slots
 	// are scarce; zero means no particular share.
-	Share float64
-	// Sum returns the digest that identifies the request when it is sent again. If it is
+	ClaimedShare float64
+	// Digest returns the digest that identifies the request when it is sent again. If it is
 	// nil, the request is never suspected of crashing upstreams.
-	Sum func() fingerprint.Sum
+	Digest func() fingerprint.Digest
 }
 
 // capacityCache holds the last computed capacity of a set, since computing it visits
@@ -99,10 +99,10 @@
 // capacityMaxAge is the age after which a cached capacity is recomputed.
 const capacityMaxAge = 50 * time.Millisecond
 
-// Enter admits a request. It returns problem.NotReady, problem.UnknownDeployment,
+// Admit admits a request. It returns problem.NotReady, problem.UnknownDeployment,
 // problem.NoUpstream, problem.Overloaded, problem.Quarantined or problem.Internal;
 // with any of them nothing has run.
-func (r *Router) Enter(job Job) (*Trip, error) {
+func (r *Router) Admit(job Request) (*Dispatch, error) {
 	if r.Holder.Current() == nil {
 		return nil, problem.NotReady.Withf("no configuration yet").WithRetryAfter(time.Second)
 	}
@@ -123,25 +123,25 @@
 	// count is exact: with a cached count, every request of a burst would see the
 	// same free slots.
 	_, ownInFlight := r.Limiter.Limit(job.Deployment)
-	permit, err := r.Limiter.Admit(limit.Ask{
-		Deployment: job.Deployment,
-		Caller:     job.Caller,
-		Class:      job.Class,
-		Weight:     max(job.Weight, 0.01),
-		Capacity:   slots * (1 + set.Deployment.QueueShare),
-		Used:       (others + float64(ownInFlight)) / slots,
-		Slots:      slots,
-		Share:      job.Share,
+	permit, err := r.Limiter.Admit(limit.Request{
+		Deployment:   job.Deployment,
+		Caller:       job.Caller,
+		Class:        job.Class,
+		Weight:       max(job.Weight, 0.01),
+		Capacity:     slots * (1 + set.Deployment.QueueShare),
+		Usage:        (others + float64(ownInFlight)) / slots,
+		Slots:        slots,
+		ClaimedShare: job.ClaimedShare,
 	})
 	if err != nil {
 		return nil, r.recordRefusal(job, err)
 	}
 	selected, err := policy.Find(set.Deployment.Policy)
 	if err != nil {
-		permit.Close(limit.Neutral)
+		permit.Release(limit.Ignored)
 		return nil, problem.Internal.With(err).WithOutcome(problem.NotRun)
 	}
-	return &Trip{
+	return &Dispatch{
 		Job:     job,
 		Set:     set,
 		router:  r,
@@ -152,7 +152,7 @@
 }
 
 // recordRefusal counts and logs a refused request and returns err.
-func (r *Router) recordRefusal(job Job, err error) error {
+func (r *Router) recordRefusal(job Request, err error) error {
 	if r.Metrics != nil {
 		r.Metrics.Refusals.WithLabelValues(job.Deployment, job.Class.String()).Inc()
 	}
@@ -193,34 +193,34 @@
 	return v.(*retry.Budget)
 }
 
-// Trip is an admitted request. It chooses the upstream for each attempt and must be
+// Dispatch is an admitted request. It chooses the upstream for each attempt and must be
 // closed once.
-type Trip struct {
-	Job Job
+type Dispatch struct {
+	Job Request
 	Set *upstream.Set
 
 	router *Router
-	permit *limit.Pass
+	permit *limit.Permit
 	policy policy.Policy
 	tried  [policy.MaxTried]*upstream.Upstream
 	// attempts counts the upstreams chosen so far. The first excluded entries of
-	// tried were set by Avoid and are not attempts.
+	// tried were set by Exclude and are not attempts.
 	attempts int
 	excluded int
 	// verdict tells whether the request is suspected of crashing upstreams.
 	// cutAttempts counts this trip's attempts that were cut off.
-	verdict     suspect.Verdict
+	verdict     poison.Verdict
 	cutAttempts int
 }
 
 // Attempts returns how many upstreams were chosen so far.
-func (t *Trip) Attempts() int { return t.attempts }
+func (t *Dispatch) Attempts() int { return t.attempts }
 
-// Avoid excludes the upstream with the given ID from the choice. It must be called
-// before Next. It is for a second attempt beside a slow one, which is of no use at the
-// same engine. Avoid does nothing if no other upstream would be left, or if
+// Exclude excludes the upstream with the given ID from the choice. It must be called
+// before NextUpstream. It is for a second attempt beside a slow one, which is of no use
+// at the same engine. Exclude does nothing if no other upstream would be left, or if
 // policy.MaxTried/2 upstreams are excluded already.
-func (t *Trip) Avoid(id string) {
+func (t *Dispatch) Exclude(id string) {
 	if t.excluded >= policy.MaxTried/2 || len(t.Set.Upstreams) <= t.excluded+1 {
 		return
 	}
@@ -233,15 +233,15 @@
 	}
 }
 
-// Next chooses an upstream that was not tried yet and counts the request as in flight
+// NextUpstream chooses an upstream that was not tried yet and counts the request as in flight
 // there. It returns problem.NoUpstream if there is none or all attempts are used.
-func (t *Trip) Next() (*upstream.Upstream, error) {
+func (t *Dispatch) NextUpstream() (*upstream.Upstream, error) {
 	if t.attempts >= t.Set.Deployment.Attempts || t.excluded+t.attempts >= policy.MaxTried {
 		return nil, problem.NoUpstream.Withf("all %d attempts of request %s have been used", t.attempts, t.Job.RequestID).
 			WithRetryAfter(time.Second)
 	}
-	choice := t.policy.Choose(t.Set, t.query(t.Job.Lead))
-	if choice.Upstream == nil && t.Job.Lead > 0 {
+	choice := t.policy.Choose(t.Set, t.query(t.Job.VersionLead))
+	if choice.Upstream == nil && t.Job.VersionLead > 0 {
 		// While new versions are being published, possibly no engine has a version
 		// that will still be recent enough on delivery. Fall back to one that is
 		// recent enough now.
@@ -260,18 +260,18 @@
 
 // query returns the policy query for the next attempt. It requires a weight version that
 // is still within the staleness bound after lead more versions.
-func (t *Trip) query(lead uint64) policy.Query {
+func (t *Dispatch) query(lead uint64) policy.Query {
 	q := policy.Query{
-		Random: rand.Uint64(),
-		Key:    t.Job.Key,
-		Now:    t.router.Timer.Now(),
-		Tried:  t.tried,
-		Draws:  choicesFor(t.Job.Class),
+		Random:     rand.Uint64(),
+		PrefixHash: t.Job.PrefixHash,
+		Now:        t.router.Timer.Now(),
+		Tried:      t.tried,
+		Choices:    choicesFor(t.Job.Class),
 	}
-	if !t.Job.Staleness {
+	if !t.Job.BoundStaleness {
 		return q
 	}
-	newest, oldest, ok := t.Bound(lead)
+	newest, oldest, ok := t.VersionBounds(lead)
 	if !ok {
 		return q
 	}
@@ -281,12 +281,12 @@
 	return q
 }
 
-// Bound returns the newest published version and the oldest version whose results
+// VersionBounds returns the newest published version and the oldest version whose results
 // are still within the staleness bound after lead more versions. ok is false if the
 // job has no staleness bound or no version is published.
-func (t *Trip) Bound(lead uint64) (newest, oldest version.Version, ok bool) {
-	p, ok := t.router.Board.Newest(t.Job.Deployment)
-	if !ok || !t.Job.Staleness {
+func (t *Dispatch) VersionBounds(lead uint64) (newest, oldest version.Version, ok bool) {
+	p, ok := t.router.Versions.Newest(t.Job.Deployment)
+	if !ok || !t.Job.BoundStaleness {
 		return version.Version{}, version.Version{}, false
 	}
 	bound := t.Set.Deployment.Staleness.MaxVersions
@@ -300,7 +300,7 @@
 // upstreams keeps long streams from piling up. Callers' requests are sent by all
 // instances: with more than two choices, they would all pick the upstream whose
 // outdated report shows little load.
-func choicesFor(c limit.Class) int {
+func choicesFor(c limit.Priority) int {
 	if c == limit.Training {
 		return trainingChoices
 	}
@@ -313,11 +313,11 @@
 // MayRetry reports whether another attempt is allowed by the deployment's maximum number
 // of attempts, the verdict on the request and the retry budget. If so, it takes the
 // retry from the budget.
-func (t *Trip) MayRetry() bool {
-	if t.attempts >= t.Set.Deployment.Attempts || t.cutAttempts > 0 && !t.verdict.MayRepeat(t.cutAttempts, 0) {
+func (t *Dispatch) MayRetry() bool {
+	if t.attempts >= t.Set.Deployment.Attempts || t.cutAttempts > 0 && !t.verdict.MayRetry(t.cutAttempts, 0) {
 		return false
 	}
-	if !t.router.retryBudget(t.Job.Deployment).Take() {
+	if !t.router.retryBudget(t.Job.Deployment).Withdraw() {
 		return false
 	}
 	if t.router.Metrics != nil {
@@ -328,16 +328,16 @@
 
 // Close ends the trip and releases its admission. A good result also earns retry
 // budget and clears the request of suspicion.
-func (t *Trip) Close(r limit.Result) {
-	if r == limit.Good {
-		t.router.retryBudget(t.Job.Deployment).Earn(t.Set.Deployment.RetryShare)
+func (t *Dispatch) Close(r limit.Result) {
+	if r == limit.Succeeded {
+		t.router.retryBudget(t.Job.Deployment).Deposit(t.Set.Deployment.RetryShare)
 		t.clearSuspicion()
 	}
-	t.permit.Close(r)
+	t.permit.Release(r)
 }
 
 // logChoice counts an attempt and logs the choice of its upstream.
-func (r *Router) logChoice(t *Trip, c policy.Choice) {
+func (r *Router) logChoice(t *Dispatch, c policy.Choice) {
 	if r.Metrics != nil {
 		r.Metrics.Attempts.WithLabelValues(t.Job.Deployment).Inc()
 	}
--- a/internal/route/ticket/book.go
+++ b/internal/route/ticket/book.go
@@ -11,17 +11,17 @@
 	"github.com/egretbend/egretbend/internal/route/relay"
 )
 
-// Limits of a Book.
+// Limits of an Issuer.
 const (
-	// Life is how long a ticket may be used after its issue. Its run is kept for another Life
+	// TTL is how long a ticket may be used after its issue. Its run is kept for another TTL
 	// after that.
-	Life = 10 * time.Minute
+	TTL = 10 * time.Minute
 	// maxAnswerBytes bounds the total size of the answers that are kept for repeats.
 	maxAnswerBytes = 64 << 20
 )
 
-// Book issues tickets and keeps the runs of their requests, for one incarnation of an instance.
-type Book struct {
+// Issuer issues tickets and keeps the runs of their requests, for one incarnation of an instance.
+type Issuer struct {
 	Address     string
 	Incarnation uint64
 	Timer       timer.Service
@@ -46,7 +46,7 @@
 	Done <-chan struct{}
 
 	done        chan struct{}
-	book        *Book
+	book        *Issuer
 	number      uint64
 	expires     timer.Instant
 	fingerprint uint64
@@ -54,9 +54,9 @@
 	err         error
 }
 
-// Print returns the fingerprint of a request, which distinguishes a repeat from another
+// Fingerprint returns the fingerprint of a request, which distinguishes a repeat from another
 // request with the same ticket.
-func Print(method, deployment, path string, body []byte) uint64 {
+func Fingerprint(method, deployment, path string, body []byte) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{method, deployment, path} {
 		_, _ = d.WriteString(s)
@@ -67,7 +67,7 @@
 }
 
 // Issue returns n new tickets.
-func (b *Book) Issue(n int) []Ticket {
+func (b *Issuer) Issue(n int) []Ticket {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := make([]Ticket, 0, n)
@@ -77,22 +77,22 @@
 			Address:     b.Address,
 			Incarnation: b.Incarnation,
 			Number:      b.lastIssued,
-			Expires:     b.Timer.Now().Add(Life),
+			Expires:     b.Timer.Now().Add(TTL),
 		})
 	}
 	return list
 }
 
-// Mine reports whether this incarnation of the instance issued t.
-func (b *Book) Mine(t Ticket) bool {
+// Issued reports whether this incarnation of the instance issued t.
+func (b *Issuer) Issued(t Ticket) bool {
 	return t.Address == b.Address && t.Incarnation == b.Incarnation
 }
 
 // Use starts the run of a ticket's request, or returns the earlier run if the ticket was used
 // before for the same request. Errors: problem.TicketHolderGone, .TicketExpired,
 // .TicketMismatch, .BadRequest.
-func (b *Book) Use(t Ticket, fingerprint uint64) (run, earlier *Run, err error) {
-	if !b.Mine(t) {
+func (b *Issuer) Use(t Ticket, fingerprint uint64) (run, earlier *Run, err error) {
+	if !b.Issued(t) {
 		return nil, nil, problem.TicketHolderGone.Withf("the ticket is of an earlier incarnation of %s", t.Address)
 	}
 	b.mu.Lock()
@@ -117,7 +117,7 @@
 }
 
 // startRun adds a run for t. The caller holds b.mu.
-func (b *Book) startRun(t Ticket, fingerprint uint64) *Run {
+func (b *Issuer) startRun(t Ticket, fingerprint uint64) *Run {
 	done := make(chan struct{})
 	run := &Run{
 		Done:        done,
@@ -162,12 +162,12 @@
 	return r.answer, r.err
 }
 
-// expireRuns deletes the runs whose ticket expired at least Life ago. The caller holds b.mu.
-func (b *Book) expireRuns() {
+// expireRuns deletes the runs whose ticket expired at least TTL ago. The caller holds b.mu.
+func (b *Issuer) expireRuns() {
 	now := b.Timer.Now()
 	for len(b.runOrder) > 0 {
 		run, ok := b.runs[b.runOrder[0]]
-		if ok && now < run.expires.Add(Life) {
+		if ok && now < run.expires.Add(TTL) {
 			return
 		}
 		if ok && run.answer != nil {
@@ -181,7 +181,7 @@
 
 // evictAnswers deletes the oldest answers while they exceed maxAnswerBytes, except the last one.
 // The runs are kept, so that the requests don't run again. The caller holds b.mu.
-func (b *Book) evictAnswers() {
+func (b *Issuer) evictAnswers() {
 	for b.storedBytes > maxAnswerBytes && len(b.answerOrder) > 1 {
 		if run, ok := b.runs[b.answerOrder[0]]; ok && run.answer != nil {
 			b.storedBytes -= len(run.answer.Body)
--- a/internal/route/ticket/doc.go
+++ b/internal/route/ticket/doc.go
@@ -6,10 +6,10 @@
 // gone, the outcome of the request is unknown and no instance runs it again. So instances share
 // no state, and the cost does not grow with the fleet.
 //
-//	run, earlier, err := book.Use(t, ticket.Print(method, deployment, path, body))
+//	run, earlier, err := book.Use(t, ticket.Fingerprint(method, deployment, path, body))
 //	switch {
 //	case err != nil: // expired, of another incarnation, or used for another request
 //	case run != nil: // first use: run the request, then call run.Finish(answer, err)
-//	default:         // repeat: wait for earlier.Done, then call earlier.Result()
+//	default: // repeat: wait for earlier.Done, then call earlier.Result()
 //	}
 package ticket
--- a/internal/route/ticket/proof_test.go
+++ b/internal/route/ticket/proof_test.go
@@ -11,7 +11,7 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/route/relay"
 	"github.com/egretbend/egretbend/internal/route/ticket"
-	"github.com/egretbend/egretbend/internal/standin/proof"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
 // faultConfig selects the faults that a test injects.
@@ -28,7 +28,7 @@
 	t      *rapid.T
 	faults faultConfig
 	clock  *timer.Manual
-	books  []*ticket.Book
+	books  []*ticket.Issuer
 
 	issued []ticket.Ticket
 	runs   map[ticket.Ticket]int
@@ -48,8 +48,8 @@
 	return w
 }
 
-func (w *fleet) newBook(i int, incarnation uint64) *ticket.Book {
-	return &ticket.Book{
+func (w *fleet) newBook(i int, incarnation uint64) *ticket.Issuer {
+	return &ticket.Issuer{
 		Address:     fmt.Sprintf("127.0.0.1:%d", 7000+i),
 		Incarnation: incarnation,
 		Timer:       w.clock,
@@ -130,13 +130,13 @@
 // replaced under the same address, or long after. Guards against running the request twice, and
 // against reporting it as not run after it ran.
 func TestTicketRunsAtMostOnce(t *testing.T) {
-	proof.Check(t, randomOperations(faultConfig{}))
+	property.Check(t, randomOperations(faultConfig{}))
 }
 
 // Checks that the test above finds the fault of an instance that runs a request under a ticket
 // that it did not issue: the request runs twice if the issuer ran it already.
 func TestTicketRunsTwiceIfAnyInstanceRunsIt(t *testing.T) {
-	proof.Refute(t, randomOperations(faultConfig{
+	property.CheckFails(t, randomOperations(faultConfig{
 		anyInstance: true,
 	}))
 }
@@ -145,7 +145,7 @@
 // order of the ticket numbers shows that the ticket is old. Guards against running the request
 // again.
 func TestAlteredExpiryDoesNotRunAgain(t *testing.T) {
-	proof.Check(t, randomOperations(faultConfig{
+	property.Check(t, randomOperations(faultConfig{
 		alteredExpiry: true,
 	}))
 }
--- a/internal/route/upstream/idle.go
+++ b/internal/route/upstream/idle.go
@@ -15,8 +15,8 @@
 	expiresAt atomic.Int64
 }
 
-// Kept records that the connection of a request that just ended stays open for keepAlive.
-func (u *Upstream) Kept(now timer.Instant, keepAlive time.Duration) {
+// ConnectionIdle records that the connection of a request that just ended stays open for keepAlive.
+func (u *Upstream) ConnectionIdle(now timer.Instant, keepAlive time.Duration) {
 	if keepAlive <= 0 {
 		return
 	}
@@ -27,8 +27,8 @@
 	u.idleConns.count.Add(1)
 }
 
-// Warm reports whether this instance has an idle connection to the upstream.
-func (u *Upstream) Warm(now timer.Instant) bool {
+// HasIdleConnection reports whether this instance has an idle connection to the upstream.
+func (u *Upstream) HasIdleConnection(now timer.Instant) bool {
 	return u.idleConns.count.Load() > 0 && int64(now) < u.idleConns.expiresAt.Load()
 }
 
--- a/internal/route/upstream/pace_test.go
+++ b/internal/route/upstream/pace_test.go
@@ -17,14 +17,14 @@
 	const usual = 0.05
 	u := &Upstream{Slots: 8}
 	now := timer.Instant(time.Hour)
-	is.Equal(u.Against(usual, now), 1.0) // unknown
-	u.Measured(65*time.Millisecond, now)
-	is.True(u.Against(usual, now) > 1.29)
-	is.True(u.Against(usual, now.Add(4*time.Second)) > 1.2)
-	is.True(u.Against(usual, now.Add(time.Minute)) < 1.01)
+	is.Equal(u.RelativePace(usual, now), 1.0) // unknown
+	u.RecordPace(65*time.Millisecond, now)
+	is.True(u.RelativePace(usual, now) > 1.29)
+	is.True(u.RelativePace(usual, now.Add(4*time.Second)) > 1.2)
+	is.True(u.RelativePace(usual, now.Add(time.Minute)) < 1.01)
 	// One slow measurement counts, but does not replace the smoothed pace.
-	u.Measured(200*time.Millisecond, now)
-	is.True(u.Against(usual, now) > 2 && u.Against(usual, now) < 3)
+	u.RecordPace(200*time.Millisecond, now)
+	is.True(u.RelativePace(usual, now) > 2 && u.RelativePace(usual, now) < 3)
 }
 
 // An engine without an event from any stream is not alive; one that produces events for any
@@ -33,8 +33,8 @@
 	is := is.New(t)
 	u := &Upstream{Slots: 8}
 	now := timer.Instant(time.Hour)
-	is.True(!u.Lives(now))
-	u.Made(now)
-	is.True(u.Lives(now.Add(maxEventGap / 2)))
-	is.True(!u.Lives(now.Add(maxEventGap)))
+	is.True(!u.Alive(now))
+	u.RecordEvent(now)
+	is.True(u.Alive(now.Add(maxEventGap / 2)))
+	is.True(!u.Alive(now.Add(maxEventGap)))
 }
--- a/internal/route/upstream/refresh.go
+++ b/internal/route/upstream/refresh.go
@@ -37,7 +37,7 @@
 type Refresher struct {
 	Table   *Table
 	Holder  *configuration.Holder
-	Listing *listing.Book
+	Listing *listing.Table
 	Members *member.Table
 	Timer   timer.Service
 	Engine  engine.Adapter
@@ -84,7 +84,7 @@
 		r.revision = doc.Revision
 		r.listingChanges = changes
 	}
-	r.Table.Judge(now)
+	r.Table.DetectOutliers(now)
 }
 
 // fetchDueReports requests the reports that are due, and waits for them.
@@ -148,7 +148,7 @@
 	if err != nil {
 		return
 	}
-	u.Heard(report, r.Timer.Now())
+	u.RecordReport(report, r.Timer.Now())
 	if report.Leaving {
 		r.Listing.MarkLeaving(u.ID, u.Incarnation)
 	}
--- a/internal/route/upstream/scale_test.go
+++ b/internal/route/upstream/scale_test.go
@@ -17,7 +17,7 @@
 
 // newFleetState returns the members and the listed upstreams of a fleet, as one instance knows
 // them.
-func newFleetState(instances, upstreams int) (*member.Table, *listing.Book) {
+func newFleetState(instances, upstreams int) (*member.Table, *listing.Table) {
 	state := &gossip.State{}
 	table := &member.Table{
 		State: state,
@@ -38,11 +38,11 @@
 		}
 		state.Merge(m.Entry(0))
 	}
-	book := &listing.Book{
+	book := &listing.Table{
 		State: state,
 	}
 	for i := range upstreams {
-		book.Seen(roster.Instance{
+		book.Upsert(roster.Instance{
 			ID:            fmt.Sprintf("sampler-%d", i),
 			Group:         "sampler",
 			Address:       "10.100.100.100:8000",
--- a/internal/route/upstream/set.go
+++ b/internal/route/upstream/set.go
@@ -149,9 +149,9 @@
 	return h
 }
 
-// Walk calls visit with the upstreams that follow key on the ring, until visit
+// WalkRing calls visit with the upstreams that follow key on the ring, until visit
 // returns false or steps points were visited. One upstream may be visited several times.
-func (s *Set) Walk(key uint64, steps int, visit func(*Upstream) bool) {
+func (s *Set) WalkRing(key uint64, steps int, visit func(*Upstream) bool) {
 	if len(s.ring) == 0 {
 		return
 	}
@@ -186,8 +186,8 @@
 	return slots, others
 }
 
-// Judge updates the slowness of the upstreams and limits how many are ejected.
-func (s *Set) Judge(now timer.Instant) {
+// DetectOutliers updates the slowness of the upstreams and limits how many are ejected.
+func (s *Set) DetectOutliers(now timer.Instant) {
 	s.comparePaces()
 	s.limitEjected(now)
 }
@@ -228,7 +228,7 @@
 func (s *Set) limitEjected(now timer.Instant) {
 	var ejected []*Upstream
 	for _, u := range s.Upstreams {
-		if u.Out(now) {
+		if u.Ejected(now) {
 			ejected = append(ejected, u)
 		}
 	}
--- a/internal/route/upstream/table.go
+++ b/internal/route/upstream/table.go
@@ -51,10 +51,10 @@
 	t.sets.Store(&next)
 }
 
-// Judge updates the slowness of the upstreams of each set and limits how many are ejected. It
+// DetectOutliers updates the slowness of the upstreams of each set and limits how many are ejected. It
 // is called periodically.
-func (t *Table) Judge(now timer.Instant) {
+func (t *Table) DetectOutliers(now timer.Instant) {
 	for _, s := range t.Sets() {
-		s.Judge(now)
+		s.DetectOutliers(now)
 	}
 }
--- a/internal/route/upstream/upstream.go
+++ b/internal/route/upstream/upstream.go
@@ -62,7 +62,7 @@
 	ejectedUntil atomic.Int64
 	// slowStartFrom is the time at which the slow start begins.
 	slowStartFrom atomic.Int64
-	// paceMeasuredAt is the time of the last call of Measured.
+	// paceMeasuredAt is the time of the last call of RecordPace.
 	paceMeasuredAt atomic.Int64
 	// lastEvent is when any stream of the upstream last produced an event.
 	lastEvent atomic.Int64
@@ -77,14 +77,14 @@
 
 // receivedReport is a report with the state of this instance when it was received.
 type receivedReport struct {
-	engine.Report
+	engine.LoadReport
 	receivedAt timer.Instant
 	// ownPeak is the largest number of this instance's requests that the report may include.
 	ownPeak int64
 }
 
-// StartedAt sets the time at which the slow start begins.
-func (u *Upstream) StartedAt(at timer.Instant) { u.slowStartFrom.Store(int64(at)) }
+// SetSlowStart sets the time at which the slow start begins.
+func (u *Upstream) SetSlowStart(at timer.Instant) { u.slowStartFrom.Store(int64(at)) }
 
 // Begin counts a request that is being sent.
 func (u *Upstream) Begin() {
@@ -110,9 +110,9 @@
 	u.smoothPace(pace, paceWeight, maxPaceJump)
 }
 
-// Ended ends a request whose outcome says nothing about the upstream, such as one
+// Cancelled ends a request whose outcome says nothing about the upstream, such as one
 // that the caller cancelled or that the upstream refused because it was full.
-func (u *Upstream) Ended() { u.inFlight.Add(-1) }
+func (u *Upstream) Cancelled() { u.inFlight.Add(-1) }
 
 // Failed ends a request that the upstream failed. It reports whether this ejects the upstream.
 func (u *Upstream) Failed(now timer.Instant) bool {
@@ -128,7 +128,7 @@
 // evidence than a failed answer, so the upstream is ejected at once.
 func (u *Upstream) Unreachable(now timer.Instant) {
 	u.inFlight.Add(-1)
-	if !u.Out(now) {
+	if !u.Ejected(now) {
 		u.eject(now)
 	}
 }
@@ -143,8 +143,8 @@
 	u.slowStartFrom.Store(int64(until))
 }
 
-// Out reports whether the upstream is ejected.
-func (u *Upstream) Out(now timer.Instant) bool { return int64(now) < u.ejectedUntil.Load() }
+// Ejected reports whether the upstream is ejected.
+func (u *Upstream) Ejected(now timer.Instant) bool { return int64(now) < u.ejectedUntil.Load() }
 
 // MarkLeaving marks the upstream as leaving. The mark can't be removed.
 func (u *Upstream) MarkLeaving() { u.leaving.Store(true) }
@@ -153,7 +153,7 @@
 func (u *Upstream) Leaving() bool { return u.leaving.Load() }
 
 // Usable reports whether the upstream may get new requests.
-func (u *Upstream) Usable(now timer.Instant) bool { return !u.leaving.Load() && !u.Out(now) }
+func (u *Upstream) Usable(now timer.Instant) bool { return !u.leaving.Load() && !u.Ejected(now) }
 
 // smoothPace adds a measurement, bounded to maxJump times the smoothed pace, to the smoothed
 // pace with the given weight. It reports false and does nothing if pace is not positive.
@@ -170,10 +170,10 @@
 	return true
 }
 
-// Measured records a pace that was measured over many events of one request. Its weight is high
+// RecordPace records a pace that was measured over many events of one request. Its weight is high
 // so that it counts at once: a stream that left a slow engine would otherwise return to it, as
 // the one with the most free slots.
-func (u *Upstream) Measured(pace time.Duration, now timer.Instant) {
+func (u *Upstream) RecordPace(pace time.Duration, now timer.Instant) {
 	if u.smoothPace(pace, measuredPaceWeight, math.Inf(1)) {
 		u.paceMeasuredAt.Store(int64(now))
 	}
@@ -189,9 +189,9 @@
 	paceHalfLife = 10 * time.Second
 )
 
-// Against returns the ratio of the pace to usual, which is in seconds, or 1 if either is
+// RelativePace returns the ratio of the pace to usual, which is in seconds, or 1 if either is
 // unknown. The ratio decays towards 1 while the pace is not measured.
-func (u *Upstream) Against(usual float64, now timer.Instant) float64 {
+func (u *Upstream) RelativePace(usual float64, now timer.Instant) float64 {
 	pace := u.Pace()
 	if usual <= 0 || pace <= 0 {
 		return 1
@@ -204,11 +204,11 @@
 // alive. It is above the pause between events while an engine processes prompts.
 const maxEventGap = 300 * time.Millisecond
 
-// Made records that a stream produced an event.
-func (u *Upstream) Made(now timer.Instant) { u.lastEvent.Store(int64(now)) }
+// RecordEvent records that a stream produced an event.
+func (u *Upstream) RecordEvent(now timer.Instant) { u.lastEvent.Store(int64(now)) }
 
-// Lives reports whether any stream produced an event within maxEventGap.
-func (u *Upstream) Lives(now timer.Instant) bool {
+// Alive reports whether any stream produced an event within maxEventGap.
+func (u *Upstream) Alive(now timer.Instant) bool {
 	return now.Sub(timer.Instant(u.lastEvent.Load())) < maxEventGap
 }
 
@@ -216,15 +216,17 @@
 // refusal: the upstream is full, or loads weights, which takes about a second.
 const refusalBackoff = 150 * time.Millisecond
 
-// Rest records a refusal and starts the backoff.
-func (u *Upstream) Rest(now timer.Instant) { u.backoffUntil.Store(int64(now.Add(refusalBackoff))) }
+// RecordRefusal records a refusal and starts the backoff.
+func (u *Upstream) RecordRefusal(now timer.Instant) {
+	u.backoffUntil.Store(int64(now.Add(refusalBackoff)))
+}
 
-// Resting reports whether the upstream is in backoff after a refusal.
-func (u *Upstream) Resting(now timer.Instant) bool { return int64(now) < u.backoffUntil.Load() }
+// BackingOff reports whether the upstream is in backoff after a refusal.
+func (u *Upstream) BackingOff(now timer.Instant) bool { return int64(now) < u.backoffUntil.Load() }
 
-// Room returns the estimated number of free slots, from the exact number of this instance's
+// FreeSlots returns the estimated number of free slots, from the exact number of this instance's
 // requests and the load of other instances in the last report.
-func (u *Upstream) Room(now timer.Instant) float64 {
+func (u *Upstream) FreeSlots(now timer.Instant) float64 {
 	own := float64(u.inFlight.Load())
 	h := u.report.Load()
 	if h == nil {
@@ -233,14 +235,14 @@
 	return float64(u.effectiveSlots(h)) - own - u.othersLoad(h, now)
 }
 
-// Heard records a report that was received at now.
-func (u *Upstream) Heard(r engine.Report, now timer.Instant) {
+// RecordReport records a report that was received at now.
+func (u *Upstream) RecordReport(r engine.LoadReport, now timer.Instant) {
 	u.report.Store(&receivedReport{
-		Report:     r,
+		LoadReport: r,
 		receivedAt: now,
 		ownPeak:    u.recentPeak(now),
 	})
-	u.SawVersion(r.Version)
+	u.RecordVersion(r.Version)
 	if r.Leaving {
 		u.MarkLeaving()
 	}
@@ -257,10 +259,10 @@
 	return max(u.peak.Load(), u.previousPeak.Load())
 }
 
-// SawVersion records the weight version that the upstream stated, in a
+// RecordVersion records the weight version that the upstream stated, in a
 // report or in a stream. A stream is the first to show that an engine restarted
 // with old weights.
-func (u *Upstream) SawVersion(v version.Version) {
+func (u *Upstream) RecordVersion(v version.Version) {
 	if old := u.version.Load(); old == nil || *old != v {
 		u.version.Store(&v)
 	}
@@ -276,12 +278,12 @@
 }
 
 // Report returns the last report and its age, and false if there is none.
-func (u *Upstream) Report(now timer.Instant) (engine.Report, time.Duration, bool) {
+func (u *Upstream) Report(now timer.Instant) (engine.LoadReport, time.Duration, bool) {
 	h := u.report.Load()
 	if h == nil {
-		return engine.Report{}, 0, false
+		return engine.LoadReport{}, 0, false
 	}
-	return h.Report, now.Sub(h.receivedAt), true
+	return h.LoadReport, now.Sub(h.receivedAt), true
 }
 
 // ReportedLoad returns the load as a share of the slots, by the last report alone.
--- a/internal/route/wire/client.go
+++ b/internal/route/wire/client.go
@@ -34,8 +34,8 @@
 
 // The two kinds of connections.
 const (
-	// Shared may reuse an idle connection and keeps it open afterwards.
-	Shared Reuse = true
+	// Pooled may reuse an idle connection and keeps it open afterwards.
+	Pooled Reuse = true
 	// Fresh opens a connection for this request only. It is for requests that may
 	// not be repeated, as an upstream may close an idle connection just when the
 	// request is written to it, and for upstreams that don't say which request
--- a/internal/route/wire/client_test.go
+++ b/internal/route/wire/client_test.go
@@ -17,7 +17,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/egretbend/egretbend/internal/route/wire"
-	"github.com/egretbend/egretbend/internal/standin/proof"
+	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
 // behaviour is what the test upstream does with its next connection or request.
@@ -156,8 +156,8 @@
 // the connection before, during or after it reads a request, closes an idle
 // connection just when the next request is sent, or truncates its answer.
 func TestNotSentMeansNoByteArrived(t *testing.T) {
-	for _, reuse := range []wire.Reuse{wire.Shared, wire.Fresh} {
-		proof.CheckN(t, 150, checkSentReport(func() sender {
+	for _, reuse := range []wire.Reuse{wire.Pooled, wire.Fresh} {
+		property.CheckN(t, 150, checkSentReport(func() sender {
 			c := &wire.Client{}
 			return func(req *http.Request) (*http.Response, bool, error) { return c.Do(req, reuse) }
 		}))
@@ -168,7 +168,7 @@
 // of the standard transport for "not sent" is wrong as soon as an upstream resets the
 // connection after reading.
 func TestErrorBeforeAnswerDoesNotMeanNotSent(t *testing.T) {
-	proof.Refute(t, checkSentReport(func() sender {
+	property.CheckFails(t, checkSentReport(func() sender {
 		c := &http.Transport{}
 		return func(req *http.Request) (*http.Response, bool, error) {
 			res, err := c.RoundTrip(req)
@@ -191,7 +191,7 @@
 		before := u.received.Load()
 		req, _ := http.NewRequest(http.MethodPost, "http://"+u.ln.Addr().String(), bytes.NewReader([]byte("x")))
 		req.Header.Set("Idempotency-Key", "1")
-		res, sent, err := c.Do(req, wire.Shared)
+		res, sent, err := c.Do(req, wire.Pooled)
 		if b == answer {
 			is.NoErr(err)
 			_, _ = io.ReadAll(res.Body)
@@ -235,7 +235,7 @@
 	slow, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+ln.Addr().String()+"/slow", nil)
 	failed := make(chan error, 1)
 	go func() {
-		_, _, err := c.Do(slow, wire.Shared)
+		_, _, err := c.Do(slow, wire.Pooled)
 		failed <- err
 	}()
 	<-entered
@@ -243,7 +243,7 @@
 	is.True(errors.Is(<-failed, context.Canceled))
 	close(release)
 	next, _ := http.NewRequest(http.MethodGet, "http://"+ln.Addr().String()+"/next", nil)
-	res, _, err := c.Do(next, wire.Shared)
+	res, _, err := c.Do(next, wire.Pooled)
 	is.NoErr(err)
 	body, err := io.ReadAll(res.Body)
 	is.NoErr(err)
--- a/internal/standin/engine/completions.go
+++ b/internal/standin/engine/completions.go
@@ -27,7 +27,7 @@
 // all slots and the queue full, or the engine draining, is answered with status
 // 503 and engine.HeaderNotRun.
 func (s *Server) completions(w http.ResponseWriter, r *http.Request) {
-	var body engine.Body
+	var body engine.CompletionRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&body); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -76,7 +76,7 @@
 	s    *Server
 	w    http.ResponseWriter
 	r    *http.Request
-	body engine.Body
+	body engine.CompletionRequest
 	// crashed is closed when the engine crashes.
 	crashed chan struct{}
 	// attempt is the attempt ID that the stream reports.
@@ -128,13 +128,13 @@
 	if f.SlowFactor > 0 {
 		g.slowFactor = f.SlowFactor
 	}
-	if random() < f.StraggleShare {
-		g.slowFactor *= max(1, f.StraggleFactor)
+	if random() < f.StragglerShare {
+		g.slowFactor *= max(1, f.StragglerFactor)
 	}
-	if random() < f.BreakShare {
+	if random() < f.CutShare {
 		g.breakIndex = len(g.body.Resume) + 1 + int(random()*float64(max(1, g.body.MaxTokens-len(g.body.Resume))))
 	}
-	if random() < f.CrossShare {
+	if random() < f.WrongAttemptShare {
 		g.attempt += "x"
 	}
 }
@@ -185,10 +185,10 @@
 	v := g.s.version
 	g.s.mu.Unlock()
 	g.s.tokens.Add(1)
-	e := engine.Event{
+	e := engine.StreamEvent{
 		Attempt: g.attempt,
 		Choices: []engine.Choice{{
-			Text:  Text(g.body.Prompt, g.body.Seed, i, v),
+			Text:  TokenText(g.body.Prompt, g.body.Seed, i, v),
 			Index: i,
 		}},
 		Version: v,
@@ -202,7 +202,7 @@
 // sendFinish sends the finish reason with a load report, and the end marker.
 func (g *generation) sendFinish() {
 	report := g.s.report()
-	_ = g.writeEvent(engine.Event{
+	_ = g.writeEvent(engine.StreamEvent{
 		Attempt: g.attempt,
 		Choices: []engine.Choice{{
 			Finish: "length",
@@ -214,7 +214,7 @@
 }
 
 // writeEvent writes e as one server-sent event.
-func (g *generation) writeEvent(e engine.Event) error {
+func (g *generation) writeEvent(e engine.StreamEvent) error {
 	data, err := json.Marshal(e)
 	if err != nil {
 		return err
--- a/internal/standin/engine/doc.go
+++ b/internal/standin/engine/doc.go
@@ -13,5 +13,5 @@
 //
 // The text of each token contains the weight version that generated it, so that
 // the versions recorded for a sample can be verified against its text; see
-// Truth.
+// VerifyText.
 package engine
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -23,7 +23,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !s.checkFencing(o.Fencing) {
+	if !s.checkFencing(o.FencingToken) {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
@@ -74,7 +74,7 @@
 
 // fetchOnce sends one request to the weight store and returns its status.
 func (s *Server) fetchOnce(ctx context.Context, source string) int {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Settings.Weights+weights.PathWeights+source, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Settings.Weights+weights.PathPrefix+source, nil)
 	if err != nil {
 		return http.StatusBadRequest
 	}
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -20,7 +20,7 @@
 	Settings Settings
 	// Address is the address that Instance reports.
 	Address string
-	Faults  fault.Door[Faults]
+	Faults  fault.Endpoint[Faults]
 
 	mu             sync.Mutex
 	queue          queue
@@ -44,13 +44,13 @@
 // delayedReport is a load report and the time at which it was made.
 type delayedReport struct {
 	at     timer.Instant
-	report engine.Report
+	report engine.LoadReport
 }
 
 // Handler initialises the engine and returns the handler of its HTTP endpoints.
 func (s *Server) Handler() http.Handler {
 	s.mu.Lock()
-	if s.Settings.Initial.Zero() {
+	if s.Settings.Initial.IsZero() {
 		s.Settings.Initial.Epoch = 1
 	}
 	s.version = s.Settings.Initial
@@ -61,7 +61,7 @@
 	s.queue.maxWaiting = s.Settings.Queue
 	s.cache.capacity = s.Settings.CacheEntries
 	s.mu.Unlock()
-	s.Faults.Changed = s.crash
+	s.Faults.OnChange = s.crash
 	mux := http.NewServeMux()
 	mux.Handle(fault.Path, &s.Faults)
 	mux.HandleFunc(engine.PathCompletions, s.unlessCrashed(s.completions))
@@ -135,11 +135,11 @@
 
 // report returns the load of Settings.ReportLagMS ago. All other values, such as
 // the versions and whether the engine is draining, are current.
-func (s *Server) report() engine.Report {
+func (s *Server) report() engine.LoadReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Timer.Now()
-	current := engine.Report{
+	current := engine.LoadReport{
 		Running:     s.queue.running,
 		Waiting:     s.queue.waiting(),
 		Slots:       s.Settings.Slots,
--- a/internal/standin/engine/settings.go
+++ b/internal/standin/engine/settings.go
@@ -38,14 +38,14 @@
 type Faults struct {
 	// SlowFactor scales the time of every token; 0 leaves it unchanged.
 	SlowFactor float64 `json:"slow_factor"`
-	// StraggleShare is the share of streams whose tokens take StraggleFactor
+	// StragglerShare is the share of streams whose tokens take StragglerFactor
 	// times as long.
-	StraggleShare  float64 `json:"straggle_share"`
-	StraggleFactor float64 `json:"straggle_factor"`
-	// BreakShare is the share of streams whose connection is cut in the middle.
-	BreakShare float64 `json:"break_share"`
-	// CrossShare is the share of streams that report the ID of another attempt.
-	CrossShare float64 `json:"cross_share"`
+	StragglerShare  float64 `json:"straggle_share"`
+	StragglerFactor float64 `json:"straggle_factor"`
+	// CutShare is the share of streams whose connection is cut in the middle.
+	CutShare float64 `json:"break_share"`
+	// WrongAttemptShare is the share of streams that report the ID of another attempt.
+	WrongAttemptShare float64 `json:"cross_share"`
 	// SwitchFails answers every order to switch weights with an error; the
 	// engine may or may not have switched.
 	SwitchFails bool `json:"switch_fails"`
--- a/internal/standin/engine/truth.go
+++ b/internal/standin/engine/truth.go
@@ -9,16 +9,16 @@
 	"github.com/egretbend/egretbend/internal/fleet/version"
 )
 
-// Text returns the text of the token at index: a hash of prompt, seed and index,
+// TokenText returns the text of the token at index: a hash of prompt, seed and index,
 // followed by the weight version that generated it.
-func Text(prompt string, seed uint64, index int, v version.Version) string {
+func TokenText(prompt string, seed uint64, index int, v version.Version) string {
 	h := xxhash.Sum64String(fmt.Sprintf("%s|%d|%d", prompt, seed, index))
 	return fmt.Sprintf("%04x@%s ", uint16(h), v)
 }
 
-// Truth verifies that text was generated for prompt and seed, and returns the
+// VerifyText verifies that text was generated for prompt and seed, and returns the
 // weight version of each of its tokens.
-func Truth(prompt string, seed uint64, text string) ([]version.Version, error) {
+func VerifyText(prompt string, seed uint64, text string) ([]version.Version, error) {
 	fields := strings.Fields(text)
 	versions := make([]version.Version, 0, len(fields))
 	for i, field := range fields {
@@ -30,7 +30,7 @@
 		if _, err := fmt.Sscanf(stamp, "%d.%d", &v.Epoch, &v.Number); err != nil {
 			return nil, fmt.Errorf("token %d: parse version %q: %w", i, stamp, err)
 		}
-		if field+" " != Text(prompt, seed, i, v) {
+		if field+" " != TokenText(prompt, seed, i, v) {
 			return nil, fmt.Errorf("token %d belongs to another prompt, seed or index: %q", i, field)
 		}
 		versions = append(versions, v)
--- a/internal/standin/fault/doc.go
+++ b/internal/standin/fault/doc.go
@@ -1,9 +1,9 @@
 // Package fault provides the HTTP endpoint through which failures are injected
 // into a stand-in.
 //
-// A stand-in defines its faults as a struct and serves it through a Door:
+// A stand-in defines its faults as a struct and serves it through an Endpoint:
 //
-//	var door fault.Door[Faults]
+//	var door fault.Endpoint[Faults]
 //	mux.Handle("/fault", &door)
 //	if door.Get().Down { ... }
 //
--- a/internal/standin/fault/door.go
+++ b/internal/standin/fault/door.go
@@ -6,19 +6,19 @@
 	"sync/atomic"
 )
 
-// Path is the path at which each stand-in serves its Door.
+// Path is the path at which each stand-in serves its Endpoint.
 const Path = "/fault"
 
-// Door holds the current faults of a stand-in, and replaces them by those in the
+// Endpoint holds the current faults of a stand-in, and replaces them by those in the
 // JSON body of a request. The zero value has no faults.
-type Door[T any] struct {
+type Endpoint[T any] struct {
 	current atomic.Pointer[T]
-	// Changed is called with the new faults after each change, unless it is nil.
-	Changed func(T)
+	// OnChange is called with the new faults after each change, unless it is nil.
+	OnChange func(T)
 }
 
 // Get returns the current faults.
-func (d *Door[T]) Get() T {
+func (d *Endpoint[T]) Get() T {
 	if p := d.current.Load(); p != nil {
 		return *p
 	}
@@ -27,15 +27,15 @@
 }
 
 // Set replaces the current faults by v.
-func (d *Door[T]) Set(v T) {
+func (d *Endpoint[T]) Set(v T) {
 	d.current.Store(&v)
-	if d.Changed != nil {
-		d.Changed(v)
+	if d.OnChange != nil {
+		d.OnChange(v)
 	}
 }
 
 // ServeHTTP implements http.Handler.
-func (d *Door[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *Endpoint[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var v T
 	if err := json.NewDecoder(r.Body).Decode(&v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/standin/keyvalue/server.go
+++ b/internal/standin/keyvalue/server.go
@@ -38,7 +38,7 @@
 // Server is a simulated key-value service. It needs a Timer.
 type Server struct {
 	Timer  timer.Service
-	Faults fault.Door[Faults]
+	Faults fault.Endpoint[Faults]
 
 	store store
 	// answersToLose is the number of answers still to lose; 0 and below is none.
@@ -53,7 +53,7 @@
 	s.store.mu.Lock()
 	s.store.prepare()
 	s.store.mu.Unlock()
-	s.Faults.Changed = func(f Faults) { s.answersToLose.Store(f.LoseAnswers) }
+	s.Faults.OnChange = func(f Faults) { s.answersToLose.Store(f.LoseAnswers) }
 	mux := http.NewServeMux()
 	mux.Handle(fault.Path, &s.Faults)
 	mux.HandleFunc("/stats", func(w http.ResponseWriter, _ *http.Request) {
@@ -82,7 +82,7 @@
 }
 
 // operation executes one call to the service.
-type operation func(r *http.Request, c keyvalue.Call) (keyvalue.Item, keyvalue.Fault)
+type operation func(r *http.Request, c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode)
 
 // withFaults returns the handler of f: it counts the call, applies the faults and
 // encodes the answer.
@@ -96,7 +96,7 @@
 		if faults.SlowMS > 0 && !timer.Wait(s.Timer, time.Duration(faults.SlowMS)*time.Millisecond, r.Context().Done()) {
 			return
 		}
-		var c keyvalue.Call
+		var c keyvalue.Request
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 2*maxValueBytes)).Decode(&c); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -111,7 +111,7 @@
 		if s.Faults.Get().Down {
 			panic(http.ErrAbortHandler)
 		}
-		_ = json.NewEncoder(w).Encode(keyvalue.Answer{
+		_ = json.NewEncoder(w).Encode(keyvalue.Response{
 			Item:  item,
 			Error: fault,
 		})
@@ -126,40 +126,40 @@
 	return s.store.mu.Unlock
 }
 
-func (s *Server) get(_ *http.Request, c keyvalue.Call) (keyvalue.Item, keyvalue.Fault) {
+func (s *Server) get(_ *http.Request, c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
 	defer s.lock()()
 	return s.store.get(c.Key, s.Faults.Get().Stale)
 }
 
-func (s *Server) put(_ *http.Request, c keyvalue.Call) (keyvalue.Item, keyvalue.Fault) {
+func (s *Server) put(_ *http.Request, c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
 	defer s.lock()()
 	return s.store.put(c)
 }
 
-func (s *Server) grant(_ *http.Request, c keyvalue.Call) (keyvalue.Item, keyvalue.Fault) {
+func (s *Server) grant(_ *http.Request, c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
 	defer s.lock()()
 	s.writes.Add(1)
 	return keyvalue.Item{
 		Lease: s.store.grant(time.Duration(c.TTLMS)*time.Millisecond, s.Timer.Now()),
-	}, keyvalue.FaultNone
+	}, keyvalue.CodeNone
 }
 
-func (s *Server) keepAlive(_ *http.Request, c keyvalue.Call) (keyvalue.Item, keyvalue.Fault) {
+func (s *Server) keepAlive(_ *http.Request, c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
 	defer s.lock()()
 	s.writes.Add(1)
 	return keyvalue.Item{}, s.store.keepAlive(c.Lease, s.Timer.Now())
 }
 
-func (s *Server) revoke(_ *http.Request, c keyvalue.Call) (keyvalue.Item, keyvalue.Fault) {
+func (s *Server) revoke(_ *http.Request, c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
 	defer s.lock()()
 	s.writes.Add(1)
 	s.store.endLease(c.Lease)
-	return keyvalue.Item{}, keyvalue.FaultNone
+	return keyvalue.Item{}, keyvalue.CodeNone
 }
 
 // watch waits until the key has a revision above c.Expect, for up to
 // maxWatchTime.
-func (s *Server) watch(r *http.Request, c keyvalue.Call) (keyvalue.Item, keyvalue.Fault) {
+func (s *Server) watch(r *http.Request, c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
 	s.waiting.Add(1)
 	defer s.waiting.Add(-1)
 	end := s.Timer.Once(maxWatchTime)
@@ -169,15 +169,15 @@
 		item, fault := s.store.get(c.Key, s.Faults.Get().Stale)
 		changed := s.store.changed
 		unlock()
-		if fault == keyvalue.FaultNone && item.Revision > c.Expect {
+		if fault == keyvalue.CodeNone && item.Revision > c.Expect {
 			return item, fault
 		}
 		select {
 		case <-changed:
 		case <-end.C:
-			return keyvalue.Item{}, keyvalue.FaultNoChange
+			return keyvalue.Item{}, keyvalue.CodeNoChange
 		case <-r.Context().Done():
-			return keyvalue.Item{}, keyvalue.FaultNoChange
+			return keyvalue.Item{}, keyvalue.CodeNoChange
 		}
 	}
 }
--- a/internal/standin/keyvalue/store.go
+++ b/internal/standin/keyvalue/store.go
@@ -63,28 +63,28 @@
 }
 
 // get returns the item of key, or the one before its last put if stale is set.
-func (s *store) get(key string, stale bool) (keyvalue.Item, keyvalue.Fault) {
+func (s *store) get(key string, stale bool) (keyvalue.Item, keyvalue.ErrorCode) {
 	if old, ok := s.previous[key]; stale && ok {
-		return old, keyvalue.FaultNone
+		return old, keyvalue.CodeNone
 	}
 	item, ok := s.items[key]
 	if !ok {
 		return keyvalue.Item{
 			Key: key,
-		}, keyvalue.FaultNotFound
+		}, keyvalue.CodeNotFound
 	}
-	return item, keyvalue.FaultNone
+	return item, keyvalue.CodeNone
 }
 
 // put writes an item if its present revision is c.Expect and its lease exists.
 // A value above maxValueBytes is refused as a conflict.
-func (s *store) put(c keyvalue.Call) (keyvalue.Item, keyvalue.Fault) {
+func (s *store) put(c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
 	old := s.items[c.Key]
 	if old.Revision != c.Expect || len(c.Value) > maxValueBytes {
-		return old, keyvalue.FaultConflict
+		return old, keyvalue.CodeConflict
 	}
 	if _, ok := s.leases[c.Lease]; c.Lease != 0 && !ok {
-		return old, keyvalue.FaultLeaseGone
+		return old, keyvalue.CodeLeaseGone
 	}
 	s.revision++
 	item := keyvalue.Item{
@@ -99,7 +99,7 @@
 	s.items[c.Key] = item
 	close(s.changed)
 	s.changed = make(chan struct{})
-	return item, keyvalue.FaultNone
+	return item, keyvalue.CodeNone
 }
 
 // grant creates a lease and returns its ID.
@@ -113,11 +113,11 @@
 }
 
 // keepAlive extends a lease by its TTL from now.
-func (s *store) keepAlive(id uint64, now timer.Instant) keyvalue.Fault {
+func (s *store) keepAlive(id uint64, now timer.Instant) keyvalue.ErrorCode {
 	l, ok := s.leases[id]
 	if !ok {
-		return keyvalue.FaultLeaseGone
+		return keyvalue.CodeLeaseGone
 	}
 	l.expires = now.Add(l.ttl)
-	return keyvalue.FaultNone
+	return keyvalue.CodeNone
 }
--- a/internal/standin/space/space.go
+++ b/internal/standin/memorystore/space.go
@@ -1,4 +1,4 @@
-package space
+package memorystore
 
 import (
 	"context"
@@ -12,18 +12,18 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// Call is the name of an operation.
-type Call string
+// Operation is the name of an operation.
+type Operation string
 
-// The operations of a Space.
+// The operations of a Store.
 const (
-	Get       Call = "get"
-	Range     Call = "range"
-	Watch     Call = "watch"
-	Commit    Call = "commit"
-	Grant     Call = "grant"
-	KeepAlive Call = "keep_alive"
-	Revoke    Call = "revoke"
+	Get       Operation = "get"
+	Range     Operation = "range"
+	Watch     Operation = "watch"
+	Commit    Operation = "commit"
+	Grant     Operation = "grant"
+	KeepAlive Operation = "keep_alive"
+	Revoke    Operation = "revoke"
 )
 
 // Fault is the failure of one call.
@@ -40,9 +40,9 @@
 	// LostAfter executes a Commit and loses its answer. Other operations have no
 	// effect.
 	LostAfter
-	// Late loses the answer of a Commit, and executes it when Settle is called.
+	// Delayed loses the answer of a Commit, and executes it when ApplyLate is called.
 	// Other operations have no effect.
-	Late
+	Delayed
 )
 
 // lease ends at expires unless it is extended by ttl.
@@ -51,12 +51,12 @@
 	expires timer.Instant
 }
 
-// Space is an in-memory keyvalue.Space. It needs a Timer.
-type Space struct {
+// Store is an in-memory keyvalue.TransactionalStore. It needs a Timer.
+type Store struct {
 	Timer timer.Service
 	// Fault selects the fault of a call; nil means no faults. It is called with
-	// the lock of the Space held, so it must not call the Space.
-	Fault func(c Call) Fault
+	// the lock of the Store held, so it must not call the Store.
+	Fault func(c Operation) Fault
 
 	mu       sync.Mutex
 	revision uint64
@@ -66,20 +66,20 @@
 	compacted   uint64
 	leases      map[uint64]*lease
 	lastLeaseID uint64
-	// lateCommits holds the transactions that Settle executes.
+	// lateCommits holds the transactions that ApplyLate executes.
 	lateCommits []keyvalue.Transaction
 	// changed is closed to wake the waiting watches; it is nil until a watch waits.
 	changed chan struct{}
-	calls   map[Call]int
+	calls   map[Operation]int
 }
 
 // beginCall counts a call, ends expired leases and returns the fault of the call.
 // mu must be held.
-func (s *Space) beginCall(c Call) Fault {
+func (s *Store) beginCall(c Operation) Fault {
 	if s.items == nil {
 		s.items = make(map[string]keyvalue.Item)
 		s.leases = make(map[uint64]*lease)
-		s.calls = make(map[Call]int)
+		s.calls = make(map[Operation]int)
 		s.revision = 1
 	}
 	s.calls[c]++
@@ -95,9 +95,9 @@
 	return s.Fault(c)
 }
 
-// Calls returns the number of calls of an operation. A watch counts again each
+// CallCount returns the number of calls of an operation. A watch counts again each
 // time that it is woken.
-func (s *Space) Calls(c Call) int {
+func (s *Store) CallCount(c Operation) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[c]
@@ -105,16 +105,16 @@
 
 // Compact discards the history; a watch from an earlier revision fails with
 // keyvalue.ErrCompacted.
-func (s *Space) Compact() {
+func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
 	s.compacted = s.revision
 }
 
-// Settle executes the late commits in the order of their calls. A commit whose
+// ApplyLate executes the late commits in the order of their calls. A commit whose
 // conditions no longer hold has no effect.
-func (s *Space) Settle() {
+func (s *Store) ApplyLate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, tx := range s.lateCommits {
@@ -123,15 +123,15 @@
 	s.lateCommits = nil
 }
 
-// Lapse ends a lease at once, as if it had expired or been revoked.
-func (s *Space) Lapse(id uint64) {
+// ExpireLease ends a lease at once, as if it had expired or been revoked.
+func (s *Store) ExpireLease(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endLease(id)
 }
 
 // endLease removes a lease and its keys. mu must be held.
-func (s *Space) endLease(id uint64) {
+func (s *Store) endLease(id uint64) {
 	if s.leases[id] == nil {
 		return
 	}
@@ -146,7 +146,7 @@
 }
 
 // remove removes a key at the current revision. mu must be held.
-func (s *Space) remove(key string) {
+func (s *Store) remove(key string) {
 	delete(s.items, key)
 	s.history = append(s.history, keyvalue.Change{
 		Item: keyvalue.Item{
@@ -158,7 +158,7 @@
 }
 
 // wakeWatches wakes all watches. mu must be held.
-func (s *Space) wakeWatches() {
+func (s *Store) wakeWatches() {
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
@@ -168,13 +168,13 @@
 // faultError returns the error of a call that failed with f.
 func faultError(f Fault) error {
 	if f == Down {
-		return keyvalue.ErrDown
+		return keyvalue.ErrUnavailable
 	}
-	return keyvalue.ErrLost
+	return keyvalue.ErrOutcomeUnknown
 }
 
-// Get implements keyvalue.Space.
-func (s *Space) Get(_ context.Context, key string) (keyvalue.Item, error) {
+// Get implements keyvalue.TransactionalStore.
+func (s *Store) Get(_ context.Context, key string) (keyvalue.Item, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f := s.beginCall(Get); f != None {
@@ -187,8 +187,8 @@
 	return item, nil
 }
 
-// Range implements keyvalue.Space.
-func (s *Space) Range(_ context.Context, prefix string, _ keyvalue.Freshness) (keyvalue.Listing, error) {
+// Range implements keyvalue.TransactionalStore.
+func (s *Store) Range(_ context.Context, prefix string, _ keyvalue.Consistency) (keyvalue.Listing, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f := s.beginCall(Range); f != None {
@@ -206,8 +206,8 @@
 	return l, nil
 }
 
-// Watch implements keyvalue.Space.
-func (s *Space) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]keyvalue.Change, uint64, error) {
+// Watch implements keyvalue.TransactionalStore.
+func (s *Store) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]keyvalue.Change, uint64, error) {
 	done := s.Timer.Once(wait)
 	defer done.Close()
 	for {
@@ -240,32 +240,32 @@
 		case <-done.C:
 			return nil, revision, nil
 		case <-ctx.Done():
-			return nil, 0, errors.Join(keyvalue.ErrLost, ctx.Err())
+			return nil, 0, errors.Join(keyvalue.ErrOutcomeUnknown, ctx.Err())
 		}
 	}
 }
 
-// Commit implements keyvalue.Space.
-func (s *Space) Commit(_ context.Context, tx keyvalue.Transaction) (uint64, error) {
+// Commit implements keyvalue.TransactionalStore.
+func (s *Store) Commit(_ context.Context, tx keyvalue.Transaction) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.beginCall(Commit)
 	switch f {
 	case Down, LostBefore:
 		return 0, faultError(f)
-	case Late:
+	case Delayed:
 		s.lateCommits = append(s.lateCommits, tx)
-		return 0, keyvalue.ErrLost
+		return 0, keyvalue.ErrOutcomeUnknown
 	}
 	rev, err := s.apply(tx)
 	if f == LostAfter {
-		return 0, keyvalue.ErrLost
+		return 0, keyvalue.ErrOutcomeUnknown
 	}
 	return rev, err
 }
 
 // apply executes a transaction if its conditions hold. mu must be held.
-func (s *Space) apply(tx keyvalue.Transaction) (uint64, error) {
+func (s *Store) apply(tx keyvalue.Transaction) (uint64, error) {
 	conflict := &keyvalue.ConflictError{}
 	holds := true
 	for _, e := range tx.Expects {
@@ -304,8 +304,8 @@
 	return s.revision, nil
 }
 
-// Grant implements keyvalue.Space.
-func (s *Space) Grant(_ context.Context, ttl time.Duration) (uint64, error) {
+// Grant implements keyvalue.TransactionalStore.
+func (s *Store) Grant(_ context.Context, ttl time.Duration) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f := s.beginCall(Grant); f != None {
@@ -319,8 +319,8 @@
 	return s.lastLeaseID, nil
 }
 
-// KeepAlive implements keyvalue.Space.
-func (s *Space) KeepAlive(_ context.Context, id uint64) error {
+// KeepAlive implements keyvalue.TransactionalStore.
+func (s *Store) KeepAlive(_ context.Context, id uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f := s.beginCall(KeepAlive); f != None {
@@ -334,8 +334,8 @@
 	return nil
 }
 
-// Revoke implements keyvalue.Space.
-func (s *Space) Revoke(_ context.Context, id uint64) error {
+// Revoke implements keyvalue.TransactionalStore.
+func (s *Store) Revoke(_ context.Context, id uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f := s.beginCall(Revoke); f != None {
--- a/internal/standin/proof/proof.go
+++ b/internal/standin/property/proof.go
@@ -1,4 +1,4 @@
-package proof
+package property
 
 import (
 	"flag"
@@ -52,9 +52,9 @@
 	}
 }
 
-// Refute verifies that a property fails, and logs its first error. It tries up to
+// CheckFails verifies that a property fails, and logs its first error. It tries up to
 // ten times as many histories as Check.
-func Refute(t *testing.T, prop func(*rapid.T)) {
+func CheckFails(t *testing.T, prop func(*rapid.T)) {
 	t.Helper()
 	setRunSize(10 * defaultChecks)
 	setFlag("rapid.seed", strconv.Itoa(fixedSeed))
--- a/internal/standin/roster/server.go
+++ b/internal/standin/roster/server.go
@@ -36,7 +36,7 @@
 // Server is a simulated instance list. It needs a Timer.
 type Server struct {
 	Timer  timer.Service
-	Faults fault.Door[Faults]
+	Faults fault.Endpoint[Faults]
 
 	mu sync.Mutex
 	// announcements holds the last announcement of each instance by its ID.
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -41,16 +41,16 @@
 	SlowFactor float64 `json:"slow_factor"`
 	// RefuseShare is refused with status 503 and engine.HeaderNotRun.
 	RefuseShare float64 `json:"refuse_share"`
-	// BareShare is run and then answered with status 503, without the headers
+	// BareUnavailableShare is run and then answered with status 503, without the headers
 	// that tell whether it was run.
-	BareShare float64 `json:"bare_share"`
+	BareUnavailableShare float64 `json:"bare_share"`
 	// ResetShare is run, and then its connection is reset.
 	ResetShare float64 `json:"reset_share"`
 	// CutShare is run, and its connection is reset after half of the answer.
 	CutShare float64 `json:"cut_share"`
-	// CrossShare is run and answered with the previous answer and the ID of
+	// WrongAnswerShare is run and answered with the previous answer and the ID of
 	// another attempt.
-	CrossShare float64 `json:"cross_share"`
+	WrongAnswerShare float64 `json:"cross_share"`
 }
 
 // Order is the JSON body of a request.
@@ -63,15 +63,15 @@
 type Answer struct {
 	OrderID string `json:"order_id"`
 	Detail  string `json:"detail"`
-	// By is the ID of the service instance that ran the order.
-	By string `json:"by"`
+	// ServedBy is the ID of the service instance that ran the order.
+	ServedBy string `json:"by"`
 	// Check is a hash of the order; it reveals the answer to another order.
 	Check string `json:"check"`
 }
 
-// RecordPrefix is the prefix of each line that is written to Server.Record; the
+// RunLogPrefix is the prefix of each line that is written to Server.RunLog; the
 // order ID follows.
-const RecordPrefix = "run="
+const RunLogPrefix = "run="
 
 // Check returns the value of Answer.Check for an order.
 func Check(o Order) string {
@@ -84,10 +84,10 @@
 	Settings Settings
 	// Address is the address that Instance reports.
 	Address string
-	Faults  fault.Door[Faults]
-	// Record receives a line for each run, so that the runs of a process that is
+	Faults  fault.Endpoint[Faults]
+	// RunLog receives a line for each run, so that the runs of a process that is
 	// killed are known as well; nil writes nothing.
-	Record io.Writer
+	RunLog io.Writer
 
 	mu      sync.Mutex
 	running int
@@ -150,10 +150,10 @@
 	}, true
 }
 
-func (s *Server) report() engine.Report {
+func (s *Server) report() engine.LoadReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return engine.Report{
+	return engine.LoadReport{
 		Running:     s.running,
 		Waiting:     len(s.waiting),
 		Slots:       s.Settings.Slots,
@@ -257,16 +257,16 @@
 	}
 	timer.Wait(s.Timer, time.Duration(work*float64(time.Millisecond)), nil)
 	answer := Answer{
-		OrderID: o.OrderID,
-		Detail:  o.Detail,
-		By:      s.Settings.ID,
-		Check:   Check(o),
+		OrderID:  o.OrderID,
+		Detail:   o.Detail,
+		ServedBy: s.Settings.ID,
+		Check:    Check(o),
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[o.OrderID]++
-	if s.Record != nil {
-		fmt.Fprintln(s.Record, RecordPrefix+o.OrderID)
+	if s.RunLog != nil {
+		fmt.Fprintln(s.RunLog, RunLogPrefix+o.OrderID)
 	}
 	return answer
 }
@@ -279,12 +279,12 @@
 	s.lastAnswer = answer
 	s.mu.Unlock()
 	switch {
-	case random() < f.BareShare:
+	case random() < f.BareUnavailableShare:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case random() < f.ResetShare:
 		panic(http.ErrAbortHandler)
-	case random() < f.CrossShare:
+	case random() < f.WrongAnswerShare:
 		answer = last
 		attempt = strings.ToUpper(attempt) + "x"
 	}
--- a/internal/standin/trainer/result.go
+++ b/internal/standin/trainer/result.go
@@ -20,10 +20,10 @@
 	StepsFinished int    `json:"steps_finished"`
 	StepsDropped  int    `json:"steps_dropped"`
 	Samples       int    `json:"samples"`
-	// Doubled is the number of samples received more than once.
-	Doubled int `json:"doubled"`
+	// Duplicates is the number of samples received more than once.
+	Duplicates int `json:"doubled"`
 	// TooOld is the number of samples with a token that is staler than
-	// Trainer.MaxVersions.
+	// Trainer.MaxStaleness.
 	TooOld int `json:"too_old"`
 	// WrongVersion is the number of samples whose recorded versions differ from
 	// those in their text.
@@ -60,9 +60,9 @@
 	idle, busy      time.Duration
 }
 
-// Wrong returns the number of violated guarantees: samples that are doubled, too
+// Violations returns the number of violated guarantees: samples that are doubled, too
 // old, foreign or have a wrong version.
-func (r *Result) Wrong() int { return r.Doubled + r.TooOld + r.WrongVersion + r.Foreign }
+func (r *Result) Violations() int { return r.Duplicates + r.TooOld + r.WrongVersion + r.Foreign }
 
 // maxFaults is the number of descriptions that Result.Faults keeps.
 const maxFaults = 5
@@ -106,7 +106,7 @@
 			prompt, tokens = g.Prompt, g.MaxTokens
 		}
 	}
-	versions, err := engine.Truth(prompt, xxhash.Sum64String(s.Key.String()), s.Text)
+	versions, err := engine.VerifyText(prompt, xxhash.Sum64String(s.Key.String()), s.Text)
 	if prompt == "" || err != nil || len(versions) != tokens || s.Tokens != tokens {
 		r.Foreign++
 		r.recordFault("sample %v does not match its prompt: %d of %d tokens, error %v", s.Key, len(versions), tokens, err)
--- a/internal/standin/trainer/settings.go
+++ b/internal/standin/trainer/settings.go
@@ -14,13 +14,13 @@
 	Deployment string `json:"deployment" need:"true"`
 	// Groups is the number of groups in a step.
 	Groups int `json:"groups" default:"8" min:"1"`
-	// PerGroup is the number of samples in a group.
-	PerGroup int `json:"per_group" default:"8" min:"1"`
+	// SamplesPerGroup is the number of samples in a group.
+	SamplesPerGroup int `json:"per_group" default:"8" min:"1"`
 	// Tokens is the median length of a sample. The lengths have a log-normal
 	// distribution, which has a long tail.
 	Tokens int `json:"tokens" default:"40" min:"1"`
-	// Spread is the sigma of that distribution.
-	Spread float64 `json:"spread" default:"0.5" min:"0" max:"3"`
+	// LengthSigma is the sigma of that distribution.
+	LengthSigma float64 `json:"spread" default:"0.5" min:"0" max:"3"`
 	// TrainMS is the time that the trainer spends on a step after its samples have
 	// arrived, in milliseconds.
 	TrainMS int64 `json:"train_ms" default:"500" min:"0"`
@@ -43,11 +43,11 @@
 		Deployment: s.Deployment,
 	}
 	for g := range s.Groups {
-		length := float64(s.Tokens) * math.Exp(s.Spread*r.NormFloat64())
+		length := float64(s.Tokens) * math.Exp(s.LengthSigma*r.NormFloat64())
 		spec.Groups = append(spec.Groups, session.Group{
 			Group:     fmt.Sprintf("g%d", g),
 			Prompt:    fmt.Sprintf("%s draws plan %d of step %d", s.Name, g, n),
-			Samples:   s.PerGroup,
+			Samples:   s.SamplesPerGroup,
 			MaxTokens: max(1, min(int(length), maxLengthFactor*s.Tokens)),
 		})
 	}
--- a/internal/standin/trainer/trainer.go
+++ b/internal/standin/trainer/trainer.go
@@ -34,10 +34,10 @@
 	Settings  Settings
 	Addresses *addresses.Book
 	Timer     timer.Service
-	// MaxVersions is the maximum staleness of a sample, in versions.
-	MaxVersions uint64
-	// Published is called with each published version, unless it is nil.
-	Published func(v version.Version)
+	// MaxStaleness is the maximum staleness of a sample, in versions.
+	MaxStaleness uint64
+	// OnPublish is called with each published version, unless it is nil.
+	OnPublish func(v version.Version)
 	// Key is the bearer token for the trainer endpoints, or empty.
 	Key string
 
@@ -176,7 +176,7 @@
 		return err
 	}
 	t.sessionNumber++
-	err = t.call(ctx, address, t.path("sessions"), trainer.OpenRequest{
+	err = t.call(ctx, address, t.path("sessions"), trainer.OpenSessionRequest{
 		Session: t.sessionNumber,
 	}, nil)
 	if err != nil {
@@ -197,7 +197,7 @@
 		w = &pendingStep{
 			spec:     spec,
 			received: make(map[sample.Key]bool),
-			total:    t.Settings.Groups * t.Settings.PerGroup,
+			total:    t.Settings.Groups * t.Settings.SamplesPerGroup,
 		}
 		t.steps[n] = w
 	}
@@ -208,7 +208,7 @@
 	for key := range w.received {
 		spec.Have = append(spec.Have, key)
 	}
-	err := t.call(ctx, t.address, t.path("steps"), trainer.SubmitRequest{
+	err := t.call(ctx, t.address, t.path("steps"), trainer.SubmitStepRequest{
 		Session: t.sessionNumber,
 		Step:    spec,
 	}, nil)
@@ -263,12 +263,12 @@
 		t.result.recordFault("received a sample of step %d, which is not open", key.Step)
 		return
 	}
-	k, valid := t.result.checkSample(entry.Sample, w.spec, t.MaxVersions, t.version)
+	k, valid := t.result.checkSample(entry.Sample, w.spec, t.MaxStaleness, t.version)
 	if !valid {
 		return
 	}
 	if w.received[k] {
-		t.result.Doubled++
+		t.result.Duplicates++
 		t.result.recordFault("received sample %v twice", k)
 	}
 	w.received[k] = true
@@ -307,8 +307,8 @@
 		// Trainers that share a model in a test may publish a newer version
 		// first; the newest one takes effect.
 		if err == nil || problem.Is(err, problem.VersionBehind) {
-			if t.Published != nil {
-				t.Published(t.version)
+			if t.OnPublish != nil {
+				t.OnPublish(t.version)
 			}
 			return
 		}
--- a/internal/standin/weights/server.go
+++ b/internal/standin/weights/server.go
@@ -15,18 +15,18 @@
 	Down bool `json:"down"`
 }
 
-// PathWeights is the path at which weights are fetched; their name follows.
-const PathWeights = "/weights/"
+// PathPrefix is the path at which weights are fetched; their name follows.
+const PathPrefix = "/weights/"
 
 // Server is a simulated weight store. It needs a Timer.
 type Server struct {
 	Timer  timer.Service
-	Faults fault.Door[Faults]
+	Faults fault.Endpoint[Faults]
 	// PerSecond is the number of fetches that may begin per second, also the size
 	// of a burst.
 	PerSecond float64
-	// Took is the time that a fetch takes.
-	Took time.Duration
+	// FetchTime is the time that a fetch takes.
+	FetchTime time.Duration
 
 	mu sync.Mutex
 	// tokens is the content of the token bucket as of refilledAt.
@@ -38,7 +38,7 @@
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(fault.Path, &s.Faults)
-	mux.HandleFunc(PathWeights, s.fetch)
+	mux.HandleFunc(PathPrefix, s.fetch)
 	return mux
 }
 
@@ -50,7 +50,7 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	if !timer.Wait(s.Timer, s.Took, r.Context().Done()) {
+	if !timer.Wait(s.Timer, s.FetchTime, r.Context().Done()) {
 		return
 	}
 	w.WriteHeader(http.StatusOK)
