--- a/internal/load/addresses/book.go
+++ b/internal/load/addresses/book.go
@@ -14,7 +14,7 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-const askTimeout = 2 * time.Second
+const refreshTimeout = 2 * time.Second
 
 // Book asks any instance for addresses and keeps the answer for as long as it
 // says. It needs Seeds and a Timer.
@@ -25,9 +25,9 @@
 	Timer         timer.Service
 
 	mu    sync.Mutex
-	list  []string
-	until timer.Instant
-	turn  int
+	addresses  []string
+	expires timer.Instant
+	next  int
 }
 
 // Pick returns an address to use, and asks for new ones when the answer has
@@ -35,45 +35,45 @@
 func (b *Book) Pick(ctx context.Context) (string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.list) == 0 || b.Timer.Now() >= b.until {
-		if err := b.ask(ctx); err != nil && len(b.list) == 0 {
+	if len(b.addresses) == 0 || b.Timer.Now() >= b.expires {
+		if err := b.refresh(ctx); err != nil && len(b.addresses) == 0 {
 			return "", err
 		}
 	}
-	b.turn++
-	return b.list[b.turn%len(b.list)], nil
+	b.next++
+	return b.addresses[b.next%len(b.addresses)], nil
 }
 
 // Failed takes an address out until the next answer.
 func (b *Book) Failed(address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i, a := range b.list {
+	for i, a := range b.addresses {
 		if a == address {
-			b.list = append(b.list[:i:i], b.list[i+1:]...)
+			b.addresses = append(b.addresses[:i:i], b.addresses[i+1:]...)
 			return
 		}
 	}
 }
 
-// ask tries the known addresses and then the seeds.
-func (b *Book) ask(ctx context.Context) error {
-	tries := append([]string(nil), b.list...)
+// refresh tries the known addresses and then the seeds.
+func (b *Book) refresh(ctx context.Context) error {
+	candidates := append([]string(nil), b.addresses...)
 	for _, i := range rand.Perm(len(b.Seeds)) {
-		tries = append(tries, b.Seeds[i])
+		candidates = append(candidates, b.Seeds[i])
 	}
-	var last error
-	for _, address := range tries {
-		last = b.askAt(ctx, address)
-		if last == nil {
+	var lastErr error
+	for _, address := range candidates {
+		lastErr = b.refreshFrom(ctx, address)
+		if lastErr == nil {
 			return nil
 		}
 	}
-	return fmt.Errorf("no instance answers: %w", last)
+	return fmt.Errorf("no instance answers: %w", lastErr)
 }
 
-func (b *Book) askAt(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (b *Book) refreshFrom(ctx context.Context, address string) error {
+	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	var answer caller.Addresses
 	path := fmt.Sprintf("/v1/addresses?caller=%s&failure_domain=%s", url.QueryEscape(b.Caller), url.QueryEscape(b.FailureDomain))
@@ -82,10 +82,10 @@
 	}).Do(ctx, http.MethodGet, path, nil, &answer); err != nil {
 		return err
 	}
-	b.list = b.list[:0]
+	b.addresses = b.addresses[:0]
 	for _, a := range answer.Addresses {
-		b.list = append(b.list, a.Address)
+		b.addresses = append(b.addresses, a.Address)
 	}
-	b.until = b.Timer.Now().Add(time.Duration(answer.KeepMS) * time.Millisecond)
+	b.expires = b.Timer.Now().Add(time.Duration(answer.KeepMS) * time.Millisecond)
 	return nil
 }
--- a/internal/load/experiment/badinput_test.go
+++ b/internal/load/experiment/badinput_test.go
@@ -14,8 +14,9 @@
 	"github.com/egretbend/egretbend/internal/standin/proof"
 )
 
-// send makes one request and returns its status and error body.
-func send(t *rapid.T, method, url string, header map[string]string, body string) (int, problem.Body) {
+// sendRequest sends one request and returns its status and, unless that is 200,
+// its error body.
+func sendRequest(t *rapid.T, method, url string, header map[string]string, body string) (int, problem.Body) {
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
 		t.Fatalf("request: %v", err)
@@ -40,14 +41,14 @@
 }
 
 // Clients send malformed and oversized bodies, unknown names, wrong headers and
-// cursors of other sessions. They would notice an instance that dies, an error
-// that doesn't say what to do, or a wrong request that is taken.
-func TestBadInputIsToldApart(t *testing.T) {
-	f := start(t, "badinput")
+// cursors of other sessions. Guards against input that crashes an instance, an
+// error without a remedy, and an invalid request that is accepted.
+func TestBadInputGetsTypedError(t *testing.T) {
+	f := startFleet(t, "badinput")
 	base := "http://" + f.Instances[0].Address
 	bodies := []string{"", "{", "[]", "null", "7", `{"unknown": 1}`, `{"session": -1}`, `{"session": "x"}`,
 		`{"prompt": "", "max_tokens": 0}`, `{"step": {"step": 1}}`, strings.Repeat("x", 5<<20)}
-	doors := []struct {
+	endpoints := []struct {
 		method, path string
 	}{
 		{"POST", "/v1/models/cutting-plan/completions"},
@@ -69,7 +70,7 @@
 		{"GET", "/%2e%2e/nothing"},
 	}
 	proof.CheckN(t, 300, func(t *rapid.T) {
-		d := rapid.SampledFrom(doors).Draw(t, "door")
+		e := rapid.SampledFrom(endpoints).Draw(t, "endpoint")
 		header := map[string]string{}
 		if rapid.Bool().Draw(t, "caller") {
 			header["Egretbend-Caller"] = "c"
@@ -79,15 +80,15 @@
 				header[name] = rapid.SampledFrom([]string{"-1", "x", "true", "127.0.0.1:1/1/1/1", "a/b/c/d"}).Draw(t, name)
 			}
 		}
-		status, body := send(t, d.method, base+d.path, header, rapid.SampledFrom(bodies).Draw(t, "body"))
+		status, body := sendRequest(t, e.method, base+e.path, header, rapid.SampledFrom(bodies).Draw(t, "body"))
 		if status < 400 || status >= 500 && body.Code != problem.TicketHolderGone.Code {
-			t.Fatalf("%s %s was answered with %d %s", d.method, d.path, status, body.Code)
+			t.Fatalf("%s %s: unexpected status %d with code %s", e.method, e.path, status, body.Code)
 		}
 		if body.Code == "" || body.Remedy == "" || body.Outcome == "" {
-			t.Fatalf("%s %s: %d %+v is not whole", d.method, d.path, status, body)
+			t.Fatalf("%s %s: status %d with an incomplete error body %+v", e.method, e.path, status, body)
 		}
 	})
 	is := is.New(t)
 	is.True(f.Instances[0].Alive())
-	is.True(revision(f.Instances[0]) > 0)
+	is.True(configurationRevision(f.Instances[0]) > 0)
 }
--- a/internal/load/experiment/configuration_test.go
+++ b/internal/load/experiment/configuration_test.go
@@ -20,37 +20,38 @@
 	faults "github.com/egretbend/egretbend/internal/standin/fault"
 )
 
-// patience bounds what a test waits for. It is far above what is promised, so
-// that a slow machine gives the same verdict.
-const patience = 60 * time.Second
+// waitTimeout is the longest time that a test waits for a condition. It is far
+// above the guaranteed times, so that tests also pass on a slow machine.
+const waitTimeout = 60 * time.Second
 
-// eventually polls until ok or until patience ends.
+// eventually polls until ok returns true, and fails the test after waitTimeout.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	clock := timer.Real{}
-	end := clock.Now().Add(patience)
+	end := clock.Now().Add(waitTimeout)
 	for !ok() {
 		if clock.Now() >= end {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		timer.Wait(clock, 50*time.Millisecond, nil)
 	}
 }
 
-func start(t *testing.T, name string) *fleet.Fleet {
+// startFleet starts a fleet without load and stops it at the end of the test.
+func startFleet(t *testing.T, name string) *fleet.Fleet {
 	t.Helper()
 	t.Parallel()
-	atOnce <- struct{}{}
+	fleetSlots <- struct{}{}
 	f := &fleet.Fleet{
 		Binaries:      binaries,
 		Folder:        filepath.Join(t.TempDir(), name),
-		Scenario:      small(name),
-		Configuration: config(t),
+		Scenario:      smallScenario(name),
+		Configuration: testConfiguration(t),
 		Timer:         timer.Real{},
 	}
 	t.Cleanup(func() {
 		f.Stop()
-		<-atOnce
+		<-fleetSlots
 	})
 	if err := f.Start(context.Background()); err != nil {
 		t.Fatal(err)
@@ -58,7 +59,9 @@
 	return f
 }
 
-func revision(p *fleet.Process) uint64 {
+// configurationRevision returns the revision that p has in force, or 0 if p does
+// not answer.
+func configurationRevision(p *fleet.Process) uint64 {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	var c operator.Configuration
@@ -68,7 +71,9 @@
 	return c.Revision
 }
 
-func put(f *fleet.Fleet, p *fleet.Process, id string, from uint64) (uint64, error) {
+// putConfiguration submits the configuration of f to p as a change of revision
+// from, and returns the new revision.
+func putConfiguration(f *fleet.Fleet, p *fleet.Process, id string, from uint64) (uint64, error) {
 	data, err := json.Marshal(f.Configuration)
 	if err != nil {
 		return 0, err
@@ -85,6 +90,7 @@
 	return c.Revision, err
 }
 
+// setFault replaces the faults of a stand-in by those in the JSON body.
 func setFault(t *testing.T, p *fleet.Process, body string) {
 	t.Helper()
 	res, err := http.Post("http://"+p.Address+faults.Path, "application/json", bytes.NewReader([]byte(body)))
@@ -94,77 +100,77 @@
 	_ = res.Body.Close()
 }
 
-// A change is accepted; in the next moment the key-value service fails and the
-// instance that accepted it is killed. Then others are replaced while the
-// service is still down, and at last it comes back with the revision before.
-// An operator would notice a change that was told accepted and is not in
-// force, or an instance that shows the older one again.
-func TestAcceptedIsInForceThoughAllFails(t *testing.T) {
+// Guards against an accepted configuration change that is lost or reverted. The
+// key-value service fails right after a change was accepted, and the instance
+// that accepted it is killed. Other instances restart during the outage. Then
+// the service returns and serves the revision before the change.
+func TestAcceptedConfigurationSurvivesOutage(t *testing.T) {
 	is := is.New(t)
-	f := start(t, "accepted")
-	first := revision(f.Instances[0])
-	rev, err := put(f, f.Instances[0], "second", first)
+	f := startFleet(t, "accepted")
+	first := configurationRevision(f.Instances[0])
+	rev, err := putConfiguration(f, f.Instances[0], "second", first)
 	is.NoErr(err)
 	setFault(t, f.Find("keyvalue"), `{"down": true}`)
 	f.Kill(f.Instances[0])
 	for _, p := range f.Instances[1:] {
-		eventually(t, p.Name+" has the accepted revision", func() bool { return revision(p) == rev })
+		eventually(t, p.Name+" has the accepted revision", func() bool { return configurationRevision(p) == rev })
 	}
 	for _, p := range f.Instances[2:4] {
 		f.Kill(p)
 		is.NoErr(f.Restart(p))
-		eventually(t, p.Name+" has it after its restart in the outage", func() bool { return revision(p) > 0 })
-		is.Equal(revision(p), rev)
+		eventually(t, p.Name+" has a revision after its restart in the outage", func() bool { return configurationRevision(p) > 0 })
+		is.Equal(configurationRevision(p), rev)
 	}
 	setFault(t, f.Find("keyvalue"), `{"stale": true}`)
 	is.NoErr(f.Restart(f.Instances[0]))
-	eventually(t, "the killed instance is back", func() bool { return revision(f.Instances[0]) > 0 })
+	eventually(t, "the killed instance is back", func() bool { return configurationRevision(f.Instances[0]) > 0 })
 	for _, p := range f.Instances {
-		is.Equal(revision(p), rev) // nobody takes the older revision
+		is.Equal(configurationRevision(p), rev) // no instance reverts to the older revision
 	}
 }
 
-// Operators change the same object at once, through different instances. One
-// must win, and the others must hear that they did not.
-func TestOperatorsRace(t *testing.T) {
+// Guards against a lost update: operators change the same revision at the same
+// time through different instances. Exactly one change must be accepted, and all
+// others must be answered with an error.
+func TestConcurrentConfigurationChanges(t *testing.T) {
 	is := is.New(t)
-	f := start(t, "race")
+	f := startFleet(t, "race")
 	for round := range 5 {
-		from := revision(f.Instances[0])
-		eventually(t, "all have the revision", func() bool {
+		from := configurationRevision(f.Instances[0])
+		eventually(t, "all instances have the current revision", func() bool {
 			for _, p := range f.Instances {
-				if revision(p) != from {
+				if configurationRevision(p) != from {
 					return false
 				}
 			}
 			return true
 		})
-		won := make(chan bool, len(f.Instances))
+		accepted := make(chan bool, len(f.Instances))
 		for i, p := range f.Instances {
 			go func() {
-				_, err := put(f, p, fmt.Sprintf("r%d-%d", round, i), from)
-				won <- err == nil
+				_, err := putConfiguration(f, p, fmt.Sprintf("r%d-%d", round, i), from)
+				accepted <- err == nil
 			}()
 		}
 		n := 0
 		for range f.Instances {
-			if <-won {
+			if <-accepted {
 				n++
 			}
 		}
 		is.Equal(n, 1)
-		eventually(t, "the winner's revision is in force", func() bool { return revision(f.Instances[0]) > from })
+		eventually(t, "the accepted revision is in force", func() bool { return configurationRevision(f.Instances[0]) > from })
 	}
 }
 
-// An operator stops a process that holds an unknown amount of state by the
-// second signal. It must end, also when requests never do.
-func TestSecondSignalEndsAtOnce(t *testing.T) {
+// Guards against a graceful shutdown that never finishes since requests don't
+// end: a second SIGTERM must end the process.
+func TestSecondSignalExitsImmediately(t *testing.T) {
 	is := is.New(t)
-	f := start(t, "signal")
+	f := startFleet(t, "signal")
 	p := f.Instances[0]
 	p.Signal(syscall.SIGTERM)
-	eventually(t, "it is leaving", func() bool {
+	eventually(t, "the instance reports that it is shutting down", func() bool {
 		res, err := http.Get("http://" + p.Address + "/readyz")
 		if err != nil {
 			return false
@@ -173,20 +179,21 @@
 		return res.StatusCode == http.StatusServiceUnavailable
 	})
 	p.Signal(syscall.SIGTERM)
-	eventually(t, "it has ended", func() bool { return !p.Alive() })
+	eventually(t, "the process has ended", func() bool { return !p.Alive() })
 	is.True(!p.Alive())
 }
 
-// An operator drains an instance through its own door. It must say so at once,
-// refuse nobody who still holds its address, and end by itself.
+// Guards against a drain request that doesn't return at once, that makes the
+// instance refuse callers that still have its address, or after which the
+// process doesn't end by itself.
 func TestOperatorDrainsInstance(t *testing.T) {
 	is := is.New(t)
-	f := start(t, "drain_door")
+	f := startFleet(t, "drain_door")
 	p := f.Instances[0]
 	is.NoErr(client.Client{
 		Address: p.Address,
 	}.Do(context.Background(), http.MethodPost, "/v1/instance/drain", nil, nil))
-	is.True(revision(p) > 0) // it still answers those who hold its address
-	eventually(t, "it has ended", func() bool { return !p.Alive() })
+	is.True(configurationRevision(p) > 0) // it still answers callers that have its address
+	eventually(t, "the process has ended", func() bool { return !p.Alive() })
 	is.NoErr(p.Err())
 }
--- a/internal/load/experiment/cost.go
+++ b/internal/load/experiment/cost.go
@@ -12,26 +12,30 @@
 	"github.com/egretbend/egretbend/internal/load/fleet"
 )
 
-// Cost is what one instance costs, as a median and the highest over the fleet.
+// Cost holds the resource usage per instance: the median over the fleet, and in
+// the Max fields the highest value.
 type Cost struct {
-	// CPUShare is processor time per time; 0.01 is one hundredth of a core.
+	// CPUShare is CPU time divided by elapsed time; 0.01 is one hundredth of a
+	// core.
 	CPUShare    float64 `json:"cpu_share"`
 	CPUShareMax float64 `json:"cpu_share_max"`
 	ResidentMB  float64 `json:"resident_mb"`
 	ResidentMax float64 `json:"resident_mb_max"`
-	// HeapMB is the part of it that the program allocated.
+	// HeapMB is the heap in use, a part of the resident memory.
 	HeapMB float64 `json:"heap_mb"`
-	// BytesPerSecond counts what goes to and comes from other instances.
+	// BytesPerSecond is the traffic sent to and received from other instances.
 	BytesPerSecond    float64 `json:"peer_bytes_per_second"`
 	BytesPerSecondMax float64 `json:"peer_bytes_per_second_max"`
 }
 
-// reading is the metrics of one instance at a moment.
-type reading struct {
+// instanceMetrics is a snapshot of one instance's metrics: CPU time in seconds,
+// memory in bytes, and bytes exchanged with other instances.
+type instanceMetrics struct {
 	cpu, resident, heap, bytes float64
 }
 
-// The metrics that a reading takes.
+// The metrics that instanceMetrics is read from, and the unit of the memory
+// figures in Cost.
 const (
 	metricCPU      = "process_cpu_seconds_total"
 	metricResident = "process_resident_memory_bytes"
@@ -41,33 +45,36 @@
 	megabyte       = 1 << 20
 )
 
-// readAll reads the metrics of all instances that answer.
-func readAll(f *fleet.Fleet) map[string]reading {
-	all := make(map[string]reading)
+// readAllMetrics reads the metrics of all instances that answer, by instance
+// name.
+func readAllMetrics(f *fleet.Fleet) map[string]instanceMetrics {
+	all := make(map[string]instanceMetrics)
 	for _, p := range f.Instances {
-		if r, err := read(p.Address); err == nil {
+		if r, err := readMetrics(p.Address); err == nil {
 			all[p.Name] = r
 		}
 	}
 	return all
 }
 
-func read(address string) (reading, error) {
+// readMetrics reads the /metrics endpoint of one instance. A missing metric
+// counts as 0.
+func readMetrics(address string) (instanceMetrics, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
-		return reading{}, err
+		return instanceMetrics{}, err
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return reading{}, err
+		return instanceMetrics{}, err
 	}
 	defer res.Body.Close()
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(res.Body)
 	if err != nil {
-		return reading{}, err
+		return instanceMetrics{}, err
 	}
 	value := func(name string) float64 {
 		family, ok := families[name]
@@ -77,7 +84,7 @@
 		m := family.Metric[0]
 		return m.GetCounter().GetValue() + m.GetGauge().GetValue() + m.GetUntyped().GetValue()
 	}
-	return reading{
+	return instanceMetrics{
 		cpu:      value(metricCPU),
 		resident: value(metricResident),
 		heap:     value(metricHeap),
@@ -85,8 +92,10 @@
 	}, nil
 }
 
-// costs compares two readings of the same instances.
-func costs(before, after map[string]reading, seconds float64) Cost {
+// computeCost returns the usage between two snapshots that are seconds apart. It
+// skips instances that are missing from after or were restarted, which shows as
+// a CPU counter that went down.
+func computeCost(before, after map[string]instanceMetrics, seconds float64) Cost {
 	var cpu, resident, heap, bytes []float64
 	for name, b := range before {
 		a, ok := after[name]
@@ -99,18 +108,19 @@
 		bytes = append(bytes, (a.bytes-b.bytes)/seconds)
 	}
 	var c Cost
-	c.CPUShare, c.CPUShareMax = middle(cpu)
-	c.ResidentMB, c.ResidentMax = middle(resident)
-	c.HeapMB, _ = middle(heap)
-	c.BytesPerSecond, c.BytesPerSecondMax = middle(bytes)
+	c.CPUShare, c.CPUShareMax = medianAndMax(cpu)
+	c.ResidentMB, c.ResidentMax = medianAndMax(resident)
+	c.HeapMB, _ = medianAndMax(heap)
+	c.BytesPerSecond, c.BytesPerSecondMax = medianAndMax(bytes)
 	return c
 }
 
-// middle returns the median and the highest of list.
-func middle(list []float64) (median, most float64) {
-	if len(list) == 0 {
+// medianAndMax returns the median and the highest of values, or zeros if there
+// are none. It sorts values in place.
+func medianAndMax(values []float64) (median, highest float64) {
+	if len(values) == 0 {
 		return 0, 0
 	}
-	sort.Float64s(list)
-	return list[len(list)/2], list[len(list)-1]
+	sort.Float64s(values)
+	return values[len(values)/2], values[len(values)-1]
 }
--- a/internal/load/experiment/doc.go
+++ b/internal/load/experiment/doc.go
@@ -1,8 +1,11 @@
-// Package experiment runs a scenario and reports what callers and trainers
-// saw.
+// Package experiment runs a load scenario against a fleet of local processes
+// and reports the results that callers and trainers observed.
 //
 //	x := &experiment.Experiment{Scenario: s, Binaries: "bin", Folder: dir}
 //	report, err := x.Run(ctx)
 //
-// A report is wrong when something was lost, doubled or mixed up.
+// Experiment starts the fleet and its load; Report holds the measurements.
+// Report.Wrong lists the violated guarantees: for example a sample delivered
+// twice, an order that ran although it was reported as not run, or an answer
+// that belongs to another request.
 package experiment
--- a/internal/load/experiment/experiment.go
+++ b/internal/load/experiment/experiment.go
@@ -23,16 +23,21 @@
 	"github.com/egretbend/egretbend/internal/standin/trainer"
 )
 
-// Experiment runs a scenario.
+// Experiment holds a scenario and what is needed to run it.
 type Experiment struct {
-	Scenario      scenario.Scenario
+	Scenario scenario.Scenario
+	// Configuration is the service configuration before the scenario's and the
+	// variant's changes.
 	Configuration configuration.Configuration
-	Binaries      string
-	Folder        string
-	Timer         timer.Service
+	// Binaries is the directory with the built programs.
+	Binaries string
+	// Folder is the directory for settings files and logs. Each run replaces the
+	// contents of the subdirectory for its scenario and variant.
+	Folder string
+	Timer  timer.Service
 }
 
-// Run runs one variant and stops everything that it started.
+// Run runs one variant of the scenario and stops every process it started.
 func (x *Experiment) Run(ctx context.Context, v scenario.Variant) (*Report, error) {
 	f := &fleet.Fleet{
 		Binaries:      x.Binaries,
@@ -51,9 +56,9 @@
 		Seconds:  x.Scenario.Seconds,
 	}
 	before := readStats[keyvalue.Stats](f.Find("keyvalue"))
-	metrics, started := readAll(f), x.Timer.Now()
-	x.load(ctx, f, v, report)
-	report.Cost = costs(metrics, readAll(f), x.Timer.Now().Sub(started).Seconds())
+	metrics, started := readAllMetrics(f), x.Timer.Now()
+	x.runLoad(ctx, f, v, report)
+	report.Cost = computeCost(metrics, readAllMetrics(f), x.Timer.Now().Sub(started).Seconds())
 	report.addKeyValue(before, readStats[keyvalue.Stats](f.Find("keyvalue")))
 	x.addEngines(f, report)
 	for _, err := range f.Drain() {
@@ -62,19 +67,21 @@
 	return report, nil
 }
 
-// load runs callers, trainers and events for the time of the scenario.
-func (x *Experiment) load(ctx context.Context, f *fleet.Fleet, v scenario.Variant, report *Report) {
+// runLoad runs callers, trainers and events for the duration of the scenario
+// and adds their results to report.
+func (x *Experiment) runLoad(ctx context.Context, f *fleet.Fleet, v scenario.Variant, report *Report) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(x.Scenario.Seconds)*time.Second)
 	defer cancel()
 	var wg sync.WaitGroup
 	wg.Go(func() { f.RunEvents(ctx) })
-	// A run without load still lasts its time, to measure a quiet fleet.
+	// A scenario without load still runs for its full duration, to measure an
+	// idle fleet.
 	wg.Go(func() { <-ctx.Done() })
-	w := &swaps{
+	tracker := &swapTracker{
 		timer: x.Timer,
 	}
 	if len(x.Scenario.Trainers) > 0 {
-		wg.Go(func() { w.watch(ctx, f) })
+		wg.Go(func() { tracker.pollUntilDone(ctx, f) })
 	}
 	var mu sync.Mutex
 	loads := make([]*orders.Load, len(x.Scenario.Orders))
@@ -82,15 +89,15 @@
 	for i, s := range x.Scenario.Orders {
 		loads[i] = &orders.Load{
 			Settings:  s,
-			Addresses: x.book(f, s.Caller, s.FailureDomain),
+			Addresses: x.newAddressBook(f, s.Caller, s.FailureDomain),
 			Timer:     x.Timer,
 			Services:  serviceAddresses(f),
 		}
 		wg.Go(func() { results[i] = loads[i].Run(ctx) })
 	}
 	for _, s := range x.Scenario.Trainers {
-		t := x.trainer(f, s, v)
-		t.Published = w.published
+		t := x.newTrainer(f, s, v)
+		t.Published = tracker.recordPublished
 		wg.Go(func() {
 			r := t.Run(ctx)
 			mu.Lock()
@@ -99,14 +106,16 @@
 		})
 	}
 	wg.Wait()
-	report.SwapP50, report.SwapMax = w.report()
-	runs := x.runs(f)
+	report.SwapP50, report.SwapMax = tracker.medianAndLongest()
+	runs := x.countRuns(f)
 	for i, l := range loads {
 		report.addOrders(results[i], l.Check(runs))
 	}
 }
 
-func (x *Experiment) trainer(f *fleet.Fleet, s trainer.Settings, v scenario.Variant) *trainer.Trainer {
+// newTrainer returns a trainer that checks samples against the staleness bound
+// of its deployment.
+func (x *Experiment) newTrainer(f *fleet.Fleet, s trainer.Settings, v scenario.Variant) *trainer.Trainer {
 	if v.RunAhead != nil {
 		s.RunAhead = int(*v.RunAhead)
 	}
@@ -116,13 +125,13 @@
 	}
 	return &trainer.Trainer{
 		Settings:    s,
-		Addresses:   x.book(f, s.Name, ""),
+		Addresses:   x.newAddressBook(f, s.Name, ""),
 		Timer:       x.Timer,
 		MaxVersions: bound,
 	}
 }
 
-func (x *Experiment) book(f *fleet.Fleet, caller, domain string) *addresses.Book {
+func (x *Experiment) newAddressBook(f *fleet.Fleet, caller, domain string) *addresses.Book {
 	return &addresses.Book{
 		Caller:        caller,
 		FailureDomain: domain,
@@ -131,7 +140,7 @@
 	}
 }
 
-// serviceAddresses returns the addresses of the plain services.
+// serviceAddresses returns the addresses of all plain services of the fleet.
 func serviceAddresses(f *fleet.Fleet) []string {
 	var list []string
 	for _, p := range f.Upstreams {
@@ -142,8 +151,9 @@
 	return list
 }
 
-// runs sums the runs that the services recorded, also those that are dead now.
-func (x *Experiment) runs(f *fleet.Fleet) map[string]int {
+// countRuns returns how often each order ran, by order ID. It reads the logs of
+// the services, so runs of processes that have ended are included.
+func (x *Experiment) countRuns(f *fleet.Fleet) map[string]int {
 	sum := make(map[string]int)
 	for _, p := range f.Upstreams {
 		data, err := os.ReadFile(p.Log())
@@ -159,7 +169,7 @@
 	return sum
 }
 
-// addEngines adds what the engines counted.
+// addEngines adds the token and cache counters of all engines to report.
 func (x *Experiment) addEngines(f *fleet.Fleet, report *Report) {
 	var prefills, hits int64
 	for _, p := range f.Upstreams {
@@ -173,13 +183,16 @@
 	}
 }
 
+// readStats returns the statistics of a stand-in, or the zero value if it can't
+// be read.
 func readStats[T any](p *fleet.Process) T {
 	var stats T
-	_ = get(p.Address, "/stats", &stats)
+	_ = getJSON(p.Address, "/stats", &stats)
 	return stats
 }
 
-func get(address, path string, out any) error {
+// getJSON decodes the answer to a GET request into out.
+func getJSON(address, path string, out any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if err := (client.Client{
--- a/internal/load/experiment/proof_test.go
+++ b/internal/load/experiment/proof_test.go
@@ -20,11 +20,11 @@
 	"github.com/egretbend/egretbend/internal/standin/trainer"
 )
 
-// binaries is the folder with the programs, built once for all tests.
+// binaries is the directory with the programs, built once for all tests.
 var binaries string
 
-// atOnce bounds the fleets that run at the same time.
-var atOnce = make(chan struct{}, 3)
+// fleetSlots limits how many fleets run at the same time.
+var fleetSlots = make(chan struct{}, 3)
 
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "egretbend")
@@ -42,9 +42,9 @@
 	os.Exit(code)
 }
 
-// small returns a fleet of 6 instances in 3 failure domains with all kinds of
-// load.
-func small(name string, events ...scenario.Event) scenario.Scenario {
+// smallScenario returns a scenario of 6 instances in 3 failure domains with
+// orders and a trainer as load.
+func smallScenario(name string, events ...scenario.Event) scenario.Scenario {
 	return scenario.Scenario{
 		Name:           name,
 		Seconds:        12,
@@ -79,8 +79,8 @@
 			},
 		}},
 		Orders: []orders.Settings{
-			stream("saddlers", false),
-			stream("stock", true),
+			orderStream("saddlers", false),
+			orderStream("stock", true),
 		},
 		Trainers: []trainer.Settings{{
 			Name:       "cutting",
@@ -97,7 +97,8 @@
 	}
 }
 
-func stream(caller string, idempotent bool) orders.Settings {
+// orderStream returns a stream of requests to the order-desk service.
+func orderStream(caller string, idempotent bool) orders.Settings {
 	return orders.Settings{
 		Caller:      caller,
 		Deployment:  "order-desk",
@@ -113,7 +114,8 @@
 	}
 }
 
-func config(t *testing.T) configuration.Configuration {
+// testConfiguration returns the configuration of all fleets in these tests.
+func testConfiguration(t *testing.T) configuration.Configuration {
 	t.Helper()
 	cfg, err := configuration.Parse([]byte(`{
 		"format": 1,
@@ -131,17 +133,17 @@
 	return *cfg
 }
 
-// run runs a scenario on real processes and returns a report that breaks no
-// promise.
-func run(t *testing.T, s scenario.Scenario) *experiment.Report {
+// runScenario runs a scenario on real processes and fails the test if the report
+// lists a violated guarantee or if trainer or callers made no progress.
+func runScenario(t *testing.T, s scenario.Scenario) *experiment.Report {
 	t.Helper()
 	t.Parallel()
-	atOnce <- struct{}{}
-	defer func() { <-atOnce }()
+	fleetSlots <- struct{}{}
+	defer func() { <-fleetSlots }()
 	is := is.New(t)
 	x := &experiment.Experiment{
 		Scenario:      s,
-		Configuration: config(t),
+		Configuration: testConfiguration(t),
 		Binaries:      binaries,
 		Folder:        filepath.Join(t.TempDir(), "run"),
 		Timer:         timer.Real{},
@@ -156,18 +158,19 @@
 	for _, r := range report.Trainers {
 		t.Logf("%+v", r)
 	}
-	is.Equal(report.Wrong(), nil)          // no promise is broken
-	is.True(report.StepsFinished > 0)      // the trainer gets its steps
-	is.True(report.AnsweredWhole > 0)      // callers get their answers
+	is.Equal(report.Wrong(), nil)          // no guarantee is violated
+	is.True(report.StepsFinished > 0)      // the trainer finishes steps
+	is.True(report.AnsweredWhole > 0)      // callers get answers
 	is.True(report.SamplesHanded > 0)      // samples reach the trainer
-	is.Equal(report.SamplesDoubled, 0)     // each once
-	is.Equal(report.OrdersRunTwice, 0)     // no hide is cut twice
-	is.True(report.AnsweredNotRun == 0)    // no answer is made up
-	is.True(len(report.UncleanStops) == 0) // what was not killed stops cleanly
+	is.Equal(report.SamplesDoubled, 0)     // each sample is delivered once
+	is.Equal(report.OrdersRunTwice, 0)     // no order runs twice
+	is.True(report.AnsweredNotRun == 0)    // no answer without a run
+	is.True(len(report.UncleanStops) == 0) // instances that no event stopped exit cleanly
 	return report
 }
 
-func at(ms int64, target, action string) scenario.Event {
+// eventAt returns an event that happens ms milliseconds after the start.
+func eventAt(ms int64, target, action string) scenario.Event {
 	return scenario.Event{
 		AtMS:   ms,
 		Target: target,
@@ -175,132 +178,138 @@
 	}
 }
 
-func fault(ms int64, target string, values map[string]scenario.Value) scenario.Event {
-	e := at(ms, target, "fault")
+// faultEvent returns an event that sets faults of a stand-in.
+func faultEvent(ms int64, target string, values map[string]scenario.Value) scenario.Event {
+	e := eventAt(ms, target, "fault")
 	e.Fault = values
 	return e
 }
 
-// Instances are killed one after the other, the one that serves the trainer's
-// session among them, and come back empty. The trainer would notice a sample
-// that comes twice or never, a caller an order that is cut twice.
+// Guards against samples delivered twice or never, and orders that run twice,
+// when instances crash. All instances are killed one after the other, including
+// the one that serves the trainer's session, and restart without state.
 func TestKilledInstances(t *testing.T) {
 	var events []scenario.Event
 	for i, name := range []string{"mechelen-a-1", "antwerpen-a-1", "gent-a-1", "mechelen-a-2", "antwerpen-a-2", "gent-a-2"} {
 		ms := int64(1500 + 1500*i)
-		events = append(events, at(ms, name, "kill"), at(ms+700, name, "restart"))
+		events = append(events, eventAt(ms, name, "kill"), eventAt(ms+700, name, "restart"))
 	}
-	report := run(t, small("killed", events...))
-	is.New(t).True(report.Trainers[0].Sessions > 1) // the trainer had to move
+	report := runScenario(t, smallScenario("killed", events...))
+	is.New(t).True(report.Trainers[0].Sessions > 1) // the trainer opened a session on another instance
 }
 
-// Instances are frozen for longer than a lease lives, and thawed while others
-// have taken over. Two would then serve one trainer, or order the same
-// engines.
+// Guards against two instances that serve one trainer or direct the same engines.
+// Instances are paused for longer than a lease lasts and resumed after others
+// have taken over.
 func TestFrozenInstances(t *testing.T) {
-	run(t, small("frozen",
-		at(2000, "mechelen-a-*", "freeze"),
-		at(9500, "mechelen-a-*", "thaw"),
-		at(10000, "gent-a-1", "freeze"),
-		at(11500, "gent-a-1", "thaw"),
+	runScenario(t, smallScenario("frozen",
+		eventAt(2000, "mechelen-a-*", "freeze"),
+		eventAt(9500, "mechelen-a-*", "thaw"),
+		eventAt(10000, "gent-a-1", "freeze"),
+		eventAt(11500, "gent-a-1", "thaw"),
 	))
 }
 
-// The key-value service is down from the first second on, longer than any
-// lease lives, and an instance is replaced meanwhile. Requests, samples and
-// weight versions must go on; a trainer would notice that its samples become
-// older and older, a caller a request that is cut off.
+// Guards against samples that become ever older and requests that are cut off
+// while the key-value service is down. The outage begins in the first second and
+// lasts longer than any lease, and an instance restarts during it. Requests,
+// samples and weight versions must continue.
 func TestKeyValueServiceDown(t *testing.T) {
-	s := small("outage",
-		fault(1000, "keyvalue", map[string]scenario.Value{"down": 1}),
-		at(4000, "gent-a-1", "stop"),
-		at(12000, "gent-a-1", "restart"),
+	s := smallScenario("outage",
+		faultEvent(1000, "keyvalue", map[string]scenario.Value{"down": 1}),
+		eventAt(4000, "gent-a-1", "stop"),
+		eventAt(12000, "gent-a-1", "restart"),
 	)
 	s.Seconds = 26
-	report := run(t, s)
+	report := runScenario(t, s)
 	is := is.New(t)
 	is.True(report.Trainers[0].Versions > 3) // new weights come through
 	is.Equal(report.Unknown, 0)
 }
 
-// The same, but the instance is killed, with what it has in flight.
+// As TestKeyValueServiceDown, but the instance is killed with requests in flight
+// instead of stopped.
 func TestInstanceKilledInOutage(t *testing.T) {
-	s := small("killed_in_outage",
-		fault(1000, "keyvalue", map[string]scenario.Value{"down": 1}),
-		at(4000, "gent-a-1", "kill"),
-		at(5000, "gent-a-1", "restart"),
+	s := smallScenario("killed_in_outage",
+		faultEvent(1000, "keyvalue", map[string]scenario.Value{"down": 1}),
+		eventAt(4000, "gent-a-1", "kill"),
+		eventAt(5000, "gent-a-1", "restart"),
 	)
 	s.Seconds = 20
-	report := run(t, s)
+	report := runScenario(t, s)
 	is.New(t).True(report.Trainers[0].Versions > 3) // new weights come through
 }
 
-// The key-value service is slow, answers with older revisions and loses
-// answers of writes, under the leases and the configuration.
+// Guards against leases and configuration that rely on a correct key-value
+// service: it is slow, returns older revisions and loses the answers of writes.
 func TestKeyValueServiceSlowAndStale(t *testing.T) {
-	run(t, small("stale",
-		fault(1000, "keyvalue", map[string]scenario.Value{"slow_ms": 700, "stale": 1}),
-		fault(6000, "keyvalue", map[string]scenario.Value{"lose_answers": 3}),
-		at(6500, "antwerpen-a-1", "kill"),
-		at(7500, "antwerpen-a-1", "restart"),
+	runScenario(t, smallScenario("stale",
+		faultEvent(1000, "keyvalue", map[string]scenario.Value{"slow_ms": 700, "stale": 1}),
+		faultEvent(6000, "keyvalue", map[string]scenario.Value{"lose_answers": 3}),
+		eventAt(6500, "antwerpen-a-1", "kill"),
+		eventAt(7500, "antwerpen-a-1", "restart"),
 	))
 }
 
-// Engines break streams, answer for other attempts, crash and come back with
-// old weights, and switch only partway. A trainer would notice a record that
-// does not name the versions in the text.
+// Guards against samples whose recorded weight versions differ from those that
+// generated the text. Engines break streams, answer with the output of other
+// attempts, crash and restart with old weights, and fail to switch versions.
 func TestBrokenEngines(t *testing.T) {
 	events := []scenario.Event{
-		fault(1000, "sampler-1", map[string]scenario.Value{"break_share": 0.3}),
-		fault(1000, "sampler-2", map[string]scenario.Value{"cross_share": 0.3}),
-		fault(1000, "sampler-3", map[string]scenario.Value{"switch_fails": 1}),
+		faultEvent(1000, "sampler-1", map[string]scenario.Value{"break_share": 0.3}),
+		faultEvent(1000, "sampler-2", map[string]scenario.Value{"cross_share": 0.3}),
+		faultEvent(1000, "sampler-3", map[string]scenario.Value{"switch_fails": 1}),
 	}
-	crash := fault(2000, "sampler-4", map[string]scenario.Value{"crash_ms": 500})
+	crash := faultEvent(2000, "sampler-4", map[string]scenario.Value{"crash_ms": 500})
 	crash.EveryMS = 2500
-	run(t, small("engines", append(events, crash)...))
+	runScenario(t, smallScenario("engines", append(events, crash)...))
 }
 
-// Engines ignore fencing numbers, and the holder of the lease is frozen and
-// thawed while versions move on.
+// Guards against a former lease holder that directs engines which don't check
+// fencing numbers: the holder is paused, and resumed after new versions were
+// published.
 func TestEnginesThatIgnoreFencing(t *testing.T) {
-	s := small("unfenced",
-		at(2000, "mechelen-a-1", "freeze"),
-		at(3000, "antwerpen-a-1", "freeze"),
-		at(10000, "mechelen-a-1", "thaw"),
-		at(10100, "antwerpen-a-1", "thaw"),
+	s := smallScenario("unfenced",
+		eventAt(2000, "mechelen-a-1", "freeze"),
+		eventAt(3000, "antwerpen-a-1", "freeze"),
+		eventAt(10000, "mechelen-a-1", "thaw"),
+		eventAt(10100, "antwerpen-a-1", "thaw"),
 	)
 	s.Engines[0].Engine.ChecksFencing = false
-	run(t, s)
+	runScenario(t, s)
 }
 
-// Services run an order and then reset, cut or mix up the answer, or answer
-// with a bare 503. A caller who is told "not run" would ask again.
+// Guards against a "not run" outcome for an order that ran, since the caller
+// would send it again. Services run an order and then reset the connection, cut
+// the answer short, answer for another order, or return a 503 without an outcome.
 func TestBrokenServices(t *testing.T) {
-	report := run(t, small("services",
-		fault(1000, "desk-1", map[string]scenario.Value{"reset_share": 0.3, "refuse_share": 0.1}),
-		fault(1000, "desk-2", map[string]scenario.Value{"cut_share": 0.3}),
-		fault(1000, "desk-3", map[string]scenario.Value{"cross_share": 0.3}),
-		fault(1000, "desk-4", map[string]scenario.Value{"bare_share": 0.3}),
+	report := runScenario(t, smallScenario("services",
+		faultEvent(1000, "desk-1", map[string]scenario.Value{"reset_share": 0.3, "refuse_share": 0.1}),
+		faultEvent(1000, "desk-2", map[string]scenario.Value{"cut_share": 0.3}),
+		faultEvent(1000, "desk-3", map[string]scenario.Value{"cross_share": 0.3}),
+		faultEvent(1000, "desk-4", map[string]scenario.Value{"bare_share": 0.3}),
 	))
-	is.New(t).True(report.Unknown > 0) // what may have run is told as unknown
+	is.New(t).True(report.Unknown > 0) // orders that may have run are reported as unknown
 }
 
-// All instances and engines of a failure domain are gone at once.
+// Guards against violated guarantees when a failure domain is lost: its
+// instances, an engine and a service are killed at the same moment.
 func TestFailureDomainGone(t *testing.T) {
-	run(t, small("domain",
-		at(3000, "gent-a-*", "kill"),
-		at(3000, "sampler-3", "kill"),
-		at(3000, "desk-3", "kill"),
+	runScenario(t, smallScenario("domain",
+		eventAt(3000, "gent-a-*", "kill"),
+		eventAt(3000, "sampler-3", "kill"),
+		eventAt(3000, "desk-3", "kill"),
 	))
 }
 
-// Instances are told to stop while callers still hold their addresses and
-// requests and streams are on their way. None of them may be cut off.
+// Guards against requests and streams that a graceful shutdown cuts off:
+// instances are stopped while callers still have their addresses and requests
+// are in flight.
 func TestGracefulShutdownUnderLoad(t *testing.T) {
-	s := small("drain",
-		at(2000, "gent-a-1", "stop"),
-		at(4000, "mechelen-a-2", "stop"),
-		at(6000, "antwerpen-a-1", "stop"),
+	s := smallScenario("drain",
+		eventAt(2000, "gent-a-1", "stop"),
+		eventAt(4000, "mechelen-a-2", "stop"),
+		eventAt(6000, "antwerpen-a-1", "stop"),
 	)
 	s.Orders[0].PerSecond = 60
 	s.Orders = append(s.Orders, orders.Settings{
@@ -315,23 +324,24 @@
 		Prompts:     4,
 		Seed:        9,
 	})
-	report := run(t, s)
+	report := runScenario(t, s)
 	is := is.New(t)
 	is.Equal(report.Unknown, 0)  // no request was cut off
-	is.Equal(report.NoAnswer, 0) // and none was left without an answer
+	is.Equal(report.NoAnswer, 0) // every request got an answer
 }
 
-// An upstream says that it is leaving while the instance list is down.
+// Guards against requests to upstreams that announced their shutdown while the
+// instance list is down.
 func TestLeavingUpstream(t *testing.T) {
-	s := small("leaving",
-		fault(1500, "roster", map[string]scenario.Value{"down": 1}),
-		at(2000, "desk-1", "leave"),
-		at(2000, "sampler-1", "leave"),
-		at(8000, "desk-1", "kill"),
-		at(8000, "sampler-1", "kill"),
+	s := smallScenario("leaving",
+		faultEvent(1500, "roster", map[string]scenario.Value{"down": 1}),
+		eventAt(2000, "desk-1", "leave"),
+		eventAt(2000, "sampler-1", "leave"),
+		eventAt(8000, "desk-1", "kill"),
+		eventAt(8000, "sampler-1", "kill"),
 	)
-	report := run(t, s)
-	// Both are killed six seconds after they said so. An instance that still
-	// gave them work would have requests of unknown outcome.
+	report := runScenario(t, s)
+	// Both are killed six seconds after the announcement. Requests still sent to
+	// them would end with an unknown outcome.
 	is.New(t).Equal(report.Unknown, 0)
 }
--- a/internal/load/experiment/report.go
+++ b/internal/load/experiment/report.go
@@ -9,7 +9,8 @@
 	"github.com/egretbend/egretbend/internal/standin/trainer"
 )
 
-// Report is the outcome of one run.
+// Report holds the results of one run: totals over all callers and trainers, and
+// the result of each.
 type Report struct {
 	Scenario string `json:"scenario"`
 	Variant  string `json:"variant,omitempty"`
@@ -36,8 +37,8 @@
 	StalenessP50   uint64  `json:"staleness_p50_versions"`
 	StalenessMax   uint64  `json:"staleness_max_versions"`
 
-	// SwapP50 and SwapMax are the seconds from the publishing of a version
-	// until the last engine has it or a later one.
+	// SwapP50 and SwapMax are the seconds between publishing a weight version
+	// and the moment when every engine has it or a later one.
 	SwapP50        float64 `json:"swap_seconds_p50"`
 	SwapMax        float64 `json:"swap_seconds_max"`
 	TokensMade     int64   `json:"tokens_made"`
@@ -51,30 +52,33 @@
 	Trainers     []trainer.Result `json:"trainers"`
 }
 
-// Wrong returns what breaks a promise, or nothing.
+// Wrong returns a message for each kind of guarantee that the run violated, or
+// nil.
 func (r *Report) Wrong() []string {
-	var list []string
-	for _, one := range []struct {
+	var violations []string
+	for _, check := range []struct {
 		n    int
 		what string
 	}{
-		{r.MixedUp, "answers mixed up"},
-		{r.OrdersRunTwice, "orders run twice"},
-		{r.RefusedRan, "orders run that were told not run"},
-		{r.AnsweredNotRun, "orders answered that were not run"},
-		{r.SamplesDoubled, "samples doubled"},
+		{r.MixedUp, "answers for another request or incomplete"},
+		{r.OrdersRunTwice, "non-idempotent orders run more than once"},
+		{r.RefusedRan, "orders run although reported as not run"},
+		{r.AnsweredNotRun, "orders answered but never run"},
+		{r.SamplesDoubled, "duplicate samples"},
 		{r.SamplesTooOld, "samples too old"},
 		{r.WrongVersion, "samples with a wrong version"},
-		{r.Foreign, "samples that are not whole or not asked for"},
+		{r.Foreign, "samples incomplete or not requested"},
 		{len(r.UncleanStops), "instances that did not stop cleanly"},
 	} {
-		if one.n > 0 {
-			list = append(list, fmt.Sprintf("%d %s", one.n, one.what))
+		if check.n > 0 {
+			violations = append(violations, fmt.Sprintf("%d %s", check.n, check.what))
 		}
 	}
-	return list
+	return violations
 }
 
+// addTrainer adds the result of one trainer. Shares and staleness figures of the
+// report are the highest of all trainers.
 func (r *Report) addTrainer(t trainer.Result) {
 	r.Trainers = append(r.Trainers, t)
 	r.StepsFinished += t.StepsFinished
@@ -89,6 +93,8 @@
 	r.StalenessMax = max(r.StalenessMax, t.StalenessMax)
 }
 
+// addOrders adds the result of one request stream, and how it compares with the
+// runs that the services recorded.
 func (r *Report) addOrders(o orders.Result, c orders.Compare) {
 	r.Orders = append(r.Orders, o)
 	r.OrdersSent += o.Sent
@@ -102,13 +108,15 @@
 	r.AnsweredNotRun += c.AnsweredNotRun
 }
 
+// addKeyValue sets the rates of key-value calls from the counters before and
+// after the run.
 func (r *Report) addKeyValue(before, after keyvalue.Stats) {
 	seconds := float64(r.Seconds)
 	r.KeyValueCalls = float64(after.Calls-before.Calls) / seconds
 	r.KeyValueWrites = float64(after.Writes-before.Writes) / seconds
 }
 
-// Print writes the report for people.
+// Print writes the report as human-readable text.
 func (r *Report) Print(w io.Writer) {
 	fmt.Fprintf(w, "%s %s (%d s)\n", r.Scenario, r.Variant, r.Seconds)
 	for _, o := range r.Orders {
--- a/internal/load/experiment/swaps.go
+++ b/internal/load/experiment/swaps.go
@@ -12,49 +12,54 @@
 	"github.com/egretbend/egretbend/internal/outside/engine"
 )
 
-// lookPeriod is how often engines are asked for their versions.
-const lookPeriod = 25 * time.Millisecond
+// pollInterval is how often engines are asked for their weight version.
+const pollInterval = 25 * time.Millisecond
 
-// swaps measures the time from the publishing of a version until the last
-// engine has it or a later one.
-type swaps struct {
+// swapTracker measures the time from publishing a weight version until every
+// engine that answers has it or a later one.
+type swapTracker struct {
 	timer timer.Service
 
-	mu   sync.Mutex
-	open map[version.Version]timer.Instant
-	took []float64
+	mu sync.Mutex
+	// pending maps versions that some engine still lacks to the time they were
+	// published.
+	pending map[version.Version]timer.Instant
+	// durations are in seconds.
+	durations []float64
 }
 
-func (s *swaps) published(v version.Version) {
+// recordPublished starts the measurement for v.
+func (s *swapTracker) recordPublished(v version.Version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open == nil {
-		s.open = make(map[version.Version]timer.Instant)
+	if s.pending == nil {
+		s.pending = make(map[version.Version]timer.Instant)
 	}
-	s.open[v] = s.timer.Now()
+	s.pending[v] = s.timer.Now()
 }
 
-// watch asks the engines until ctx ends.
-func (s *swaps) watch(ctx context.Context, f *fleet.Fleet) {
-	tick := s.timer.Every(lookPeriod)
+// pollUntilDone polls the engines every pollInterval until ctx ends.
+func (s *swapTracker) pollUntilDone(ctx context.Context, f *fleet.Fleet) {
+	tick := s.timer.Every(pollInterval)
 	defer tick.Close()
 	for {
 		select {
 		case <-tick.C:
-			s.look(f)
+			s.poll(f)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// look closes the versions that every engine has.
-func (s *swaps) look(f *fleet.Fleet) {
+// poll asks every engine for its version and completes the measurements of
+// versions that all engines that answered have reached.
+func (s *swapTracker) poll(f *fleet.Fleet) {
 	var oldest version.Version
 	first := true
 	for _, p := range f.Upstreams {
 		var report engine.Report
-		if get(p.Address, engine.PathLoad, &report) != nil || report.Version.Zero() {
+		if getJSON(p.Address, engine.PathLoad, &report) != nil || report.Version.Zero() {
 			continue
 		}
 		if first || report.Version.Less(oldest) {
@@ -64,21 +69,22 @@
 	now := s.timer.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for v, at := range s.open {
+	for v, at := range s.pending {
 		if !first && !oldest.Less(v) {
-			s.took = append(s.took, now.Sub(at).Seconds())
-			delete(s.open, v)
+			s.durations = append(s.durations, now.Sub(at).Seconds())
+			delete(s.pending, v)
 		}
 	}
 }
 
-// report returns the median and the longest time in seconds.
-func (s *swaps) report() (p50, most float64) {
+// medianAndLongest returns the median and the longest duration in seconds, or
+// zeros if no measurement was completed.
+func (s *swapTracker) medianAndLongest() (median, longest float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.took) == 0 {
+	if len(s.durations) == 0 {
 		return 0, 0
 	}
-	sort.Float64s(s.took)
-	return s.took[len(s.took)/2], s.took[len(s.took)-1]
+	sort.Float64s(s.durations)
+	return s.durations[len(s.durations)/2], s.durations[len(s.durations)-1]
 }
--- a/internal/load/fleet/doc.go
+++ b/internal/load/fleet/doc.go
@@ -1,9 +1,11 @@
-// Package fleet starts the processes of an experiment on this machine, brings
-// about faults, and stops what it started.
+// Package fleet runs the processes of an experiment on this machine: stand-ins
+// of the platform services and upstreams, and the instances. It injects the
+// faults of a scenario and stops every process it started.
 //
 //	f := &fleet.Fleet{Binaries: "bin", Folder: dir, Scenario: s}
 //	err := f.Start(ctx)
 //	defer f.Stop()
 //
-// It is the load tool's; the product itself starts no process.
+// Fleet holds all processes of an experiment, Process one of them. Only load
+// tests use this package; the service itself starts no processes.
 package fleet
--- a/internal/load/fleet/events.go
+++ b/internal/load/fleet/events.go
@@ -15,41 +15,43 @@
 	"github.com/egretbend/egretbend/internal/standin/fault"
 )
 
-// RunEvents brings about the scenario's events until ctx ends.
+// RunEvents applies the scenario's events at their times. It returns after the
+// last one or when ctx ends.
 func (f *Fleet) RunEvents(ctx context.Context) {
-	type due struct {
+	type scheduledEvent struct {
 		at    time.Duration
 		event scenario.Event
 	}
-	var list []due
+	var schedule []scheduledEvent
 	for _, e := range f.Scenario.Events {
 		at := time.Duration(e.AtMS) * time.Millisecond
-		list = append(list, due{
+		schedule = append(schedule, scheduledEvent{
 			at:    at,
 			event: e,
 		})
 		for e.EveryMS > 0 && at < time.Duration(f.Scenario.Seconds)*time.Second {
 			at += time.Duration(e.EveryMS) * time.Millisecond
-			list = append(list, due{
+			schedule = append(schedule, scheduledEvent{
 				at:    at,
 				event: e,
 			})
 		}
 	}
-	sort.SliceStable(list, func(i, j int) bool { return list[i].at < list[j].at })
+	sort.SliceStable(schedule, func(i, j int) bool { return schedule[i].at < schedule[j].at })
 	started := f.Timer.Now()
-	for _, d := range list {
+	for _, d := range schedule {
 		wait := d.at - f.Timer.Now().Sub(started)
 		if wait > 0 && !timer.Wait(f.Timer, wait, ctx.Done()) {
 			return
 		}
-		f.bring(ctx, d.event)
+		f.applyEvent(ctx, d.event)
 	}
 }
 
-// bring brings about one event at all its targets.
-func (f *Fleet) bring(ctx context.Context, e scenario.Event) {
-	for _, p := range f.targets(e.Target) {
+// applyEvent applies one event to all its targets. Errors are ignored: a target
+// may already have ended.
+func (f *Fleet) applyEvent(ctx context.Context, e scenario.Event) {
+	for _, p := range f.resolveTargets(e.Target) {
 		switch e.Action {
 		case "fault":
 			post(ctx, p.Address+fault.Path, e.Body())
@@ -60,10 +62,10 @@
 		case "thaw":
 			p.Signal(syscall.SIGCONT)
 		case "stop":
-			f.crashed[p.Name] = true
+			f.terminated[p.Name] = true
 			p.Signal(syscall.SIGTERM)
 		case "kill":
-			f.crashed[p.Name] = true
+			f.terminated[p.Name] = true
 			p.Signal(syscall.SIGKILL)
 		case "restart":
 			if !p.Alive() {
@@ -73,29 +75,31 @@
 	}
 }
 
-// targets resolves a target's name.
-func (f *Fleet) targets(target string) []*Process {
+// resolveTargets returns the processes that a target of an event stands for: the
+// process of that name, all processes whose name begins with the text before a
+// trailing *, or one of them in turn for a trailing "any".
+func (f *Fleet) resolveTargets(target string) []*Process {
 	if p, ok := f.byName[target]; ok {
 		return []*Process{p}
 	}
-	prefix, all := strings.CutSuffix(target, "*")
-	one := false
-	if !all {
-		prefix, one = strings.CutSuffix(target, "any")
+	prefix, matchAll := strings.CutSuffix(target, "*")
+	matchOne := false
+	if !matchAll {
+		prefix, matchOne = strings.CutSuffix(target, "any")
 	}
 	var names []string
 	for name := range f.byName {
-		if (all || one) && strings.HasPrefix(name, prefix) {
+		if (matchAll || matchOne) && strings.HasPrefix(name, prefix) {
 			names = append(names, name)
 		}
 	}
 	sort.Strings(names)
-	if one && len(names) > 0 {
-		if f.turns == nil {
-			f.turns = make(map[string]int)
+	if matchOne && len(names) > 0 {
+		if f.nextMatch == nil {
+			f.nextMatch = make(map[string]int)
 		}
-		f.turns[target]++
-		names = names[f.turns[target]%len(names):][:1]
+		f.nextMatch[target]++
+		names = names[f.nextMatch[target]%len(names):][:1]
 	}
 	list := make([]*Process, 0, len(names))
 	for _, name := range names {
@@ -104,6 +108,7 @@
 	return list
 }
 
+// post sends body to url and ignores the answer and any error.
 func post(ctx context.Context, url string, body []byte) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
--- a/internal/load/fleet/fleet.go
+++ b/internal/load/fleet/fleet.go
@@ -19,36 +19,41 @@
 	"github.com/egretbend/egretbend/internal/load/scenario"
 )
 
-// Times of starting and stopping.
+// Time limits for starting and stopping processes.
 const (
-	readyTime   = 60 * time.Second
-	readyPeriod = 100 * time.Millisecond
-	stopTime    = 90 * time.Second
+	readyTimeout      = 60 * time.Second
+	readyPollInterval = 100 * time.Millisecond
+	stopTimeout       = 90 * time.Second
 )
 
-// Fleet is the processes of one experiment.
+// Fleet holds the processes of one experiment.
 type Fleet struct {
-	// Binaries is the folder with the programs, Folder one for settings and logs.
+	// Binaries is the directory with the programs. Folder is the directory for
+	// settings files and logs; Start deletes its contents.
 	Binaries      string
 	Folder        string
 	Scenario      scenario.Scenario
 	Configuration configuration.Configuration
 	Timer         timer.Service
 
-	Instances []*Process
-	Upstreams []*Process
-	platform  []*Process
-	byName    map[string]*Process
-	peers     map[string]string
-	turns     map[string]int
-	crashed   map[string]bool
-	ports     port.Block
+	Instances        []*Process
+	Upstreams        []*Process
+	platformServices []*Process
+	byName           map[string]*Process
+	peerAddresses    map[string]string
+	// nextMatch is the turn of each event target that ends with "any".
+	nextMatch map[string]int
+	// terminated marks the processes that an event or Kill has stopped. Drain
+	// ignores their exit errors.
+	terminated map[string]bool
+	ports      port.Block
 }
 
-// Start starts all processes, puts the configuration in force and waits until
-// every instance is ready.
+// Start starts all processes, submits the configuration and waits until every
+// instance is ready. Call Stop also if it returns an error.
 func (f *Fleet) Start(ctx context.Context) error {
-	// Logs of an earlier run would be read as this one's.
+	// Process logs are appended to, and runs are counted from them, so logs of an
+	// earlier run must not remain.
 	if err := os.RemoveAll(f.Folder); err != nil {
 		return err
 	}
@@ -56,9 +61,9 @@
 		return err
 	}
 	f.byName = make(map[string]*Process)
-	f.peers = make(map[string]string)
-	f.crashed = make(map[string]bool)
-	for _, start := range []func() error{f.startPlatform, f.startUpstreams, f.startInstances} {
+	f.peerAddresses = make(map[string]string)
+	f.terminated = make(map[string]bool)
+	for _, start := range []func() error{f.startPlatformServices, f.startUpstreams, f.startInstances} {
 		if err := start(); err != nil {
 			return err
 		}
@@ -69,6 +74,7 @@
 	return f.waitReady(ctx)
 }
 
+// launch registers a process under name and starts it.
 func (f *Fleet) launch(name, program, address string, args ...string) (*Process, error) {
 	p := &Process{
 		Name:    name,
@@ -81,9 +87,11 @@
 	return p, p.start()
 }
 
-func (f *Fleet) startPlatform() error {
+// startPlatformServices starts the stand-ins of the key-value service, the
+// instance list (roster) and the weight store.
+func (f *Fleet) startPlatformServices() error {
 	w := f.Scenario.Weights
-	for _, one := range []struct {
+	for _, service := range []struct {
 		name string
 		args []string
 	}{
@@ -105,29 +113,31 @@
 		if err != nil {
 			return err
 		}
-		args := append([]string{one.name, "--listen", address}, one.args...)
-		p, err := f.launch(one.name, "standin", address, args...)
+		args := append([]string{service.name, "--listen", address}, service.args...)
+		p, err := f.launch(service.name, "standin", address, args...)
 		if err != nil {
 			return err
 		}
-		f.platform = append(f.platform, p)
+		f.platformServices = append(f.platformServices, p)
 	}
 	return nil
 }
 
-// upstreamFile is the settings file of an upstream stand-in.
-type upstreamFile struct {
+// upstreamSettings is the content of the settings file of an upstream stand-in.
+type upstreamSettings struct {
 	Listen  string `json:"listen"`
 	Roster  string `json:"roster"`
 	Details any    `json:"details"`
 }
 
+// startUpstreams starts the engines and services of the scenario, spread over the
+// failure domains in turn.
 func (f *Fleet) startUpstreams() error {
 	for _, group := range f.Scenario.Engines {
 		for i := range group.Count {
 			details := *group.Engine
 			details.ID = fmt.Sprintf("%s-%d", details.Group, i+1)
-			details.FailureDomain = f.domain(i)
+			details.FailureDomain = f.failureDomain(i)
 			details.Weights = f.byName["weights"].Address
 			if err := f.startUpstream("engine", details.ID, details); err != nil {
 				return err
@@ -138,7 +148,7 @@
 		for i := range group.Count {
 			details := *group.Service
 			details.ID = fmt.Sprintf("%s-%d", details.Group, i+1)
-			details.FailureDomain = f.domain(i)
+			details.FailureDomain = f.failureDomain(i)
 			if err := f.startUpstream("service", details.ID, details); err != nil {
 				return err
 			}
@@ -147,7 +157,8 @@
 	return nil
 }
 
-func (f *Fleet) domain(i int) string {
+// failureDomain returns the failure domain of the i-th process of a kind.
+func (f *Fleet) failureDomain(i int) string {
 	return f.Scenario.FailureDomains[i%len(f.Scenario.FailureDomains)]
 }
 
@@ -156,7 +167,7 @@
 	if err != nil {
 		return err
 	}
-	path, err := f.write(name, upstreamFile{
+	path, err := f.writeSettings(name, upstreamSettings{
 		Listen:  address,
 		Roster:  f.byName["roster"].Address,
 		Details: details,
@@ -170,9 +181,11 @@
 	return err
 }
 
-// seedPeers is how many peers each instance is told of.
-const seedPeers = 3
+// seedPeerCount is how many peer addresses each instance has in its settings.
+const seedPeerCount = 3
 
+// startInstances starts the instances, named after their failure domain and a
+// number that counts from 1 in each domain.
 func (f *Fleet) startInstances() error {
 	n := f.Scenario.Instances
 	listen := make([]string, n)
@@ -187,14 +200,14 @@
 		}
 	}
 	for i := range n {
-		name := fmt.Sprintf("%s-%d", f.domain(i), i/len(f.Scenario.FailureDomains)+1)
-		path, err := f.write(name, setting.Instance{
+		name := fmt.Sprintf("%s-%d", f.failureDomain(i), i/len(f.Scenario.FailureDomains)+1)
+		path, err := f.writeSettings(name, setting.Instance{
 			Name:          name,
 			Region:        f.Scenario.Region,
-			FailureDomain: f.domain(i),
+			FailureDomain: f.failureDomain(i),
 			Listen:        listen[i],
 			PeerListen:    peers[i],
-			Peers:         peers[:min(seedPeers, n)],
+			Peers:         peers[:min(seedPeerCount, n)],
 			KeyValue: setting.Adapter{
 				Adapter: "http",
 				Address: f.byName["keyvalue"].Address,
@@ -213,13 +226,14 @@
 		if err != nil {
 			return err
 		}
-		f.peers[name] = peers[i]
+		f.peerAddresses[name] = peers[i]
 		f.Instances = append(f.Instances, p)
 	}
 	return nil
 }
 
-func (f *Fleet) write(name string, v any) (string, error) {
+// writeSettings writes v as JSON to a file in Folder and returns its path.
+func (f *Fleet) writeSettings(name string, v any) (string, error) {
 	data, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
 		return "", err
@@ -228,44 +242,46 @@
 	return path, os.WriteFile(path, data, 0o644)
 }
 
-// configure puts the configuration in force through one instance.
+// configure submits the configuration to the first instance, and retries until it
+// is accepted or readyTimeout has passed.
 func (f *Fleet) configure(ctx context.Context) error {
 	data, err := json.Marshal(f.Configuration)
 	if err != nil {
 		return err
 	}
-	var last error
-	end := f.Timer.Now().Add(readyTime)
+	var lastErr error
+	end := f.Timer.Now().Add(readyTimeout)
 	for f.Timer.Now() < end && ctx.Err() == nil {
-		last = client.Client{
+		lastErr = client.Client{
 			Address: f.Instances[0].Address,
 		}.Do(ctx, http.MethodPut, "/v1/configuration", operator.ChangeRequest{
 			ID:            "first",
 			Operator:      "load",
 			Configuration: data,
 		}, nil)
-		if last == nil {
+		if lastErr == nil {
 			return nil
 		}
-		timer.Wait(f.Timer, readyPeriod, ctx.Done())
+		timer.Wait(f.Timer, readyPollInterval, ctx.Done())
 	}
-	return fmt.Errorf("the configuration was not accepted: %w", last)
+	return fmt.Errorf("the configuration was not accepted: %w", lastErr)
 }
 
+// waitReady waits until every instance is ready, for at most readyTimeout in all.
 func (f *Fleet) waitReady(ctx context.Context) error {
-	end := f.Timer.Now().Add(readyTime)
+	end := f.Timer.Now().Add(readyTimeout)
 	for _, p := range f.Instances {
 		for !f.ready(p) {
-			if f.Timer.Now() >= end || !timer.Wait(f.Timer, readyPeriod, ctx.Done()) {
-				return fmt.Errorf("%s is not ready; its log in %s ends:\n%s", p.Name, f.Folder, p.tail())
+			if f.Timer.Now() >= end || !timer.Wait(f.Timer, readyPollInterval, ctx.Done()) {
+				return fmt.Errorf("instance %s is not ready; end of its log in %s:\n%s", p.Name, f.Folder, p.logTail())
 			}
 		}
 	}
 	return nil
 }
 
-// ready reports whether an instance has the configuration and sees upstreams
-// of every deployment.
+// ready reports whether an instance has a configuration in force and lists at
+// least as many upstreams as the fleet has.
 func (f *Fleet) ready(p *Process) bool {
 	var status operator.Status
 	err := client.Client{
@@ -274,7 +290,7 @@
 	return err == nil && status.Revision > 0 && len(status.Upstreams) >= len(f.Upstreams)
 }
 
-// Addresses returns the addresses of all instances.
+// Addresses returns the addresses of all instances, also of ended ones.
 func (f *Fleet) Addresses() []string {
 	list := make([]string, 0, len(f.Instances))
 	for _, p := range f.Instances {
@@ -283,11 +299,12 @@
 	return list
 }
 
-// Find returns the process called name.
+// Find returns the process with the given name, or nil.
 func (f *Fleet) Find(name string) *Process { return f.byName[name] }
 
-// Drain stops the instances gracefully and returns what went wrong. Those that
-// an event killed are not expected to end well.
+// Drain stops the instances gracefully and returns the errors of those that did
+// not exit cleanly. It resumes paused instances first, and ignores errors of
+// instances that an event or Kill has stopped.
 func (f *Fleet) Drain() []error {
 	for _, p := range f.Instances {
 		p.Signal(syscall.SIGCONT)
@@ -295,26 +312,27 @@
 	}
 	var errs []error
 	for _, p := range f.Instances {
-		if err := p.wait(f.Timer, stopTime); err != nil && !f.crashed[p.Name] {
+		if err := p.wait(f.Timer, stopTimeout); err != nil && !f.terminated[p.Name] {
 			errs = append(errs, err)
 		}
 	}
 	return errs
 }
 
-// Kill ends a process at once, as a crash would, and waits until it is gone.
+// Kill ends a process with SIGKILL, as a crash would, and waits until it has
+// ended.
 func (f *Fleet) Kill(p *Process) {
-	f.crashed[p.Name] = true
+	f.terminated[p.Name] = true
 	p.Signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Restart starts a process again that has ended.
+// Restart starts a process that has ended again, with the same arguments.
 func (f *Fleet) Restart(p *Process) error { return p.start() }
 
-// Stop ends all processes that still run.
+// Stop kills all processes that still run and releases the ports.
 func (f *Fleet) Stop() {
-	for _, list := range [][]*Process{f.Instances, f.Upstreams, f.platform} {
+	for _, list := range [][]*Process{f.Instances, f.Upstreams, f.platformServices} {
 		for _, p := range list {
 			if p.Alive() {
 				p.Signal(syscall.SIGKILL)
--- a/internal/load/fleet/process.go
+++ b/internal/load/fleet/process.go
@@ -11,11 +11,11 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// Process is one process of a fleet.
+// Process is one process of a fleet. It can be started again after it has ended.
 type Process struct {
 	Name    string
 	Address string
-	// Kind is engine or service for an upstream, or empty.
+	// Kind is "engine" or "service" for an upstream, and empty otherwise.
 	Kind string
 
 	path string
@@ -26,21 +26,22 @@
 	err  error
 }
 
-// Log returns the path of what the process printed.
+// Log returns the path of the file with the output of the process.
 func (p *Process) Log() string { return p.log }
 
-// tailBytes is how much of a log an error shows.
-const tailBytes = 2000
+// logTailBytes is how much of a log an error message contains.
+const logTailBytes = 2000
 
-// tail returns the end of what the process printed.
-func (p *Process) tail() string {
+// logTail returns the end of the log, or the error of reading it.
+func (p *Process) logTail() string {
 	data, err := os.ReadFile(p.log)
 	if err != nil {
 		return err.Error()
 	}
-	return string(data[max(0, len(data)-tailBytes):])
+	return string(data[max(0, len(data)-logTailBytes):])
 }
 
+// start starts the process and appends its output to the log.
 func (p *Process) start() error {
 	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -50,7 +51,7 @@
 	p.cmd.Stdout = log
 	p.cmd.Stderr = log
 	if err := p.cmd.Start(); err != nil {
-		return fmt.Errorf("%s: %w; build it first", filepath.Base(p.path), err)
+		return fmt.Errorf("starting %s: %w; build the program first", filepath.Base(p.path), err)
 	}
 	done := make(chan struct{})
 	p.done = done
@@ -62,14 +63,14 @@
 	return nil
 }
 
-// Signal sends a signal to the process.
+// Signal sends s to the process. Errors are ignored: the process may have ended.
 func (p *Process) Signal(s syscall.Signal) {
 	if p.cmd != nil && p.cmd.Process != nil {
 		_ = p.cmd.Process.Signal(s)
 	}
 }
 
-// Alive reports whether the process runs.
+// Alive reports whether the process is running.
 func (p *Process) Alive() bool {
 	if p.done == nil {
 		return false
@@ -82,19 +83,20 @@
 	}
 }
 
-// Err returns the error of a process that has ended.
+// Err returns the exit error of a process that has ended, or nil if it exited
+// with status 0.
 func (p *Process) Err() error { return p.err }
 
-// wait waits for the end of the process and kills it after most. It reports
-// whether it ended by itself without an error.
-func (p *Process) wait(clock timer.Service, most time.Duration) error {
+// wait waits until the process has ended and returns its exit error. After
+// timeout it kills the process and returns an error.
+func (p *Process) wait(clock timer.Service, timeout time.Duration) error {
 	if p.done == nil {
 		return nil
 	}
-	if timer.Wait(clock, most, p.done) {
+	if timer.Wait(clock, timeout, p.done) {
 		p.Signal(syscall.SIGKILL)
 		<-p.done
-		return fmt.Errorf("%s did not stop within %v", p.Name, most)
+		return fmt.Errorf("%s did not stop within %v", p.Name, timeout)
 	}
 	return p.err
 }
--- a/internal/load/link/link.go
+++ b/internal/load/link/link.go
@@ -10,45 +10,45 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// State is how a link carries bytes.
+// State is the condition of a link: whether and how it forwards bytes.
 type State int
 
 // The states of a link.
 const (
-	// Whole links carry bytes at once.
+	// Whole links forward bytes without delay.
 	Whole State = iota
-	// Slow links carry them late.
+	// Slow links forward bytes after slowDelay.
 	Slow
-	// SilentOut links carry nothing from the caller to the target.
+	// SilentOut links forward nothing from the caller to the target.
 	SilentOut
-	// SilentBack links carry nothing from the target to the caller.
+	// SilentBack links forward nothing from the target to the caller.
 	SilentBack
-	// Silent links carry nothing.
+	// Silent links forward nothing in either direction.
 	Silent
-	// Shut links break each new connection, and those that are open.
+	// Shut links reset open connections and each new one.
 	Shut
 )
 
-var names = [...]string{"whole", "slow", "silent_out", "silent_back", "silent", "shut"}
+var stateNames = [...]string{"whole", "slow", "silent_out", "silent_back", "silent", "shut"}
 
 // String returns the name of the state.
 func (s State) String() string {
-	if s < 0 || int(s) >= len(names) {
+	if s < 0 || int(s) >= len(stateNames) {
 		return "unknown"
 	}
-	return names[s]
+	return stateNames[s]
 }
 
-// The times of a link.
+// Times and sizes of a link.
 const (
-	// slowDelay is how late a slow link carries bytes, one way: fifty times the
-	// usual time between two failure domains.
-	slowDelay = 70 * time.Millisecond
-	dialTime  = time.Second
-	chunk     = 32 << 10
+	// slowDelay is the delay of a slow link in one direction: fifty times the
+	// usual delay between two failure domains.
+	slowDelay   = 70 * time.Millisecond
+	dialTimeout = time.Second
+	bufferBytes = 32 << 10
 )
 
-// Link is a proxy to one target.
+// Link is a TCP proxy to one target address.
 type Link struct {
 	target   string
 	listener net.Listener
@@ -60,7 +60,8 @@
 	closed  bool
 }
 
-// Open listens on a free loopback port and carries what comes there to target.
+// Open listens on a free loopback port and forwards connections to target. The
+// link is Whole at first.
 func Open(target string) (*Link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,14 +73,14 @@
 		changed:  make(chan struct{}),
 		conns:    make(map[net.Conn]bool),
 	}
-	go l.accept()
+	go l.acceptLoop()
 	return l, nil
 }
 
-// Address is where callers connect.
+// Address returns the address that callers connect to.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Set puts a state in force.
+// Set changes the state of the link. Shut also resets all open connections.
 func (l *Link) Set(s State) {
 	l.mu.Lock()
 	l.state = s
@@ -91,7 +92,7 @@
 	}
 }
 
-// Reset breaks all open connections, so that both ends see a reset.
+// Reset aborts all open connections, so that both ends see a TCP reset.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +101,7 @@
 	}
 }
 
-// Close ends the link with all its connections.
+// Close stops listening and resets all open connections.
 func (l *Link) Close() error {
 	l.mu.Lock()
 	l.closed = true
@@ -111,77 +112,84 @@
 	return l.listener.Close()
 }
 
-// abort closes a connection with a reset.
+// abort closes a connection with a TCP reset.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		// Without a wait for unsent bytes the close becomes a reset.
+		// With a linger time of 0, Close discards unsent bytes and sends a reset.
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-func (l *Link) accept() {
+// acceptLoop accepts connections until the listener is closed.
+func (l *Link) acceptLoop() {
 	for {
 		c, err := l.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err == nil {
-			go l.carry(c)
+			go l.proxyConn(c)
 		}
 	}
 }
 
-// look returns the state in force, and a channel that is closed at the next one.
-func (l *Link) look() (State, bool, <-chan struct{}) {
+// currentState returns the state, whether the link is closed, and a channel that
+// is closed at the next change of either.
+func (l *Link) currentState() (State, bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state, l.closed, l.changed
 }
 
-// hold keeps a connection among those that a reset breaks.
-func (l *Link) hold(c net.Conn) {
+// track adds a connection to those that Reset aborts.
+func (l *Link) track(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns[c] = true
 }
 
-func (l *Link) release(c net.Conn) {
+// untrackAndClose closes a connection that track was called for.
+func (l *Link) untrackAndClose(c net.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
 	_ = c.Close()
 }
 
-func (l *Link) carry(caller net.Conn) {
-	l.hold(caller)
-	defer l.release(caller)
-	if s, closed, _ := l.look(); s == Shut || closed {
+// proxyConn connects to the target and copies bytes in both directions until both
+// have ended. It aborts the caller's connection if the link is shut or closed, or
+// if the target can't be reached.
+func (l *Link) proxyConn(caller net.Conn) {
+	l.track(caller)
+	defer l.untrackAndClose(caller)
+	if s, closed, _ := l.currentState(); s == Shut || closed {
 		abort(caller)
 		return
 	}
-	target, err := net.DialTimeout("tcp", l.target, dialTime)
+	target, err := net.DialTimeout("tcp", l.target, dialTimeout)
 	if err != nil {
 		abort(caller)
 		return
 	}
-	l.hold(target)
-	defer l.release(target)
+	l.track(target)
+	defer l.untrackAndClose(target)
 	done := make(chan struct{}, 2)
-	go l.pump(caller, target, SilentOut, done)
-	go l.pump(target, caller, SilentBack, done)
+	go l.copyOneWay(caller, target, SilentOut, done)
+	go l.copyOneWay(target, caller, SilentBack, done)
 	<-done
 	<-done
 }
 
-// pump carries bytes one way. The way is held up while the link is silent or
-// silent this way.
-func (l *Link) pump(from, to net.Conn, silent State, done chan<- struct{}) {
+// copyOneWay copies bytes in one direction and sends to done when it ends. It
+// blocks while the state of the link is Silent or blockingState, the state that is
+// silent in this direction.
+func (l *Link) copyOneWay(from, to net.Conn, blockingState State, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
-	buf := make([]byte, chunk)
+	buf := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buf)
-		if !l.pass(silent) {
+		if !l.waitToForward(blockingState) {
 			abort(to)
 			return
 		}
@@ -204,14 +212,15 @@
 	}
 }
 
-// pass waits until bytes may go on, and reports false if they never may.
-func (l *Link) pass(silent State) bool {
+// waitToForward blocks while the link is silent in this direction, for slowDelay
+// while it is slow, and returns false if the link is shut or closed.
+func (l *Link) waitToForward(blockingState State) bool {
 	for {
-		s, closed, changed := l.look()
+		s, closed, changed := l.currentState()
 		switch {
 		case closed || s == Shut:
 			return false
-		case s == Silent || s == silent:
+		case s == Silent || s == blockingState:
 			<-changed
 		case s == Slow:
 			timer.Wait(timer.Real{}, slowDelay, changed)
--- a/internal/load/link/link_test.go
+++ b/internal/load/link/link_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// echo answers each byte with itself.
-func echo(t *testing.T) string {
+// startEchoServer starts a TCP echo server and returns its address.
+func startEchoServer(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -31,18 +31,19 @@
 	return ln.Addr().String()
 }
 
-// answered reports whether a byte comes back within a time.
-func answered(c net.Conn, within time.Duration) bool {
-	_ = c.SetReadDeadline(time.Now().Add(within))
+// receivesByte reports whether a byte arrives before timeout.
+func receivesByte(c net.Conn, timeout time.Duration) bool {
+	_ = c.SetReadDeadline(time.Now().Add(timeout))
 	_, err := io.ReadFull(c, make([]byte, 1))
 	return err == nil
 }
 
-// A partition looks like silence: nothing is closed, and what was held up arrives
-// when it ends. A reset breaks what is open, and new connections work.
-func TestLink(t *testing.T) {
+// Guards against a proxy that fails in another way than a network does: a silent
+// link must not close connections and must deliver the held bytes when it is
+// whole again; a reset must break open connections and let new ones work.
+func TestLinkStates(t *testing.T) {
 	is := is.New(t)
-	l, err := Open(echo(t))
+	l, err := Open(startEchoServer(t))
 	is.NoErr(err)
 	defer l.Close()
 	c, err := net.Dial("tcp", l.Address())
@@ -52,28 +53,28 @@
 		is.NoErr(err)
 	}
 	send()
-	is.True(answered(c, time.Second))
+	is.True(receivesByte(c, time.Second))
 	for _, s := range []State{Silent, SilentOut, SilentBack} {
 		l.Set(s)
 		send()
-		is.True(!answered(c, 50*time.Millisecond))
+		is.True(!receivesByte(c, 50*time.Millisecond))
 		l.Set(Whole)
-		is.True(answered(c, time.Second))
+		is.True(receivesByte(c, time.Second))
 	}
 	l.Set(Slow)
 	began := time.Now()
 	send()
-	is.True(answered(c, time.Second))
+	is.True(receivesByte(c, time.Second))
 	is.True(time.Since(began) >= slowDelay)
 	l.Set(Whole)
 	l.Reset()
-	is.True(!answered(c, time.Second))
+	is.True(!receivesByte(c, time.Second))
 	c, err = net.Dial("tcp", l.Address())
 	is.NoErr(err)
 	send()
-	is.True(answered(c, time.Second))
+	is.True(receivesByte(c, time.Second))
 	l.Set(Shut)
-	is.True(!answered(c, time.Second))
+	is.True(!receivesByte(c, time.Second))
 	is.Equal(Shut.String(), "shut")
 	is.Equal(State(99).String(), "unknown")
 }
--- a/internal/load/orders/load.go
+++ b/internal/load/orders/load.go
@@ -23,13 +23,13 @@
 
 // Bounds of the load.
 const (
-	// inFlightMost bounds the requests of one stream that wait at a time.
-	inFlightMost = 4000
-	// unreachedTries is how many instances are tried that don't answer.
-	unreachedTries = 6
-	// askAgain is how often a caller asks for the answer of a ticket whose
+	// maxInFlight bounds the requests of one stream that wait at a time.
+	maxInFlight = 4000
+	// maxInstanceAttempts is how many instances are tried that don't answer.
+	maxInstanceAttempts = 6
+	// maxTicketRetries is how often a caller asks for the answer of a ticket whose
 	// instance broke off.
-	askAgain = 3
+	maxTicketRetries = 3
 )
 
 // Load is one stream of requests. It needs Settings, Addresses and a Timer.
@@ -40,15 +40,15 @@
 	// Services are the addresses for direct requests.
 	Services []string
 
-	tally   *tally
-	http    *http.Client
+	recorder   *resultRecorder
+	httpClient    *http.Client
 	started timer.Instant
 }
 
 // Run sends requests until ctx ends and waits for all answers.
 func (l *Load) Run(ctx context.Context) Result {
-	l.tally = newTally(l.Settings.Caller)
-	l.http = &http.Client{
+	l.recorder = newResultRecorder(l.Settings.Caller)
+	l.httpClient = &http.Client{
 		Transport: &http.Transport{
 			MaxIdleConnsPerHost: 256,
 			IdleConnTimeout:     5 * time.Second,
@@ -58,31 +58,31 @@
 	r := rand.New(rand.NewPCG(l.Settings.Seed, 7))
 	due := l.started
 	var wg sync.WaitGroup
-	room := make(chan struct{}, inFlightMost)
+	slots := make(chan struct{}, maxInFlight)
 	for n := 0; ; n++ {
-		due = due.Add(l.gap(r, due))
+		due = due.Add(l.nextInterval(r, due))
 		if wait := due.Sub(l.Timer.Now()); wait > 0 && !timer.Wait(l.Timer, wait, ctx.Done()) {
 			break
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		room <- struct{}{}
+		slots <- struct{}{}
 		at := due
 		wg.Go(func() {
-			defer func() { <-room }()
-			l.one(n, at)
+			defer func() { <-slots }()
+			l.runRequest(n, at)
 		})
-		l.tally.mu.Lock()
-		l.tally.result.Sent++
-		l.tally.mu.Unlock()
+		l.recorder.mu.Lock()
+		l.recorder.result.Sent++
+		l.recorder.mu.Unlock()
 	}
 	wg.Wait()
-	return l.tally.close()
+	return l.recorder.finish()
 }
 
-// gap draws the time to the next arrival.
-func (l *Load) gap(r *rand.Rand, due timer.Instant) time.Duration {
+// nextInterval draws the time to the next arrival.
+func (l *Load) nextInterval(r *rand.Rand, due timer.Instant) time.Duration {
 	rate := l.Settings.PerSecond
 	at := due.Sub(l.started).Milliseconds()
 	if at >= l.Settings.BurstFromMS && at < l.Settings.BurstToMS {
@@ -91,8 +91,8 @@
 	return time.Duration(-math.Log(1-r.Float64()) / rate * float64(time.Second))
 }
 
-// one sends one request and sees it to its end.
-func (l *Load) one(n int, due timer.Instant) {
+// runRequest sends runRequest request and sees it to its end.
+func (l *Load) runRequest(n int, due timer.Instant) {
 	id := fmt.Sprintf("%s-%d-%d", l.Settings.Caller, l.Settings.Seed, n)
 	var err error
 	for try := 0; ; try++ {
@@ -108,68 +108,68 @@
 	}
 	took := l.Timer.Now().Sub(due)
 	switch {
-	case errors.Is(err, errMixedUp):
-		l.tally.mixedUp(id, err)
+	case errors.Is(err, errWrongAnswer):
+		l.recorder.recordMismatch(id, err)
 	case problem.From(err).Kind.Outcome == problem.NotRun:
-		l.tally.bad(id, refused, took, err)
+		l.recorder.recordFailure(id, outcomeRefused, took, err)
 	default:
-		l.tally.bad(id, unknown, took, err)
+		l.recorder.recordFailure(id, outcomeUnknown, took, err)
 	}
 }
 
-var errMixedUp = errors.New("the answer is not for this request")
+var errWrongAnswer = errors.New("the answer is not for this request")
 
-// errUnreached means that the request left for no instance.
-var errUnreached = problem.NoUpstream.Withf("no instance was reached")
+// errNoInstanceReached means that the request left for no instance.
+var errNoInstanceReached = problem.NoUpstream.Withf("no instance was reached")
 
 func (l *Load) send(id string, n int, due timer.Instant) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(l.Settings.DeadlineMS)*time.Millisecond+2*time.Second)
 	defer cancel()
 	if l.Settings.Kind == "model" {
-		return l.complete(ctx, id, n, due)
+		return l.sendCompletion(ctx, id, n, due)
 	}
 	if l.Settings.Direct {
-		return l.orderAt(ctx, l.Services[n%len(l.Services)], "/orders", "", id, due)
+		return l.sendOrderTo(ctx, l.Services[n%len(l.Services)], "/orders", "", id, due)
 	}
 	ticket := ""
-	for range unreachedTries {
+	for range maxInstanceAttempts {
 		address, err := l.Addresses.Pick(ctx)
 		if err != nil {
-			return errUnreached
+			return errNoInstanceReached
 		}
 		if !l.Settings.Idempotent {
-			ticket, err = l.ticket(ctx, address)
+			ticket, err = l.requestTicket(ctx, address)
 		}
 		if err == nil {
-			err = l.order(ctx, address, ticket, id, due)
+			err = l.sendOrder(ctx, address, ticket, id, due)
 		}
 		if client.NotReached(err) || problem.Is(err, problem.Leaving) {
 			l.Addresses.Failed(address)
 			continue
 		}
-		for range askAgain {
+		for range maxTicketRetries {
 			if !errors.Is(err, client.ErrNoAnswer) || ticket == "" {
 				break
 			}
-			err = l.again(ctx, address, ticket, id, due)
+			err = l.retryTicket(ctx, address, ticket, id, due)
 		}
 		return err
 	}
-	return errUnreached
+	return errNoInstanceReached
 }
 
-// again asks another instance for the answer of a ticket.
-func (l *Load) again(ctx context.Context, failed, ticket, id string, due timer.Instant) error {
+// retryTicket asks another instance for the answer of a ticket.
+func (l *Load) retryTicket(ctx context.Context, failed, ticket, id string, due timer.Instant) error {
 	l.Addresses.Failed(failed)
 	timer.Wait(l.Timer, 50*time.Millisecond, ctx.Done())
 	address, err := l.Addresses.Pick(ctx)
 	if err != nil {
 		return err
 	}
-	return l.order(ctx, address, ticket, id, due)
+	return l.sendOrder(ctx, address, ticket, id, due)
 }
 
-func (l *Load) client(address, id, ticket string) client.Client {
+func (l *Load) newClient(address, id, ticket string) client.Client {
 	h := make(http.Header)
 	h.Set(relay.HeaderCaller, l.Settings.Caller)
 	h.Set(relay.HeaderRequestID, id)
@@ -184,64 +184,64 @@
 	return client.Client{
 		Address: address,
 		Header:  h,
-		HTTP:    l.http,
+		HTTP:    l.httpClient,
 	}
 }
 
-func (l *Load) ticket(ctx context.Context, address string) (string, error) {
+func (l *Load) requestTicket(ctx context.Context, address string) (string, error) {
 	var answer struct {
 		Tickets []string `json:"tickets"`
 	}
-	if err := l.client(address, "", "").Do(ctx, http.MethodPost, "/v1/tickets", nil, &answer); err != nil {
+	if err := l.newClient(address, "", "").Do(ctx, http.MethodPost, "/v1/tickets", nil, &answer); err != nil {
 		return "", err
 	}
 	return answer.Tickets[0], nil
 }
 
-func (l *Load) order(ctx context.Context, address, ticket, id string, due timer.Instant) error {
-	return l.orderAt(ctx, address, "/v1/services/"+l.Settings.Deployment+"/orders", ticket, id, due)
+func (l *Load) sendOrder(ctx context.Context, address, ticket, id string, due timer.Instant) error {
+	return l.sendOrderTo(ctx, address, "/v1/services/"+l.Settings.Deployment+"/orders", ticket, id, due)
 }
 
-func (l *Load) orderAt(ctx context.Context, address, path, ticket, id string, due timer.Instant) error {
+func (l *Load) sendOrderTo(ctx context.Context, address, path, ticket, id string, due timer.Instant) error {
 	o := service.Order{
 		OrderID: id,
 		Detail:  "hide cut for " + id,
 	}
 	var answer service.Answer
-	h, err := l.client(address, id, ticket).DoHeader(ctx, http.MethodPost, path, o, &answer)
+	h, err := l.newClient(address, id, ticket).DoHeader(ctx, http.MethodPost, path, o, &answer)
 	if err != nil {
 		return err
 	}
 	if answer.OrderID != id || answer.Check != service.Check(o) {
-		return fmt.Errorf("%w: asked %s, got %s", errMixedUp, id, answer.OrderID)
+		return fmt.Errorf("%w: asked %s, got %s", errWrongAnswer, id, answer.OrderID)
 	}
-	l.good(id, h, due)
+	l.recordAnswer(id, h, due)
 	return nil
 }
 
-func (l *Load) good(id string, h http.Header, due timer.Instant) {
+func (l *Load) recordAnswer(id string, h http.Header, due timer.Instant) {
 	attempts, err := strconv.Atoi(h.Get(relay.HeaderAttempts))
 	if err != nil {
 		attempts = 1
 	}
 	now := l.Timer.Now()
-	l.tally.good(id, now.Sub(due), attempts, int(now.Sub(l.started)/time.Second))
+	l.recorder.recordAnswer(id, now.Sub(due), attempts, int(now.Sub(l.started)/time.Second))
 }
 
-func (l *Load) complete(ctx context.Context, id string, n int, due timer.Instant) error {
+func (l *Load) sendCompletion(ctx context.Context, id string, n int, due timer.Instant) error {
 	prompt := fmt.Sprintf("%s asks for label wording %d", l.Settings.Caller, n%l.Settings.Prompts)
 	body := caller.CompletionRequest{
 		Prompt:    prompt,
 		MaxTokens: l.Settings.MaxTokens,
 		Seed:      uint64(n),
 	}
-	for range unreachedTries {
+	for range maxInstanceAttempts {
 		address, err := l.Addresses.Pick(ctx)
 		if err != nil {
-			return errUnreached
+			return errNoInstanceReached
 		}
 		var answer caller.Completion
-		h, err := l.client(address, id, "").DoHeader(ctx, http.MethodPost, "/v1/models/"+l.Settings.Deployment+"/completions", body, &answer)
+		h, err := l.newClient(address, id, "").DoHeader(ctx, http.MethodPost, "/v1/models/"+l.Settings.Deployment+"/completions", body, &answer)
 		if errors.Is(err, client.ErrNoAnswer) && ctx.Err() == nil {
 			l.Addresses.Failed(address)
 			continue
@@ -249,14 +249,14 @@
 		if err != nil {
 			return err
 		}
-		truth, err := engine.Truth(prompt, uint64(n), answer.Text)
-		if err != nil || len(truth) != l.Settings.MaxTokens {
-			return fmt.Errorf("%w: %w", errMixedUp, err)
+		versions, err := engine.Truth(prompt, uint64(n), answer.Text)
+		if err != nil || len(versions) != l.Settings.MaxTokens {
+			return fmt.Errorf("%w: %w", errWrongAnswer, err)
 		}
-		l.good(id, h, due)
+		l.recordAnswer(id, h, due)
 		return nil
 	}
-	return errUnreached
+	return errNoInstanceReached
 }
 
 // Compare holds what callers were told against the runs that the services
@@ -276,15 +276,15 @@
 	if l.Settings.Kind == "model" {
 		return c
 	}
-	for id, told := range l.tally.outcome {
+	for id, reported := range l.recorder.outcomes {
 		n := runs[id]
 		if n > 1 && !l.Settings.Idempotent {
 			c.RunTwice++
 		}
-		if told == refused && n > 0 {
+		if reported == outcomeRefused && n > 0 {
 			c.RefusedRan++
 		}
-		if told == answered && n == 0 {
+		if reported == outcomeAnswered && n == 0 {
 			c.AnsweredNotRun++
 		}
 	}
--- a/internal/load/orders/result.go
+++ b/internal/load/orders/result.go
@@ -32,94 +32,94 @@
 }
 
 const (
-	highestMicros = 600_000_000
-	digits        = 3
-	faultsKept    = 5
+	maxLatencyMicros = 600_000_000
+	significantDigits        = 3
+	maxFaults    = 5
 )
 
-// tally collects results of concurrent requests.
-type tally struct {
+// resultRecorder collects results of concurrent requests.
+type resultRecorder struct {
 	mu       sync.Mutex
 	result   Result
-	answered *hdrhistogram.Histogram
-	refused  *hdrhistogram.Histogram
-	attempts int
-	outcome  map[string]outcome
+	answerLatency *hdrhistogram.Histogram
+	refusalLatency  *hdrhistogram.Histogram
+	totalAttempts int
+	outcomes  map[string]outcome
 }
 
 // outcome is what the caller of an order was told.
 type outcome int
 
 const (
-	answered outcome = iota
-	refused
-	unknown
+	outcomeAnswered outcome = iota
+	outcomeRefused
+	outcomeUnknown
 )
 
-func newTally(caller string) *tally {
-	return &tally{
+func newResultRecorder(caller string) *resultRecorder {
+	return &resultRecorder{
 		result: Result{
 			Caller: caller,
 		},
-		answered: hdrhistogram.New(1, highestMicros, digits),
-		refused:  hdrhistogram.New(1, highestMicros, digits),
-		outcome:  make(map[string]outcome),
+		answerLatency: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+		refusalLatency:  hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+		outcomes:  make(map[string]outcome),
 	}
 }
 
-func (t *tally) good(id string, took time.Duration, attempts, second int) {
+func (t *resultRecorder) recordAnswer(id string, took time.Duration, attempts, second int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.result.Answered++
-	t.attempts += attempts
-	t.outcome[id] = answered
-	_ = t.answered.RecordValue(took.Microseconds())
+	t.totalAttempts += attempts
+	t.outcomes[id] = outcomeAnswered
+	_ = t.answerLatency.RecordValue(took.Microseconds())
 	for len(t.result.PerSecond) <= second {
 		t.result.PerSecond = append(t.result.PerSecond, 0)
 	}
 	t.result.PerSecond[second]++
 }
 
-func (t *tally) bad(id string, o outcome, took time.Duration, err error) {
+func (t *resultRecorder) recordFailure(id string, o outcome, took time.Duration, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.outcome[id] = o
-	if err == errUnreached {
+	t.outcomes[id] = o
+	if err == errNoInstanceReached {
 		t.result.NoAnswer++
 	}
-	if o == refused {
+	if o == outcomeRefused {
 		t.result.Refused++
-		_ = t.refused.RecordValue(took.Microseconds())
+		_ = t.refusalLatency.RecordValue(took.Microseconds())
 		return
 	}
 	t.result.Unknown++
-	t.fault(err)
+	t.addFault(err)
 }
 
-func (t *tally) mixedUp(id string, err error) {
+func (t *resultRecorder) recordMismatch(id string, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.outcome[id] = answered
+	t.outcomes[id] = outcomeAnswered
 	t.result.MixedUp++
-	t.fault(err)
+	t.addFault(err)
 }
 
-func (t *tally) fault(err error) {
-	if len(t.result.Faults) < faultsKept {
+func (t *resultRecorder) addFault(err error) {
+	if len(t.result.Faults) < maxFaults {
 		t.result.Faults = append(t.result.Faults, fmt.Sprint(err))
 	}
 }
 
-func (t *tally) close() Result {
+func (t *resultRecorder) finish() Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.result
 	if r.Answered > 0 {
-		r.Attempts = float64(t.attempts) / float64(r.Answered)
+		r.Attempts = float64(t.totalAttempts) / float64(r.Answered)
 	}
-	r.P50MS = float64(t.answered.ValueAtQuantile(50)) / 1000
-	r.P99MS = float64(t.answered.ValueAtQuantile(99)) / 1000
-	r.P999MS = float64(t.answered.ValueAtQuantile(99.9)) / 1000
-	r.RefuseP99 = float64(t.refused.ValueAtQuantile(99)) / 1000
+	r.P50MS = float64(t.answerLatency.ValueAtQuantile(50)) / 1000
+	r.P99MS = float64(t.answerLatency.ValueAtQuantile(99)) / 1000
+	r.P999MS = float64(t.answerLatency.ValueAtQuantile(99.9)) / 1000
+	r.RefuseP99 = float64(t.refusalLatency.ValueAtQuantile(99)) / 1000
 	return r
 }
--- a/internal/load/port/port.go
+++ b/internal/load/port/port.go
@@ -13,7 +13,7 @@
 // between the moment a port is found free and the moment its process listens
 // there, a connection or another run could take it otherwise.
 const (
-	portFirst  = 10_000
+	firstPort  = 10_000
 	blockSize  = 500
 	blockCount = 40
 )
@@ -24,20 +24,20 @@
 // as the block is in use. Its zero value works.
 type Block struct {
 	mu   sync.Mutex
-	held net.Listener
+	reservation net.Listener
 	next int
-	last int
+	end int
 }
 
 // Free returns a loopback address that is free now and not given out yet.
 func (p *Block) Free() (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.held == nil && !p.take() {
+	if p.reservation == nil && !p.reserve() {
 		return "", errNoPort
 	}
-	for p.next < p.last {
-		address := loopback(p.next)
+	for p.next < p.end {
+		address := loopbackAddress(p.next)
 		p.next++
 		ln, err := net.Listen("tcp", address)
 		if err != nil {
@@ -49,16 +49,16 @@
 	return "", errNoPort
 }
 
-// take holds a block that nobody else has.
-func (p *Block) take() bool {
+// reserve holds a block that nobody else has.
+func (p *Block) reserve() bool {
 	for _, n := range rand.Perm(blockCount) {
-		first := portFirst + n*blockSize
-		ln, err := net.Listen("tcp", loopback(first))
+		first := firstPort + n*blockSize
+		ln, err := net.Listen("tcp", loopbackAddress(first))
 		if err != nil {
 			continue
 		}
-		p.held = ln
-		p.next, p.last = first+1, first+blockSize
+		p.reservation = ln
+		p.next, p.end = first+1, first+blockSize
 		return true
 	}
 	return false
@@ -68,10 +68,10 @@
 func (p *Block) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.held != nil {
-		_ = p.held.Close()
-		p.held = nil
+	if p.reservation != nil {
+		_ = p.reservation.Close()
+		p.reservation = nil
 	}
 }
 
-func loopback(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
+func loopbackAddress(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
--- a/internal/load/scenario/scenario.go
+++ b/internal/load/scenario/scenario.go
@@ -107,14 +107,14 @@
 	for _, c := range changes {
 		for i := range cfg.Deployments {
 			if cfg.Deployments[i].Name == c.Deployment {
-				c.apply(&cfg.Deployments[i])
+				c.applyTo(&cfg.Deployments[i])
 			}
 		}
 	}
 	return cfg
 }
 
-func (c Change) apply(d *configuration.Deployment) {
+func (c Change) applyTo(d *configuration.Deployment) {
 	if c.Policy != "" {
 		d.Policy = c.Policy
 	}
--- a/internal/load/storm/storm.go
+++ b/internal/load/storm/storm.go
@@ -10,7 +10,7 @@
 // Kind is a kind of fault.
 type Kind int
 
-// The kinds of faults. Those of instances have an instance as their target,
+// The kindCount of faults. Those of instances have an instance as their target,
 // those of engines an engine.
 const (
 	// Kill ends an instance without warning.
@@ -43,10 +43,10 @@
 	Configure
 	// Reload tells an instance that its settings changed.
 	Reload
-	kinds
+	kindCount
 )
 
-var names = [kinds]string{
+var kindNames = [kindCount]string{
 	"kill", "stop", "freeze", "service_down", "service_slow", "service_loses", "service_late", "service_forgets", "lease_ends",
 	"service_shuts", "service_silent", "service_reset", "engine_silent", "engine_slow", "engine_reset", "clients_reset",
 	"configure", "reload",
@@ -54,23 +54,23 @@
 
 // String returns the name of the kind.
 func (k Kind) String() string {
-	if k < 0 || k >= kinds {
+	if k < 0 || k >= kindCount {
 		return fmt.Sprintf("kind %d", int(k))
 	}
-	return names[k]
+	return kindNames[k]
 }
 
 // Kinds returns all kinds.
 func Kinds() []Kind {
-	list := make([]Kind, kinds)
+	list := make([]Kind, kindCount)
 	for i := range list {
 		list[i] = Kind(i)
 	}
 	return list
 }
 
-// ofEngine reports whether the target is an engine.
-func (k Kind) ofEngine() bool { return k >= EngineSilent && k <= EngineReset }
+// targetsEngine reports whether the target is an engine.
+func (k Kind) targetsEngine() bool { return k >= EngineSilent && k <= EngineReset }
 
 // Fault is one fault of a plan.
 type Fault struct {
@@ -88,34 +88,34 @@
 
 // The times of storms.
 const (
-	// first is when the first storm begins: everything works by then.
-	first = time.Second
-	// lasts is the longest time of a fault, spread the time within which those
+	// firstStormAt is when the firstStormAt storm begins: everything works by then.
+	firstStormAt = time.Second
+	// maxDuration is the longest time of a fault, spread the time within which those
 	// of a storm begin.
-	lasts  = 2500 * time.Millisecond
-	least  = 300 * time.Millisecond
-	spread = 1500 * time.Millisecond
+	maxDuration  = 2500 * time.Millisecond
+	minDuration  = 300 * time.Millisecond
+	startWindow = 1500 * time.Millisecond
 	// Calm is the time after a storm in which everything must come back.
 	Calm = 6 * time.Second
-	// most is how many faults a storm has.
-	most = 4
+	// maxFaults is how many faults a storm has.
+	maxFaults = 4
 )
 
 // Plan draws faults for a time, in order of their beginnings. The last ones end
 // Calm before it is over.
 func Plan(seed uint64, length time.Duration, instances, engines int) []Fault {
-	random := rand.New(rand.NewPCG(seed, 0x736f616b))
+	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	var plan []Fault
-	for begins := first; begins+spread+lasts+Calm <= length; begins += spread + lasts + Calm {
-		for range 2 + random.IntN(most-1) {
+	for stormStart := firstStormAt; stormStart+startWindow+maxDuration+Calm <= length; stormStart += startWindow + maxDuration + Calm {
+		for range 2 + rng.IntN(maxFaults-1) {
 			f := Fault{
-				Kind: Kind(random.IntN(int(kinds))),
-				At:   begins + time.Duration(random.Int64N(int64(spread))),
-				For:  least + time.Duration(random.Int64N(int64(lasts-least))),
+				Kind: Kind(rng.IntN(int(kindCount))),
+				At:   stormStart + time.Duration(rng.Int64N(int64(startWindow))),
+				For:  minDuration + time.Duration(rng.Int64N(int64(maxDuration-minDuration))),
 			}
-			f.Target = random.IntN(instances)
-			if f.Kind.ofEngine() {
-				f.Target = random.IntN(engines)
+			f.Target = rng.IntN(instances)
+			if f.Kind.targetsEngine() {
+				f.Target = rng.IntN(engines)
 			}
 			plan = append(plan, f)
 		}
