--- a/internal/load/addresses/book.go
+++ b/internal/load/addresses/book.go
@@ -14,24 +14,26 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
+// refreshTimeout limits the request to one instance.
 const refreshTimeout = 2 * time.Second
 
-// Book asks any instance for addresses and keeps the answer for as long as it
-// says. It needs Seeds and a Timer.
+// Book caches the addresses that a caller should use, for as long as the instance
+// that returned them allows. It needs Seeds and a Timer.
 type Book struct {
 	Caller        string
 	FailureDomain string
 	Seeds         []string
 	Timer         timer.Service
 
-	mu    sync.Mutex
-	addresses  []string
-	expires timer.Instant
-	next  int
+	mu        sync.Mutex
+	addresses []string
+	expires   timer.Instant
+	next      int
 }
 
-// Pick returns an address to use, and asks for new ones when the answer has
-// run out.
+// Pick returns the next address in turn. It asks for new addresses when it has
+// none or when they have expired, and keeps using expired ones if no instance
+// answers.
 func (b *Book) Pick(ctx context.Context) (string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,7 +46,7 @@
 	return b.addresses[b.next%len(b.addresses)], nil
 }
 
-// Failed takes an address out until the next answer.
+// Failed removes an address until the addresses are refreshed.
 func (b *Book) Failed(address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -56,7 +58,8 @@
 	}
 }
 
-// refresh tries the known addresses and then the seeds.
+// refresh asks the known addresses, and then the seeds in random order, until one
+// of them answers.
 func (b *Book) refresh(ctx context.Context) error {
 	candidates := append([]string(nil), b.addresses...)
 	for _, i := range rand.Perm(len(b.Seeds)) {
@@ -69,9 +72,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("no instance answers: %w", lastErr)
+	return fmt.Errorf("no instance returned addresses: %w", lastErr)
 }
 
+// refreshFrom replaces the addresses by the answer of the instance at address.
 func (b *Book) refreshFrom(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
--- a/internal/load/link/link.go
+++ b/internal/load/link/link.go
@@ -56,8 +56,9 @@
 	mu      sync.Mutex
 	state   State
 	changed chan struct{}
-	conns   map[net.Conn]bool
-	closed  bool
+	// conns holds the open connections to callers and to the target.
+	conns  map[net.Conn]bool
+	closed bool
 }
 
 // Open listens on a free loopback port and forwards connections to target. The
@@ -213,7 +214,8 @@
 }
 
 // waitToForward blocks while the link is silent in this direction, for slowDelay
-// while it is slow, and returns false if the link is shut or closed.
+// or until the next state change while it is slow, and returns false if the link
+// is shut or closed.
 func (l *Link) waitToForward(blockingState State) bool {
 	for {
 		s, closed, changed := l.currentState()
--- a/internal/load/orders/doc.go
+++ b/internal/load/orders/doc.go
@@ -1,8 +1,13 @@
-// Package orders sends requests to a fleet in an open loop.
+// Package orders is an open-loop load generator: it sends orders to plain
+// services and completions to models.
 //
-// Arrivals follow a clock and a seed, not the answers, so a slow fleet shows
-// in the latencies instead of slowing the load: each latency is counted from
-// the moment the request was due.
+// Arrival times depend on the clock and a seed, not on the answers, so a slow
+// fleet doesn't reduce the load. Each latency is measured from the time at which
+// the request was due, so it includes any delay in sending it.
+//
+// Settings describes a stream of requests, Load sends it, and Result holds what
+// the callers observed. Load.Check compares the outcomes with the runs that the
+// services recorded.
 //
 //	load := &orders.Load{Settings: settings, Addresses: book, Timer: timer.Real{}}
 //	result := load.Run(ctx)
--- a/internal/load/orders/load.go
+++ b/internal/load/orders/load.go
@@ -21,28 +21,29 @@
 	"github.com/egretbend/egretbend/internal/standin/service"
 )
 
-// Bounds of the load.
+// Limits of a stream of requests.
 const (
-	// maxInFlight bounds the requests of one stream that wait at a time.
+	// maxInFlight limits the concurrent requests of one stream.
 	maxInFlight = 4000
-	// maxInstanceAttempts is how many instances are tried that don't answer.
+	// maxInstanceAttempts is how many instances a request tries before it fails
+	// because none could be reached.
 	maxInstanceAttempts = 6
-	// maxTicketRetries is how often a caller asks for the answer of a ticket whose
-	// instance broke off.
+	// maxTicketRetries is how often a caller asks other instances for the answer
+	// of a ticket after the connection broke.
 	maxTicketRetries = 3
 )
 
-// Load is one stream of requests. It needs Settings, Addresses and a Timer.
+// Load sends one stream of requests. It needs Settings, Addresses and a Timer.
 type Load struct {
 	Settings  Settings
 	Addresses *addresses.Book
 	Timer     timer.Service
-	// Services are the addresses for direct requests.
+	// Services are the addresses of the services, used if Settings.Direct is set.
 	Services []string
 
 	recorder   *resultRecorder
-	httpClient    *http.Client
-	started timer.Instant
+	httpClient *http.Client
+	started    timer.Instant
 }
 
 // Run sends requests until ctx ends and waits for all answers.
@@ -81,7 +82,8 @@
 	return l.recorder.finish()
 }
 
-// nextInterval draws the time to the next arrival.
+// nextInterval draws the time to the next arrival from an exponential
+// distribution, with a higher or lower rate during the burst.
 func (l *Load) nextInterval(r *rand.Rand, due timer.Instant) time.Duration {
 	rate := l.Settings.PerSecond
 	at := due.Sub(l.started).Milliseconds()
@@ -91,7 +93,8 @@
 	return time.Duration(-math.Log(1-r.Float64()) / rate * float64(time.Second))
 }
 
-// runRequest sends runRequest request and sees it to its end.
+// runRequest sends the n-th request, retries it after refusals with a retry time,
+// and records its outcome. A request whose result is uncertain is not retried.
 func (l *Load) runRequest(n int, due timer.Instant) {
 	id := fmt.Sprintf("%s-%d-%d", l.Settings.Caller, l.Settings.Seed, n)
 	var err error
@@ -117,11 +120,16 @@
 	}
 }
 
-var errWrongAnswer = errors.New("the answer is not for this request")
+// errWrongAnswer means that the answer belongs to another request or is
+// incomplete.
+var errWrongAnswer = errors.New("answer does not match the request")
 
-// errNoInstanceReached means that the request left for no instance.
+// errNoInstanceReached means that no instance took or answered the request.
 var errNoInstanceReached = problem.NoUpstream.Withf("no instance was reached")
 
+// send sends a request once, through the first instance that can be reached and
+// is not shutting down. If the connection breaks, it asks other instances for the
+// answer of the ticket, up to maxTicketRetries times.
 func (l *Load) send(id string, n int, due timer.Instant) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(l.Settings.DeadlineMS)*time.Millisecond+2*time.Second)
 	defer cancel()
@@ -158,7 +166,8 @@
 	return errNoInstanceReached
 }
 
-// retryTicket asks another instance for the answer of a ticket.
+// retryTicket repeats an order with the same ticket at another instance, to get
+// the answer of the first attempt.
 func (l *Load) retryTicket(ctx context.Context, failed, ticket, id string, due timer.Instant) error {
 	l.Addresses.Failed(failed)
 	timer.Wait(l.Timer, 50*time.Millisecond, ctx.Done())
@@ -169,6 +178,7 @@
 	return l.sendOrder(ctx, address, ticket, id, due)
 }
 
+// newClient returns a client that sends the headers of a request.
 func (l *Load) newClient(address, id, ticket string) client.Client {
 	h := make(http.Header)
 	h.Set(relay.HeaderCaller, l.Settings.Caller)
@@ -188,6 +198,7 @@
 	}
 }
 
+// requestTicket gets a ticket from the instance at address.
 func (l *Load) requestTicket(ctx context.Context, address string) (string, error) {
 	var answer struct {
 		Tickets []string `json:"tickets"`
@@ -198,10 +209,13 @@
 	return answer.Tickets[0], nil
 }
 
+// sendOrder sends an order through the instance at address.
 func (l *Load) sendOrder(ctx context.Context, address, ticket, id string, due timer.Instant) error {
 	return l.sendOrderTo(ctx, address, "/v1/services/"+l.Settings.Deployment+"/orders", ticket, id, due)
 }
 
+// sendOrderTo sends an order to address, checks that the answer belongs to it, and
+// records the answer.
 func (l *Load) sendOrderTo(ctx context.Context, address, path, ticket, id string, due timer.Instant) error {
 	o := service.Order{
 		OrderID: id,
@@ -213,12 +227,14 @@
 		return err
 	}
 	if answer.OrderID != id || answer.Check != service.Check(o) {
-		return fmt.Errorf("%w: asked %s, got %s", errWrongAnswer, id, answer.OrderID)
+		return fmt.Errorf("%w: sent order %s, got the answer to %s", errWrongAnswer, id, answer.OrderID)
 	}
 	l.recordAnswer(id, h, due)
 	return nil
 }
 
+// recordAnswer records a correct answer with its latency, the attempts that the
+// header names, and the second of the run in which it came.
 func (l *Load) recordAnswer(id string, h http.Header, due timer.Instant) {
 	attempts, err := strconv.Atoi(h.Get(relay.HeaderAttempts))
 	if err != nil {
@@ -228,6 +244,8 @@
 	l.recorder.recordAnswer(id, now.Sub(due), attempts, int(now.Sub(l.started)/time.Second))
 }
 
+// sendCompletion sends a completion request and checks the text of the answer. It
+// tries up to maxInstanceAttempts instances, also after a broken connection.
 func (l *Load) sendCompletion(ctx context.Context, id string, n int, due timer.Instant) error {
 	prompt := fmt.Sprintf("%s asks for label wording %d", l.Settings.Caller, n%l.Settings.Prompts)
 	body := caller.CompletionRequest{
@@ -259,18 +277,19 @@
 	return errNoInstanceReached
 }
 
-// Compare holds what callers were told against the runs that the services
-// recorded.
+// Compare counts contradictions between the outcomes that callers were given and
+// the runs that the services recorded.
 type Compare struct {
-	// RunTwice are orders that ran more than once.
+	// RunTwice counts non-idempotent orders that ran more than once.
 	RunTwice int `json:"run_twice"`
-	// RefusedRan are orders that were told "not run" and ran.
+	// RefusedRan counts orders that were answered with "not run" and ran.
 	RefusedRan int `json:"refused_ran"`
-	// AnsweredNotRun are orders that were answered and never ran.
+	// AnsweredNotRun counts orders that were answered and never ran.
 	AnsweredNotRun int `json:"answered_not_run"`
 }
 
-// Check compares with the runs of all services.
+// Check compares the outcomes with runs, the number of runs by order ID over all
+// services. It checks nothing for a stream of completions.
 func (l *Load) Check(runs map[string]int) Compare {
 	var c Compare
 	if l.Settings.Kind == "model" {
--- a/internal/load/orders/result.go
+++ b/internal/load/orders/result.go
@@ -8,46 +8,49 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what the callers saw.
+// Result holds what the callers of one stream observed.
 type Result struct {
 	Caller   string `json:"caller"`
 	Sent     int    `json:"sent"`
 	Answered int    `json:"answered"`
-	// Refused were told that they were not run.
+	// Refused counts requests whose error says that they were not run.
 	Refused int `json:"refused"`
-	// Unknown were told that they may have been run.
+	// Unknown counts requests whose error says that they may have been run.
 	Unknown int `json:"unknown"`
-	// MixedUp got an answer that is not theirs or not whole.
+	// MixedUp counts requests with an answer that belongs to another request or
+	// is incomplete.
 	MixedUp int `json:"mixed_up"`
-	// NoAnswer found no instance that answered, at any address it was told.
+	// NoAnswer counts requests for which none of the known addresses had an
+	// instance that answered.
 	NoAnswer  int     `json:"no_answer"`
 	Attempts  float64 `json:"attempts_per_answer"`
 	P50MS     float64 `json:"p50_ms"`
 	P99MS     float64 `json:"p99_ms"`
 	P999MS    float64 `json:"p999_ms"`
 	RefuseP99 float64 `json:"refuse_p99_ms"`
-	// PerSecond holds the answers in each second of the run.
+	// PerSecond holds the number of answers in each second of the run.
 	PerSecond []int    `json:"per_second,omitempty"`
 	Faults    []string `json:"faults,omitempty"`
 }
 
+// Resolution of the latency histograms, and the limit of Result.Faults.
 const (
-	maxLatencyMicros = 600_000_000
-	significantDigits        = 3
-	maxFaults    = 5
+	maxLatencyMicros  = 600_000_000
+	significantDigits = 3
+	maxFaults         = 5
 )
 
-// resultRecorder collects results of concurrent requests.
+// resultRecorder collects the results of concurrent requests.
 type resultRecorder struct {
-	mu       sync.Mutex
-	result   Result
-	answerLatency *hdrhistogram.Histogram
-	refusalLatency  *hdrhistogram.Histogram
-	totalAttempts int
-	outcomes  map[string]outcome
+	mu             sync.Mutex
+	result         Result
+	answerLatency  *hdrhistogram.Histogram
+	refusalLatency *hdrhistogram.Histogram
+	totalAttempts  int
+	outcomes       map[string]outcome
 }
 
-// outcome is what the caller of an order was told.
+// outcome is what the answer to a request says about its execution.
 type outcome int
 
 const (
@@ -56,17 +59,19 @@
 	outcomeUnknown
 )
 
+// newResultRecorder returns an empty recorder for the requests of caller.
 func newResultRecorder(caller string) *resultRecorder {
 	return &resultRecorder{
 		result: Result{
 			Caller: caller,
 		},
-		answerLatency: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
-		refusalLatency:  hdrhistogram.New(1, maxLatencyMicros, significantDigits),
-		outcomes:  make(map[string]outcome),
+		answerLatency:  hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+		refusalLatency: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+		outcomes:       make(map[string]outcome),
 	}
 }
 
+// recordAnswer records a correct answer that came in the given second of the run.
 func (t *resultRecorder) recordAnswer(id string, took time.Duration, attempts, second int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,6 +85,7 @@
 	t.result.PerSecond[second]++
 }
 
+// recordFailure records an error. Only refusals count in the refusal latencies.
 func (t *resultRecorder) recordFailure(id string, o outcome, took time.Duration, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,6 +102,8 @@
 	t.addFault(err)
 }
 
+// recordMismatch records an answer that doesn't match its request. The request
+// counts as answered when it is compared with the recorded runs.
 func (t *resultRecorder) recordMismatch(id string, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,12 +112,14 @@
 	t.addFault(err)
 }
 
+// addFault keeps the text of err, unless there are maxFaults texts already.
 func (t *resultRecorder) addFault(err error) {
 	if len(t.result.Faults) < maxFaults {
 		t.result.Faults = append(t.result.Faults, fmt.Sprint(err))
 	}
 }
 
+// finish returns the result with its percentiles.
 func (t *resultRecorder) finish() Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/load/port/port.go
+++ b/internal/load/port/port.go
@@ -8,28 +8,30 @@
 	"sync"
 )
 
-// The ports that are given out lie below those that the system gives to
-// outgoing connections, and come from a block that one run has for itself:
-// between the moment a port is found free and the moment its process listens
-// there, a connection or another run could take it otherwise.
+// The ports lie below the range that the system assigns to outgoing connections,
+// and each run has a block of its own. Otherwise an outgoing connection or
+// another run could take a port after it was found free and before its process
+// listens there.
 const (
 	firstPort  = 10_000
 	blockSize  = 500
 	blockCount = 40
 )
 
-var errNoPort = errors.New("no free port was found; end other experiments on this machine")
+var errNoPort = errors.New("no free port found; stop other experiments on this machine")
 
-// Block gives out the ports of one block. The block's first port is held as long
-// as the block is in use. Its zero value works.
+// Block assigns the ports of one block. It listens on the first port of the block
+// until Release, which keeps other runs from using the block. The zero value is
+// ready to use.
 type Block struct {
-	mu   sync.Mutex
+	mu          sync.Mutex
 	reservation net.Listener
-	next int
-	end int
+	next        int
+	end         int
 }
 
-// Free returns a loopback address that is free now and not given out yet.
+// Free returns a loopback address whose port is free now and was not returned
+// before. The first call reserves a block.
 func (p *Block) Free() (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,7 +51,8 @@
 	return "", errNoPort
 }
 
-// reserve holds a block that nobody else has.
+// reserve reserves a random block that no other run uses, and reports whether it
+// found one.
 func (p *Block) reserve() bool {
 	for _, n := range rand.Perm(blockCount) {
 		first := firstPort + n*blockSize
@@ -64,7 +67,7 @@
 	return false
 }
 
-// Release gives the block back.
+// Release ends the reservation of the block.
 func (p *Block) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,4 +77,5 @@
 	}
 }
 
+// loopbackAddress returns the IPv4 loopback address with the given port.
 func loopbackAddress(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
--- a/internal/load/scenario/doc.go
+++ b/internal/load/scenario/doc.go
@@ -1,5 +1,6 @@
-// Package scenario describes an experiment: a fleet, its load, and the faults
-// to bring about and when.
+// Package scenario describes an experiment: a fleet, its load, and a schedule of
+// faults. Scenario is the whole description, Variant one configuration to compare
+// with others, and Event a fault or lifecycle action.
 //
 // A scenario is one JSON file. The same file and seed give the same arrivals,
 // lengths and faults:
--- a/internal/load/scenario/scenario.go
+++ b/internal/load/scenario/scenario.go
@@ -10,19 +10,20 @@
 	"github.com/egretbend/egretbend/internal/standin/trainer"
 )
 
-// Scenario is one experiment.
+// Scenario describes one experiment.
 type Scenario struct {
 	Name           string   `json:"name" need:"true"`
 	Seconds        int      `json:"seconds" default:"30" min:"1" max:"600"`
 	Region         string   `json:"region" default:"be-flanders"`
 	FailureDomains []string `json:"failure_domains" need:"true"`
-	// Instances are spread over the failure domains in turn.
+	// Instances is the number of instances. They are assigned to the failure
+	// domains in turn.
 	Instances int    `json:"instances" default:"18" min:"1" max:"200"`
 	LogLevel  string `json:"log_level" default:"info" oneof:"debug,info,warn,error"`
-	// Configuration is a file with the configuration, relative to the
-	// scenario's own folder.
+	// Configuration is the path of the configuration file, relative to the
+	// directory of the scenario file.
 	Configuration string `json:"configuration" need:"true"`
-	// Change is applied to the deployments of the configuration, by name.
+	// Change lists overrides of deployments in the configuration.
 	Change   []Change           `json:"change"`
 	Weights  Weights            `json:"weights"`
 	Engines  []Upstreams        `json:"engines"`
@@ -30,11 +31,12 @@
 	Orders   []orders.Settings  `json:"orders"`
 	Trainers []trainer.Settings `json:"trainers"`
 	Events   []Event            `json:"events"`
-	// Variants are run one after the other on the same seed.
+	// Variants are run one after the other with the same seeds.
 	Variants []Variant `json:"variants"`
 }
 
-// Change sets a field of a deployment.
+// Change overrides fields of the deployment with the given name. Empty and nil
+// fields are left as they are.
 type Change struct {
 	Deployment     string   `json:"deployment" need:"true"`
 	Policy         string   `json:"policy" default:""`
@@ -44,46 +46,50 @@
 	DropAfterMS    *float64 `json:"drop_after_ms"`
 }
 
-// Variant is one side of a comparison.
+// Variant is a named set of overrides that a scenario is run with, to compare it
+// with other variants.
 type Variant struct {
 	Name   string   `json:"name" need:"true"`
 	Change []Change `json:"change"`
-	// RunAhead overrides the trainers' run-ahead where it is set.
+	// RunAhead overrides the run-ahead of all trainers, if it is set.
 	RunAhead *float64 `json:"run_ahead"`
 }
 
-// Weights describe the weight store.
+// Weights holds the settings of the weight store: the fetches that may begin per
+// second, and the duration of a fetch.
 type Weights struct {
 	PerSecond float64 `json:"per_second" default:"20" min:"0.1"`
 	TookMS    int64   `json:"took_ms" default:"200" min:"0"`
 }
 
-// Upstreams are a number of upstreams of one kind.
+// Upstreams describes a number of upstreams with the same settings: engines or
+// services, depending on the list of the scenario that it stands in.
 type Upstreams struct {
 	Count   int               `json:"count" default:"10" min:"1" max:"200"`
 	Engine  *engine.Settings  `json:"engine"`
 	Service *service.Settings `json:"service"`
 }
 
-// Event brings something about at a moment of the run.
+// Event is an action on one or more processes at a given time of the run.
 type Event struct {
 	AtMS int64 `json:"at_ms" min:"0"`
-	// EveryMS repeats the event, if it is not zero.
+	// EveryMS is the interval at which the event repeats; 0 does not repeat it.
 	EveryMS int64 `json:"every_ms" default:"0" min:"0"`
 	// Target is the name of a process: an instance, an upstream, keyvalue,
-	// roster or weights. A trailing * stands for all that begin so, and "any"
-	// in place of the * for one of them in turn.
+	// roster or weights. A trailing * selects all processes whose name begins
+	// with the text before it; a trailing "any" selects one of them in turn.
 	Target string `json:"target" need:"true"`
 	// Action is fault, kill, restart, stop, freeze, thaw or leave.
 	Action string `json:"action" need:"true" oneof:"fault,kill,restart,stop,freeze,thaw,leave"`
-	// Fault is the body for the target's fault door.
+	// Fault is the body of the request to the target's fault endpoint.
 	Fault map[string]Value `json:"fault"`
 }
 
-// Value is any JSON number or boolean of a fault.
+// Value is the value of a fault field. Fields that are booleans on the wire are
+// written as 0 or 1.
 type Value float64
 
-// Body returns the fault as JSON.
+// Body returns the fault as JSON, with boolean fields as booleans.
 func (e Event) Body() []byte {
 	out := make(map[string]any, len(e.Fault))
 	for name, v := range e.Fault {
@@ -101,7 +107,8 @@
 	return b
 }
 
-// Apply returns the configuration with the changes made.
+// Apply returns a copy of cfg with changes applied to its deployments. Changes of
+// unknown deployments are ignored.
 func Apply(cfg configuration.Configuration, changes []Change) configuration.Configuration {
 	cfg.Deployments = append([]configuration.Deployment(nil), cfg.Deployments...)
 	for _, c := range changes {
@@ -114,6 +121,7 @@
 	return cfg
 }
 
+// applyTo overwrites the fields of d that c sets.
 func (c Change) applyTo(d *configuration.Deployment) {
 	if c.Policy != "" {
 		d.Policy = c.Policy
--- a/internal/load/storm/doc.go
+++ b/internal/load/storm/doc.go
@@ -1,9 +1,9 @@
-// Package storm draws plans of faults from a seed.
+// Package storm generates random fault plans for soak tests.
 //
 //	for _, f := range storm.Plan(seed, 30*time.Second, 5, 6) { ... }
 //
-// Faults come in storms: two to four of them within some seconds, which overlap
-// and may meet the same instance twice. Between two storms it is calm for long
-// enough to see whether everything came back. One seed gives the same plan each
-// time, on any machine.
+// A plan is a list of Fault values. Faults come in storms: two to four faults
+// within some seconds, which may overlap and may affect the same instance twice.
+// Calm is the pause after a storm, long enough to check that everything recovered.
+// One seed gives the same plan each time, on any machine.
 package storm
--- a/internal/load/storm/storm.go
+++ b/internal/load/storm/storm.go
@@ -7,41 +7,46 @@
 	"time"
 )
 
-// Kind is a kind of fault.
+// Kind is the type of a fault.
 type Kind int
 
-// The kindCount of faults. Those of instances have an instance as their target,
-// those of engines an engine.
+// The kinds of faults. The target of an EngineSilent, EngineSlow or EngineReset
+// fault is an engine; other faults that have a target affect an instance.
 const (
-	// Kill ends an instance without warning.
+	// Kill ends the process of an instance without a graceful shutdown.
 	Kill Kind = iota
-	// Stop ends an instance gracefully.
+	// Stop shuts an instance down gracefully.
 	Stop
-	// Freeze pauses an instance.
+	// Freeze pauses the process of an instance.
 	Freeze
 	// ServiceDown, ServiceSlow, ServiceLoses, ServiceLate and ServiceForgets
-	// concern the key-value service for all.
+	// affect the key-value service for all instances: calls fail, are slow, lose
+	// their answers or take effect late, or the service compacts its history.
 	ServiceDown
 	ServiceSlow
 	ServiceLoses
 	ServiceLate
 	ServiceForgets
-	// LeaseEnds takes the lease of an instance away.
+	// LeaseEnds ends the lease of an instance.
 	LeaseEnds
-	// ServiceShuts turns one instance away, ServiceSilent cuts its link without
-	// a word, ServiceReset breaks its connections.
+	// ServiceShuts, ServiceSilent and ServiceReset affect the link of one instance
+	// to the key-value service: it resets all connections while the fault lasts,
+	// forwards nothing without closing connections, or resets the open
+	// connections once.
 	ServiceShuts
 	ServiceSilent
 	ServiceReset
-	// EngineSilent, EngineSlow and EngineReset concern the link to one engine.
+	// EngineSilent, EngineSlow and EngineReset affect the link to one engine: its
+	// answers don't arrive, all bytes are delayed, or the open connections are
+	// reset once.
 	EngineSilent
 	EngineSlow
 	EngineReset
-	// ClientsReset breaks the connections of clients to an instance.
+	// ClientsReset resets the open connections of clients to an instance.
 	ClientsReset
 	// Configure changes the configuration.
 	Configure
-	// Reload tells an instance that its settings changed.
+	// Reload signals an instance to reload its settings.
 	Reload
 	kindCount
 )
@@ -52,7 +57,7 @@
 	"configure", "reload",
 }
 
-// String returns the name of the kind.
+// String returns the name of the kind in snake case.
 func (k Kind) String() string {
 	if k < 0 || k >= kindCount {
 		return fmt.Sprintf("kind %d", int(k))
@@ -69,40 +74,40 @@
 	return list
 }
 
-// targetsEngine reports whether the target is an engine.
+// targetsEngine reports whether Fault.Target is the number of an engine.
 func (k Kind) targetsEngine() bool { return k >= EngineSilent && k <= EngineReset }
 
 // Fault is one fault of a plan.
 type Fault struct {
 	Kind Kind
-	// At is when it begins, For how long it lasts.
+	// At is the time of the fault from the start of the plan, For its duration.
 	At, For time.Duration
-	// Target is the number of an instance or engine.
+	// Target is the index of an instance or engine, from 0.
 	Target int
 }
 
-// String returns the fault in a line.
+// String returns a one-line description of the fault.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s of %d at %s for %s", f.Kind, f.Target, f.At.Round(time.Millisecond), f.For.Round(time.Millisecond))
 }
 
-// The times of storms.
+// Times and sizes of storms.
 const (
-	// firstStormAt is when the firstStormAt storm begins: everything works by then.
+	// firstStormAt is when the first storm begins. Everything must work by then.
 	firstStormAt = time.Second
-	// maxDuration is the longest time of a fault, spread the time within which those
-	// of a storm begin.
-	maxDuration  = 2500 * time.Millisecond
-	minDuration  = 300 * time.Millisecond
+	// Each fault lasts from minDuration to maxDuration. The faults of a storm begin
+	// within startWindow.
+	maxDuration = 2500 * time.Millisecond
+	minDuration = 300 * time.Millisecond
 	startWindow = 1500 * time.Millisecond
-	// Calm is the time after a storm in which everything must come back.
+	// Calm is the time after a storm within which everything must recover.
 	Calm = 6 * time.Second
-	// maxFaults is how many faults a storm has.
+	// maxFaults is the highest number of faults in a storm.
 	maxFaults = 4
 )
 
-// Plan draws faults for a time, in order of their beginnings. The last ones end
-// Calm before it is over.
+// Plan returns the faults of a run of the given length, ordered by their start.
+// The last ones end at least Calm before the end of the run.
 func Plan(seed uint64, length time.Duration, instances, engines int) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	var plan []Fault
--- a/internal/load/storm/storm_test.go
+++ b/internal/load/storm/storm_test.go
@@ -7,8 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A failure is told by its seed. The seed must bring the same faults again, and
-// leave the calm in which recovery is judged.
+// A failure is reported by its seed. Guards against a plan that differs between
+// two runs of one seed, that leaves no time to check the recovery, or that never
+// contains some kind of fault.
 func TestPlan(t *testing.T) {
 	is := is.New(t)
 	a, b := Plan(7, time.Minute, 5, 6), Plan(7, time.Minute, 5, 6)
