--- a/internal/load/experiment/configuration_test.go
+++ b/internal/load/experiment/configuration_test.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// startFleet starts a fleet without load and stops it at the end of the test.
+// startFleet starts a fleet without load and stops it at the end of the test. It
+// marks the test as parallel and waits for one of fleetSlots.
 func startFleet(t *testing.T, name string) *fleet.Fleet {
 	t.Helper()
 	t.Parallel()
--- a/internal/load/experiment/proof_test.go
+++ b/internal/load/experiment/proof_test.go
@@ -211,7 +211,7 @@
 }
 
 // Guards against samples that become ever older and requests that are cut off
-// while the key-value service is down. The outage begins in the first second and
+// while the key-value service is down. The outage begins one second into the run and
 // lasts longer than any lease, and an instance restarts during it. Requests,
 // samples and weight versions must continue.
 func TestKeyValueServiceDown(t *testing.T) {
@@ -252,8 +252,9 @@
 }
 
 // Guards against samples whose recorded weight versions differ from those that
-// generated the text. Engines break streams, answer with the output of other
-// attempts, crash and restart with old weights, and fail to switch versions.
+// generated the text. Engines break streams, name other attempts in streams, crash
+// and restart with old weights, and report errors for version switches that may
+// have taken effect.
 func TestBrokenEngines(t *testing.T) {
 	events := []scenario.Event{
 		faultEvent(1000, "sampler-1", map[string]scenario.Value{"break_share": 0.3}),
@@ -293,7 +294,7 @@
 }
 
 // Guards against violated guarantees when a failure domain is lost: its
-// instances, an engine and a service are killed at the same moment.
+// instances, its engine and its service are killed at the same moment.
 func TestFailureDomainGone(t *testing.T) {
 	runScenario(t, smallScenario("domain",
 		eventAt(3000, "gent-a-*", "kill"),
--- a/internal/load/experiment/swaps.go
+++ b/internal/load/experiment/swaps.go
@@ -53,7 +53,8 @@
 }
 
 // poll asks every engine for its version and completes the measurements of
-// versions that all engines that answered have reached.
+// versions that all engines have reached. Upstreams that don't answer or report no
+// version are skipped.
 func (s *swapTracker) poll(f *fleet.Fleet) {
 	var oldest version.Version
 	first := true
--- a/internal/load/fleet/fleet.go
+++ b/internal/load/fleet/fleet.go
@@ -41,7 +41,8 @@
 	platformServices []*Process
 	byName           map[string]*Process
 	peerAddresses    map[string]string
-	// nextMatch is the turn of each event target that ends with "any".
+	// nextMatch counts the uses of each event target that ends with "any", to
+	// select its matching processes in turn.
 	nextMatch map[string]int
 	// terminated marks the processes that an event or Kill has stopped. Drain
 	// ignores their exit errors.
@@ -303,8 +304,8 @@
 func (f *Fleet) Find(name string) *Process { return f.byName[name] }
 
 // Drain stops the instances gracefully and returns the errors of those that did
-// not exit cleanly. It resumes paused instances first, and ignores errors of
-// instances that an event or Kill has stopped.
+// not exit cleanly within stopTimeout. It resumes paused instances first, and
+// ignores errors of instances that an event or Kill has stopped.
 func (f *Fleet) Drain() []error {
 	for _, p := range f.Instances {
 		p.Signal(syscall.SIGCONT)
@@ -327,7 +328,7 @@
 	<-p.done
 }
 
-// Restart starts a process that has ended again, with the same arguments.
+// Restart starts an ended process again, with the same arguments.
 func (f *Fleet) Restart(p *Process) error { return p.start() }
 
 // Stop kills all processes that still run and releases the ports.
--- a/internal/load/orders/load.go
+++ b/internal/load/orders/load.go
@@ -93,8 +93,9 @@
 	return time.Duration(-math.Log(1-r.Float64()) / rate * float64(time.Second))
 }
 
-// runRequest sends the n-th request, retries it after refusals with a retry time,
-// and records its outcome. A request whose result is uncertain is not retried.
+// runRequest sends the n-th request and records its outcome. It repeats the request
+// up to Settings.Retries times if the error says that it was not run and names a
+// retry time.
 func (l *Load) runRequest(n int, due timer.Instant) {
 	id := fmt.Sprintf("%s-%d-%d", l.Settings.Caller, l.Settings.Seed, n)
 	var err error
--- a/internal/load/orders/result.go
+++ b/internal/load/orders/result.go
@@ -29,8 +29,10 @@
 	P999MS    float64 `json:"p999_ms"`
 	RefuseP99 float64 `json:"refuse_p99_ms"`
 	// PerSecond holds the number of answers in each second of the run.
-	PerSecond []int    `json:"per_second,omitempty"`
-	Faults    []string `json:"faults,omitempty"`
+	PerSecond []int `json:"per_second,omitempty"`
+	// Faults holds the first errors of requests with an unknown outcome or a wrong
+	// answer, at most maxFaults.
+	Faults []string `json:"faults,omitempty"`
 }
 
 // Resolution of the latency histograms, and the limit of Result.Faults.
