--- a/internal/load/orders/load.go
+++ b/internal/load/orders/load.go
@@ -21,34 +21,35 @@
 	"github.com/egretbend/egretbend/internal/standin/service"
 )
 
-// Bounds of the load.
+// Limits of a stream of requests.
 const (
-	// inFlightMost bounds the requests of one stream that wait at a time.
-	inFlightMost = 4000
-	// unreachedTries is how many instances are tried that don't answer.
-	unreachedTries = 6
-	// askAgain is how often a caller asks for the answer of a ticket whose
-	// instance broke off.
-	askAgain = 3
+	// maxInFlight limits the concurrent requests of one stream.
+	maxInFlight = 4000
+	// maxInstanceAttempts is how many instances a request tries before it fails
+	// because none could be reached.
+	maxInstanceAttempts = 6
+	// maxTicketRetries is how often a caller asks other instances for the answer
+	// of a ticket after the connection broke.
+	maxTicketRetries = 3
 )
 
-// Load is one stream of requests. It needs Settings, Addresses and a Timer.
+// Load sends one stream of requests. It needs Settings, Addresses and a Timer.
 type Load struct {
 	Settings  Settings
 	Addresses *addresses.Book
 	Timer     timer.Service
-	// Services are the addresses for direct requests.
+	// Services are the addresses of the services, used if Settings.Direct is set.
 	Services []string
 
-	tally   *tally
-	http    *http.Client
-	started timer.Instant
+	recorder   *resultRecorder
+	httpClient *http.Client
+	started    timer.Instant
 }
 
 // Run sends requests until ctx ends and waits for all answers.
 func (l *Load) Run(ctx context.Context) Result {
-	l.tally = newTally(l.Settings.Caller)
-	l.http = &http.Client{
+	l.recorder = newResultRecorder(l.Settings.Caller)
+	l.httpClient = &http.Client{
 		Transport: &http.Transport{
 			MaxIdleConnsPerHost: 256,
 			IdleConnTimeout:     5 * time.Second,
@@ -58,31 +59,32 @@
 	r := rand.New(rand.NewPCG(l.Settings.Seed, 7))
 	due := l.started
 	var wg sync.WaitGroup
-	room := make(chan struct{}, inFlightMost)
+	slots := make(chan struct{}, maxInFlight)
 	for n := 0; ; n++ {
-		due = due.Add(l.gap(r, due))
+		due = due.Add(l.nextInterval(r, due))
 		if wait := due.Sub(l.Timer.Now()); wait > 0 && !timer.Wait(l.Timer, wait, ctx.Done()) {
 			break
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		room <- struct{}{}
+		slots <- struct{}{}
 		at := due
 		wg.Go(func() {
-			defer func() { <-room }()
-			l.one(n, at)
+			defer func() { <-slots }()
+			l.runRequest(n, at)
 		})
-		l.tally.mu.Lock()
-		l.tally.result.Sent++
-		l.tally.mu.Unlock()
+		l.recorder.mu.Lock()
+		l.recorder.result.Sent++
+		l.recorder.mu.Unlock()
 	}
 	wg.Wait()
-	return l.tally.close()
+	return l.recorder.finish()
 }
 
-// gap draws the time to the next arrival.
-func (l *Load) gap(r *rand.Rand, due timer.Instant) time.Duration {
+// nextInterval draws the time to the next arrival from an exponential
+// distribution, with a higher or lower rate during the burst.
+func (l *Load) nextInterval(r *rand.Rand, due timer.Instant) time.Duration {
 	rate := l.Settings.PerSecond
 	at := due.Sub(l.started).Milliseconds()
 	if at >= l.Settings.BurstFromMS && at < l.Settings.BurstToMS {
@@ -91,8 +93,10 @@
 	return time.Duration(-math.Log(1-r.Float64()) / rate * float64(time.Second))
 }
 
-// one sends one request and sees it to its end.
-func (l *Load) one(n int, due timer.Instant) {
+// runRequest sends the n-th request and records its outcome. It repeats the request
+// up to Settings.Retries times if the error says that it was not run and names a
+// retry time.
+func (l *Load) runRequest(n int, due timer.Instant) {
 	id := fmt.Sprintf("%s-%d-%d", l.Settings.Caller, l.Settings.Seed, n)
 	var err error
 	for try := 0; ; try++ {
@@ -108,68 +112,75 @@
 	}
 	took := l.Timer.Now().Sub(due)
 	switch {
-	case errors.Is(err, errMixedUp):
-		l.tally.mixedUp(id, err)
+	case errors.Is(err, errWrongAnswer):
+		l.recorder.recordMismatch(id, err)
 	case problem.From(err).Kind.Outcome == problem.NotRun:
-		l.tally.bad(id, refused, took, err)
+		l.recorder.recordFailure(id, outcomeRefused, took, err)
 	default:
-		l.tally.bad(id, unknown, took, err)
+		l.recorder.recordFailure(id, outcomeUnknown, took, err)
 	}
 }
 
-var errMixedUp = errors.New("the answer is not for this request")
+// errWrongAnswer means that the answer belongs to another request or is
+// incomplete.
+var errWrongAnswer = errors.New("answer does not match the request")
 
-// errUnreached means that the request left for no instance.
-var errUnreached = problem.NoUpstream.Withf("no instance was reached")
+// errNoInstanceReached means that no instance took or answered the request.
+var errNoInstanceReached = problem.NoUpstream.Withf("no instance was reached")
 
+// send sends a request once, through the first instance that can be reached and
+// is not shutting down. If the connection breaks, it asks other instances for the
+// answer of the ticket, up to maxTicketRetries times.
 func (l *Load) send(id string, n int, due timer.Instant) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(l.Settings.DeadlineMS)*time.Millisecond+2*time.Second)
 	defer cancel()
 	if l.Settings.Kind == "model" {
-		return l.complete(ctx, id, n, due)
+		return l.sendCompletion(ctx, id, n, due)
 	}
 	if l.Settings.Direct {
-		return l.orderAt(ctx, l.Services[n%len(l.Services)], "/orders", "", id, due)
+		return l.sendOrderTo(ctx, l.Services[n%len(l.Services)], "/orders", "", id, due)
 	}
 	ticket := ""
-	for range unreachedTries {
+	for range maxInstanceAttempts {
 		address, err := l.Addresses.Pick(ctx)
 		if err != nil {
-			return errUnreached
+			return errNoInstanceReached
 		}
 		if !l.Settings.Idempotent {
-			ticket, err = l.ticket(ctx, address)
+			ticket, err = l.requestTicket(ctx, address)
 		}
 		if err == nil {
-			err = l.order(ctx, address, ticket, id, due)
+			err = l.sendOrder(ctx, address, ticket, id, due)
 		}
 		if client.IsDialError(err) || problem.Is(err, problem.Leaving) {
 			l.Addresses.Failed(address)
 			continue
 		}
-		for range askAgain {
+		for range maxTicketRetries {
 			if !errors.Is(err, client.ErrNoAnswer) || ticket == "" {
 				break
 			}
-			err = l.again(ctx, address, ticket, id, due)
+			err = l.retryTicket(ctx, address, ticket, id, due)
 		}
 		return err
 	}
-	return errUnreached
+	return errNoInstanceReached
 }
 
-// again asks another instance for the answer of a ticket.
-func (l *Load) again(ctx context.Context, failed, ticket, id string, due timer.Instant) error {
+// retryTicket repeats an order with the same ticket at another instance, to get
+// the answer of the first attempt.
+func (l *Load) retryTicket(ctx context.Context, failed, ticket, id string, due timer.Instant) error {
 	l.Addresses.Failed(failed)
 	timer.Wait(l.Timer, 50*time.Millisecond, ctx.Done())
 	address, err := l.Addresses.Pick(ctx)
 	if err != nil {
 		return err
 	}
-	return l.order(ctx, address, ticket, id, due)
+	return l.sendOrder(ctx, address, ticket, id, due)
 }
 
-func (l *Load) client(address, id, ticket string) client.Client {
+// newClient returns a client that sends the headers of a request.
+func (l *Load) newClient(address, id, ticket string) client.Client {
 	h := make(http.Header)
 	h.Set(relay.HeaderCaller, l.Settings.Caller)
 	h.Set(relay.HeaderRequestID, id)
@@ -184,64 +195,72 @@
 	return client.Client{
 		Address: address,
 		Header:  h,
-		HTTP:    l.http,
+		HTTP:    l.httpClient,
 	}
 }
 
-func (l *Load) ticket(ctx context.Context, address string) (string, error) {
+// requestTicket gets a ticket from the instance at address.
+func (l *Load) requestTicket(ctx context.Context, address string) (string, error) {
 	var answer struct {
 		Tickets []string `json:"tickets"`
 	}
-	if err := l.client(address, "", "").Do(ctx, http.MethodPost, "/v1/tickets", nil, &answer); err != nil {
+	if err := l.newClient(address, "", "").Do(ctx, http.MethodPost, "/v1/tickets", nil, &answer); err != nil {
 		return "", err
 	}
 	return answer.Tickets[0], nil
 }
 
-func (l *Load) order(ctx context.Context, address, ticket, id string, due timer.Instant) error {
-	return l.orderAt(ctx, address, "/v1/services/"+l.Settings.Deployment+"/orders", ticket, id, due)
+// sendOrder sends an order through the instance at address.
+func (l *Load) sendOrder(ctx context.Context, address, ticket, id string, due timer.Instant) error {
+	return l.sendOrderTo(ctx, address, "/v1/services/"+l.Settings.Deployment+"/orders", ticket, id, due)
 }
 
-func (l *Load) orderAt(ctx context.Context, address, path, ticket, id string, due timer.Instant) error {
+// sendOrderTo sends an order to address, checks that the answer belongs to it, and
+// records the answer.
+func (l *Load) sendOrderTo(ctx context.Context, address, path, ticket, id string, due timer.Instant) error {
 	o := service.Order{
 		OrderID: id,
 		Detail:  "hide cut for " + id,
 	}
 	var answer service.Answer
-	h, err := l.client(address, id, ticket).DoHeader(ctx, http.MethodPost, path, o, &answer)
+	h, err := l.newClient(address, id, ticket).DoHeader(ctx, http.MethodPost, path, o, &answer)
 	if err != nil {
 		return err
 	}
 	if answer.OrderID != id || answer.Check != service.Check(o) {
-		return fmt.Errorf("%w: asked %s, got %s", errMixedUp, id, answer.OrderID)
+		return fmt.Errorf("%w: sent order %s, got the answer to %s", errWrongAnswer, id, answer.OrderID)
 	}
-	l.good(id, h, due)
+	l.recordAnswer(id, h, due)
 	return nil
 }
 
-func (l *Load) good(id string, h http.Header, due timer.Instant) {
+// recordAnswer records a correct answer with its latency, the attempts that the
+// header names, and the second of the run in which it came.
+func (l *Load) recordAnswer(id string, h http.Header, due timer.Instant) {
 	attempts, err := strconv.Atoi(h.Get(relay.HeaderAttempts))
 	if err != nil {
 		attempts = 1
 	}
 	now := l.Timer.Now()
-	l.tally.good(id, now.Sub(due), attempts, int(now.Sub(l.started)/time.Second))
+	l.recorder.recordAnswer(id, now.Sub(due), attempts, int(now.Sub(l.started)/time.Second))
 }
 
-func (l *Load) complete(ctx context.Context, id string, n int, due timer.Instant) error {
+// sendCompletion sends a completion request and checks the text of the answer. It
+// tries up to maxInstanceAttempts instances, also after a broken connection.
+func (l *Load) sendCompletion(ctx context.Context, id string, n int, due timer.Instant) error {
 	prompt := fmt.Sprintf("%s asks for label wording %d", l.Settings.Caller, n%l.Settings.Prompts)
 	body := caller.CompletionRequest{
 		Prompt:    prompt,
 		MaxTokens: l.Settings.MaxTokens,
 		Seed:      uint64(n),
 	}
-	for range unreachedTries {
+	for range maxInstanceAttempts {
 		address, err := l.Addresses.Pick(ctx)
 		if err != nil {
-			return errUnreached
+			return errNoInstanceReached
 		}
 		var answer caller.Completion
-		h, err := l.client(address, id, "").DoHeader(ctx, http.MethodPost, "/v1/models/"+l.Settings.Deployment+"/completions", body, &answer)
+		h, err := l.newClient(address, id, "").DoHeader(ctx, http.MethodPost, "/v1/models/"+l.Settings.Deployment+"/completions", body, &answer)
 		if errors.Is(err, client.ErrNoAnswer) && ctx.Err() == nil {
 			l.Addresses.Failed(address)
 			continue
@@ -249,42 +268,43 @@
 		if err != nil {
 			return err
 		}
-		truth, err := engine.VerifyText(prompt, uint64(n), answer.Text)
-		if err != nil || len(truth) != l.Settings.MaxTokens {
-			return fmt.Errorf("%w: %w", errMixedUp, err)
+		versions, err := engine.VerifyText(prompt, uint64(n), answer.Text)
+		if err != nil || len(versions) != l.Settings.MaxTokens {
+			return fmt.Errorf("%w: %w", errWrongAnswer, err)
 		}
-		l.good(id, h, due)
+		l.recordAnswer(id, h, due)
 		return nil
 	}
-	return errUnreached
+	return errNoInstanceReached
 }
 
-// Compare holds what callers were told against the runs that the services
-// recorded.
+// Compare counts contradictions between the outcomes that callers were given and
+// the runs that the services recorded.
 type Compare struct {
-	// RunTwice are orders that ran more than once.
+	// RunTwice counts non-idempotent orders that ran more than once.
 	RunTwice int `json:"run_twice"`
-	// RefusedRan are orders that were told "not run" and ran.
+	// RefusedRan counts orders that were answered with "not run" and ran.
 	RefusedRan int `json:"refused_ran"`
-	// AnsweredNotRun are orders that were answered and never ran.
+	// AnsweredNotRun counts orders that were answered and never ran.
 	AnsweredNotRun int `json:"answered_not_run"`
 }
 
-// Check compares with the runs of all services.
+// Check compares the outcomes with runs, the number of runs by order ID over all
+// services. It checks nothing for a stream of completions.
 func (l *Load) Check(runs map[string]int) Compare {
 	var c Compare
 	if l.Settings.Kind == "model" {
 		return c
 	}
-	for id, told := range l.tally.outcome {
+	for id, reported := range l.recorder.outcomes {
 		n := runs[id]
 		if n > 1 && !l.Settings.Idempotent {
 			c.RunTwice++
 		}
-		if told == refused && n > 0 {
+		if reported == outcomeRefused && n > 0 {
 			c.RefusedRan++
 		}
-		if told == answered && n == 0 {
+		if reported == outcomeAnswered && n == 0 {
 			c.AnsweredNotRun++
 		}
 	}
--- a/internal/load/orders/result.go
+++ b/internal/load/orders/result.go
@@ -8,118 +8,130 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what the callers saw.
+// Result holds what the callers of one stream observed.
 type Result struct {
 	Caller   string `json:"caller"`
 	Sent     int    `json:"sent"`
 	Answered int    `json:"answered"`
-	// Refused were told that they were not run.
+	// Refused counts requests whose error says that they were not run.
 	Refused int `json:"refused"`
-	// Unknown were told that they may have been run.
+	// Unknown counts requests whose error says that they may have been run.
 	Unknown int `json:"unknown"`
-	// MixedUp got an answer that is not theirs or not whole.
+	// MixedUp counts requests with an answer that belongs to another request or
+	// is incomplete.
 	MixedUp int `json:"mixed_up"`
-	// NoAnswer found no instance that answered, at any address it was told.
+	// NoAnswer counts requests for which none of the known addresses had an
+	// instance that answered.
 	NoAnswer  int     `json:"no_answer"`
 	Attempts  float64 `json:"attempts_per_answer"`
 	P50MS     float64 `json:"p50_ms"`
 	P99MS     float64 `json:"p99_ms"`
 	P999MS    float64 `json:"p999_ms"`
 	RefuseP99 float64 `json:"refuse_p99_ms"`
-	// PerSecond holds the answers in each second of the run.
-	PerSecond []int    `json:"per_second,omitempty"`
-	Faults    []string `json:"faults,omitempty"`
+	// PerSecond holds the number of answers in each second of the run.
+	PerSecond []int `json:"per_second,omitempty"`
+	// Faults holds the first errors of requests with an unknown outcome or a wrong
+	// answer, at most maxFaults.
+	Faults []string `json:"faults,omitempty"`
 }
 
+// Resolution of the latency histograms, and the limit of Result.Faults.
 const (
-	highestMicros = 600_000_000
-	digits        = 3
-	faultsKept    = 5
+	maxLatencyMicros  = 600_000_000
+	significantDigits = 3
+	maxFaults         = 5
 )
 
-// tally collects results of concurrent requests.
-type tally struct {
-	mu       sync.Mutex
-	result   Result
-	answered *hdrhistogram.Histogram
-	refused  *hdrhistogram.Histogram
-	attempts int
-	outcome  map[string]outcome
+// resultRecorder collects the results of concurrent requests.
+type resultRecorder struct {
+	mu             sync.Mutex
+	result         Result
+	answerLatency  *hdrhistogram.Histogram
+	refusalLatency *hdrhistogram.Histogram
+	totalAttempts  int
+	outcomes       map[string]outcome
 }
 
-// outcome is what the caller of an order was told.
+// outcome is what the answer to a request says about its execution.
 type outcome int
 
 const (
-	answered outcome = iota
-	refused
-	unknown
+	outcomeAnswered outcome = iota
+	outcomeRefused
+	outcomeUnknown
 )
 
-func newTally(caller string) *tally {
-	return &tally{
+// newResultRecorder returns an empty recorder for the requests of caller.
+func newResultRecorder(caller string) *resultRecorder {
+	return &resultRecorder{
 		result: Result{
 			Caller: caller,
 		},
-		answered: hdrhistogram.New(1, highestMicros, digits),
-		refused:  hdrhistogram.New(1, highestMicros, digits),
-		outcome:  make(map[string]outcome),
+		answerLatency:  hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+		refusalLatency: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+		outcomes:       make(map[string]outcome),
 	}
 }
 
-func (t *tally) good(id string, took time.Duration, attempts, second int) {
+// recordAnswer records a correct answer that came in the given second of the run.
+func (t *resultRecorder) recordAnswer(id string, took time.Duration, attempts, second int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.result.Answered++
-	t.attempts += attempts
-	t.outcome[id] = answered
-	_ = t.answered.RecordValue(took.Microseconds())
+	t.totalAttempts += attempts
+	t.outcomes[id] = outcomeAnswered
+	_ = t.answerLatency.RecordValue(took.Microseconds())
 	for len(t.result.PerSecond) <= second {
 		t.result.PerSecond = append(t.result.PerSecond, 0)
 	}
 	t.result.PerSecond[second]++
 }
 
-func (t *tally) bad(id string, o outcome, took time.Duration, err error) {
+// recordFailure records an error. Only refusals count in the refusal latencies.
+func (t *resultRecorder) recordFailure(id string, o outcome, took time.Duration, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.outcome[id] = o
-	if err == errUnreached {
+	t.outcomes[id] = o
+	if err == errNoInstanceReached {
 		t.result.NoAnswer++
 	}
-	if o == refused {
+	if o == outcomeRefused {
 		t.result.Refused++
-		_ = t.refused.RecordValue(took.Microseconds())
+		_ = t.refusalLatency.RecordValue(took.Microseconds())
 		return
 	}
 	t.result.Unknown++
-	t.fault(err)
+	t.addFault(err)
 }
 
-func (t *tally) mixedUp(id string, err error) {
+// recordMismatch records an answer that doesn't match its request. The request
+// counts as answered when it is compared with the recorded runs.
+func (t *resultRecorder) recordMismatch(id string, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.outcome[id] = answered
+	t.outcomes[id] = outcomeAnswered
 	t.result.MixedUp++
-	t.fault(err)
+	t.addFault(err)
 }
 
-func (t *tally) fault(err error) {
-	if len(t.result.Faults) < faultsKept {
+// addFault keeps the text of err, unless there are maxFaults texts already.
+func (t *resultRecorder) addFault(err error) {
+	if len(t.result.Faults) < maxFaults {
 		t.result.Faults = append(t.result.Faults, fmt.Sprint(err))
 	}
 }
 
-func (t *tally) close() Result {
+// finish returns the result with its percentiles.
+func (t *resultRecorder) finish() Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.result
 	if r.Answered > 0 {
-		r.Attempts = float64(t.attempts) / float64(r.Answered)
+		r.Attempts = float64(t.totalAttempts) / float64(r.Answered)
 	}
-	r.P50MS = float64(t.answered.ValueAtQuantile(50)) / 1000
-	r.P99MS = float64(t.answered.ValueAtQuantile(99)) / 1000
-	r.P999MS = float64(t.answered.ValueAtQuantile(99.9)) / 1000
-	r.RefuseP99 = float64(t.refused.ValueAtQuantile(99)) / 1000
+	r.P50MS = float64(t.answerLatency.ValueAtQuantile(50)) / 1000
+	r.P99MS = float64(t.answerLatency.ValueAtQuantile(99)) / 1000
+	r.P999MS = float64(t.answerLatency.ValueAtQuantile(99.9)) / 1000
+	r.RefuseP99 = float64(t.refusalLatency.ValueAtQuantile(99)) / 1000
 	return r
 }
--- a/internal/load/port/port.go
+++ b/internal/load/port/port.go
@@ -8,36 +8,38 @@
 	"sync"
 )
 
-// The ports that are given out lie below those that the system gives to
-// outgoing connections, and come from a block that one run has for itself:
-// between the moment a port is found free and the moment its process listens
-// there, a connection or another run could take it otherwise.
+// The ports lie below the range that the system assigns to outgoing connections,
+// and each run has a block of its own. Otherwise an outgoing connection or
+// another run could take a port after it was found free and before its process
+// listens there.
 const (
-	portFirst  = 10_000
+	firstPort  = 10_000
 	blockSize  = 500
 	blockCount = 40
 )
 
-var errNoPort = errors.New("no free port was found; end other experiments on this machine")
+var errNoPort = errors.New("no free port found; stop other experiments on this machine")
 
-// Block gives out the ports of one block. The block's first port is held as long
-// as the block is in use. Its zero value works.
+// Block assigns the ports of one block. It listens on the first port of the block
+// until Release, which keeps other runs from using the block. The zero value is
+// ready to use.
 type Block struct {
-	mu   sync.Mutex
-	held net.Listener
-	next int
-	last int
+	mu          sync.Mutex
+	reservation net.Listener
+	next        int
+	end         int
 }
 
-// Free returns a loopback address that is free now and not given out yet.
+// Free returns a loopback address whose port is free now and was not returned
+// before. The first call reserves a block.
 func (p *Block) Free() (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.held == nil && !p.take() {
+	if p.reservation == nil && !p.reserve() {
 		return "", errNoPort
 	}
-	for p.next < p.last {
-		address := loopback(p.next)
+	for p.next < p.end {
+		address := loopbackAddress(p.next)
 		p.next++
 		ln, err := net.Listen("tcp", address)
 		if err != nil {
@@ -49,29 +51,31 @@
 	return "", errNoPort
 }
 
-// take holds a block that nobody else has.
-func (p *Block) take() bool {
+// reserve reserves a random block that no other run uses, and reports whether it
+// found one.
+func (p *Block) reserve() bool {
 	for _, n := range rand.Perm(blockCount) {
-		first := portFirst + n*blockSize
-		ln, err := net.Listen("tcp", loopback(first))
+		first := firstPort + n*blockSize
+		ln, err := net.Listen("tcp", loopbackAddress(first))
 		if err != nil {
 			continue
 		}
-		p.held = ln
-		p.next, p.last = first+1, first+blockSize
+		p.reservation = ln
+		p.next, p.end = first+1, first+blockSize
 		return true
 	}
 	return false
 }
 
-// Release gives the block back.
+// Release ends the reservation of the block.
 func (p *Block) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.held != nil {
-		_ = p.held.Close()
-		p.held = nil
+	if p.reservation != nil {
+		_ = p.reservation.Close()
+		p.reservation = nil
 	}
 }
 
-func loopback(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
+// loopbackAddress returns the IPv4 loopback address with the given port.
+func loopbackAddress(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
--- a/internal/load/storm/storm.go
+++ b/internal/load/storm/storm.go
@@ -7,115 +7,120 @@
 	"time"
 )
 
-// Kind is a kind of fault.
+// Kind is the type of a fault.
 type Kind int
 
-// The kinds of faults. Those of instances have an instance as their target,
-// those of engines an engine.
+// The kinds of faults. The target of an EngineSilent, EngineSlow or EngineReset
+// fault is an engine; other faults that have a target affect an instance.
 const (
-	// Kill ends an instance without warning.
+	// Kill ends the process of an instance without a graceful shutdown.
 	Kill Kind = iota
-	// Stop ends an instance gracefully.
+	// Stop shuts an instance down gracefully.
 	Stop
-	// Freeze pauses an instance.
+	// Freeze pauses the process of an instance.
 	Freeze
 	// ServiceDown, ServiceSlow, ServiceLoses, ServiceLate and ServiceForgets
-	// concern the key-value service for all.
+	// affect the key-value service for all instances: calls fail, are slow, lose
+	// their answers or take effect late, or the service compacts its history.
 	ServiceDown
 	ServiceSlow
 	ServiceLoses
 	ServiceLate
 	ServiceForgets
-	// LeaseEnds takes the lease of an instance away.
+	// LeaseEnds ends the lease of an instance.
 	LeaseEnds
-	// ServiceShuts turns one instance away, ServiceSilent cuts its link without
-	// a word, ServiceReset breaks its connections.
+	// ServiceShuts, ServiceSilent and ServiceReset affect the link of one instance
+	// to the key-value service: it resets all connections while the fault lasts,
+	// forwards nothing without closing connections, or resets the open
+	// connections once.
 	ServiceShuts
 	ServiceSilent
 	ServiceReset
-	// EngineSilent, EngineSlow and EngineReset concern the link to one engine.
+	// EngineSilent, EngineSlow and EngineReset affect the link to one engine: its
+	// answers don't arrive, all bytes are delayed, or the open connections are
+	// reset once.
 	EngineSilent
 	EngineSlow
 	EngineReset
-	// ClientsReset breaks the connections of clients to an instance.
+	// ClientsReset resets the open connections of clients to an instance.
 	ClientsReset
 	// Configure changes the configuration.
 	Configure
-	// Reload tells an instance that its settings changed.
+	// Reload signals an instance to reload its settings.
 	Reload
-	kinds
+	kindCount
 )
 
-var names = [kinds]string{
+var kindNames = [kindCount]string{
 	"kill", "stop", "freeze", "service_down", "service_slow", "service_loses", "service_late", "service_forgets", "lease_ends",
 	"service_shuts", "service_silent", "service_reset", "engine_silent", "engine_slow", "engine_reset", "clients_reset",
 	"configure", "reload",
 }
 
-// String returns the name of the kind.
+// String returns the name of the kind in snake case.
 func (k Kind) String() string {
-	if k < 0 || k >= kinds {
+	if k < 0 || k >= kindCount {
 		return fmt.Sprintf("kind %d", int(k))
 	}
-	return names[k]
+	return kindNames[k]
 }
 
 // Kinds returns all kinds.
 func Kinds() []Kind {
-	list := make([]Kind, kinds)
+	list := make([]Kind, kindCount)
 	for i := range list {
 		list[i] = Kind(i)
 	}
 	return list
 }
 
-// ofEngine reports whether the target is an engine.
-func (k Kind) ofEngine() bool { return k >= EngineSilent && k <= EngineReset }
+// targetsEngine reports whether Fault.Target is the number of an engine.
+func (k Kind) targetsEngine() bool { return k >= EngineSilent && k <= EngineReset }
 
 // Fault is one fault of a plan.
 type Fault struct {
 	Kind Kind
-	// At is when it begins, For how long it lasts.
+	// At is the time of the fault from the start of the plan, For its duration.
 	At, For time.Duration
-	// Target is the number of an instance or engine.
+	// Target is the index of an instance or engine, from 0.
 	Target int
 }
 
-// String returns the fault in a line.
+// String returns a one-line description of the fault.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s of %d at %s for %s", f.Kind, f.Target, f.At.Round(time.Millisecond), f.For.Round(time.Millisecond))
 }
 
-// The times of storms.
+// Times and sizes of storms.
 const (
-	// first is when the first storm begins: everything works by then.
-	first = time.Second
-	// lasts is the longest time of a fault, spread the time within which those
-	// of a storm begin.
-	lasts  = 2500 * time.Millisecond
-	least  = 300 * time.Millisecond
-	spread = 1500 * time.Millisecond
-	// Calm is the time after a storm in which everything must come back.
+	// firstStormAt is when the first storm begins. Everything must work by then.
+	firstStormAt = time.Second
+	// Each fault lasts from minDuration to maxDuration. The faults of a storm begin
+	// within startWindow.
+	maxDuration = 2500 * time.Millisecond
+	minDuration = 300 * time.Millisecond
+	startWindow = 1500 * time.Millisecond
+	// Calm is the time after a storm within which everything must recover.
 	Calm = 6 * time.Second
-	// most is how many faults a storm has.
-	most = 4
+	// maxFaults is the highest number of faults in a storm.
+	maxFaults = 4
 )
 
-// Plan draws faults for a time, in order of their beginnings. The last ones end
-// Calm before it is over.
+// Plan returns the faults of a run of the given length, ordered by their start.
+// The last ones end at least Calm before the end of the run.
 func Plan(seed uint64, length time.Duration, instances, engines int) []Fault {
-	random := rand.New(rand.NewPCG(seed, 0x736f616b))
+	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	var plan []Fault
-	for begins := first; begins+spread+lasts+Calm <= length; begins += spread + lasts + Calm {
-		for range 2 + random.IntN(most-1) {
+	for stormStart := firstStormAt; stormStart+startWindow+maxDuration+Calm <= length; stormStart += startWindow + maxDuration + Calm {
+		for range 2 + rng.IntN(maxFaults-1) {
 			f := Fault{
-				Kind: Kind(random.IntN(int(kinds))),
-				At:   begins + time.Duration(random.Int64N(int64(spread))),
-				For:  least + time.Duration(random.Int64N(int64(lasts-least))),
+				Kind: Kind(rng.IntN(int(kindCount))),
+				At:   stormStart + time.Duration(rng.Int64N(int64(startWindow))),
+				For:  minDuration + time.Duration(rng.Int64N(int64(maxDuration-minDuration))),
 			}
-			f.Target = random.IntN(instances)
-			if f.Kind.ofEngine() {
-				f.Target = random.IntN(engines)
+			f.Target = rng.IntN(instances)
+			if f.Kind.targetsEngine() {
+				f.Target = rng.IntN(engines)
 			}
 			plan = append(plan, f)
 		}
