--- a/internal/kernel/setting/decode.go
+++ b/internal/kernel/setting/decode.go
@@ -19,7 +19,7 @@
 	Remedy   string
 }
 
-// String returns the fault as one line.
+// String returns the error as one line.
 func (f FieldError) String() string {
 	return fmt.Sprintf("%s: expected %s, got %s; %s", f.Path, f.Expected, f.Got, f.Remedy)
 }
@@ -27,19 +27,19 @@
 // FieldErrors lists all invalid fields of a file.
 type FieldErrors []FieldError
 
-// Error implements error. Each fault is one line of the text.
+// Error implements error. Each field error is one line of the text.
 func (f FieldErrors) Error() string {
 	lines := make([]string, 0, len(f))
-	for _, fault := range f {
-		lines = append(lines, fault.String())
+	for _, e := range f {
+		lines = append(lines, e.String())
 	}
 	return strings.Join(lines, "\n")
 }
 
 // Validator is implemented by types with validation rules that tags can't express.
 type Validator interface {
-	// Validate validates the receiver, whose path in the file is path, and returns a
-	// fault for each violated rule.
+	// Validate validates the receiver, whose path in the file is path, and returns an
+	// error for each violated rule.
 	Validate(path string) []FieldError
 }
 
@@ -57,41 +57,41 @@
 			Remedy:   "fix the syntax error at that position",
 		}}
 	}
-	var faults FieldErrors
+	var errs FieldErrors
 	rv := reflect.ValueOf(v).Elem()
-	decodeValue(rv, raw, "", &faults)
-	if len(faults) == 0 {
-		runChecks(rv, "", &faults)
+	decodeValue(rv, raw, "", &errs)
+	if len(errs) == 0 {
+		runValidators(rv, "", &errs)
 	}
-	if len(faults) > 0 {
-		sort.SliceStable(faults, func(i, j int) bool { return faults[i].Path < faults[j].Path })
-		return faults
+	if len(errs) > 0 {
+		sort.SliceStable(errs, func(i, j int) bool { return errs[i].Path < errs[j].Path })
+		return errs
 	}
 	return nil
 }
 
-// decodeValue sets rv to raw, a value decoded from JSON, and adds a fault for each
+// decodeValue sets rv to raw, a value decoded from JSON, and adds an error for each
 // value that doesn't fit its type.
-func decodeValue(rv reflect.Value, raw any, path string, faults *FieldErrors) {
+func decodeValue(rv reflect.Value, raw any, path string, errs *FieldErrors) {
 	switch rv.Kind() {
 	case reflect.Pointer:
 		rv.Set(reflect.New(rv.Type().Elem()))
-		decodeValue(rv.Elem(), raw, path, faults)
+		decodeValue(rv.Elem(), raw, path, errs)
 	case reflect.Struct:
-		decodeStruct(rv, raw, path, faults)
+		decodeStruct(rv, raw, path, errs)
 	case reflect.Slice:
-		decodeSlice(rv, raw, path, faults)
+		decodeSlice(rv, raw, path, errs)
 	case reflect.Map:
-		decodeMap(rv, raw, path, faults)
+		decodeMap(rv, raw, path, errs)
 	default:
-		decodeScalar(rv, raw, path, faults)
+		decodeScalar(rv, raw, path, errs)
 	}
 }
 
-func decodeStruct(rv reflect.Value, raw any, path string, faults *FieldErrors) {
+func decodeStruct(rv reflect.Value, raw any, path string, errs *FieldErrors) {
 	m, ok := raw.(map[string]any)
 	if !ok {
-		faults.add(path, "an object", raw, "write {...}")
+		errs.add(path, "an object", raw, "write {...}")
 		return
 	}
 	known := make(map[string]bool)
@@ -102,30 +102,30 @@
 			continue
 		}
 		known[name] = true
-		decodeField(rv.Field(i), field, m, joinPath(path, name), faults)
+		decodeField(rv.Field(i), field, m, joinPath(path, name), errs)
 	}
 	for name, got := range m {
 		if !known[name] {
-			faults.add(joinPath(path, name), "no such field", got, "remove it or use one of "+strings.Join(sortedKeys(known), ", "))
+			errs.add(joinPath(path, name), "no such field", got, "remove it or use one of "+strings.Join(sortedKeys(known), ", "))
 		}
 	}
 }
 
-// decodeField sets one struct field from the object m. An absent or null field is a
-// fault if it is required, and otherwise gets its default; a struct without a default
+// decodeField sets one struct field from the object m. An absent or null field is an
+// error if it is required, and otherwise gets its default; a struct without a default
 // gets those of its fields.
-func decodeField(fv reflect.Value, field reflect.StructField, m map[string]any, path string, faults *FieldErrors) {
+func decodeField(fv reflect.Value, field reflect.StructField, m map[string]any, path string, errs *FieldErrors) {
 	got, present := m[jsonName(field)]
 	if present && got != nil {
-		before := len(*faults)
-		decodeValue(fv, got, path, faults)
-		if len(*faults) == before {
-			checkTags(fv, field.Tag, got, path, faults)
+		before := len(*errs)
+		decodeValue(fv, got, path, errs)
+		if len(*errs) == before {
+			checkTags(fv, field.Tag, got, path, errs)
 		}
 		return
 	}
 	if field.Tag.Get("need") == "true" {
-		faults.add(path, describeType(field.Type), nil, "add the field")
+		errs.add(path, describeType(field.Type), nil, "add the field")
 		return
 	}
 	if d, ok := field.Tag.Lookup("default"); ok {
@@ -133,37 +133,37 @@
 		return
 	}
 	if field.Type.Kind() == reflect.Struct {
-		decodeValue(fv, map[string]any{}, path, faults)
+		decodeValue(fv, map[string]any{}, path, errs)
 	}
 }
 
-func decodeSlice(rv reflect.Value, raw any, path string, faults *FieldErrors) {
+func decodeSlice(rv reflect.Value, raw any, path string, errs *FieldErrors) {
 	list, ok := raw.([]any)
 	if !ok {
-		faults.add(path, "a list", raw, "write [...]")
+		errs.add(path, "a list", raw, "write [...]")
 		return
 	}
 	rv.Set(reflect.MakeSlice(rv.Type(), len(list), len(list)))
 	for i, item := range list {
-		decodeValue(rv.Index(i), item, fmt.Sprintf("%s[%d]", path, i), faults)
+		decodeValue(rv.Index(i), item, fmt.Sprintf("%s[%d]", path, i), errs)
 	}
 }
 
-func decodeMap(rv reflect.Value, raw any, path string, faults *FieldErrors) {
+func decodeMap(rv reflect.Value, raw any, path string, errs *FieldErrors) {
 	m, ok := raw.(map[string]any)
 	if !ok {
-		faults.add(path, "an object", raw, "write {...}")
+		errs.add(path, "an object", raw, "write {...}")
 		return
 	}
 	rv.Set(reflect.MakeMap(rv.Type()))
 	for key, item := range m {
 		elem := reflect.New(rv.Type().Elem()).Elem()
-		decodeValue(elem, item, joinPath(path, key), faults)
+		decodeValue(elem, item, joinPath(path, key), errs)
 		rv.SetMapIndex(reflect.ValueOf(key), elem)
 	}
 }
 
-func decodeScalar(rv reflect.Value, raw any, path string, faults *FieldErrors) {
+func decodeScalar(rv reflect.Value, raw any, path string, errs *FieldErrors) {
 	expected := describeType(rv.Type())
 	switch rv.Kind() {
 	case reflect.String:
@@ -198,46 +198,46 @@
 			}
 		}
 	}
-	faults.add(path, expected, raw, "write "+expected)
+	errs.add(path, expected, raw, "write "+expected)
 }
 
 // checkTags checks a decoded field against its oneof, min and max tags.
-func checkTags(fv reflect.Value, tag reflect.StructTag, got any, path string, faults *FieldErrors) {
+func checkTags(fv reflect.Value, tag reflect.StructTag, got any, path string, errs *FieldErrors) {
 	if allowed := tag.Get("oneof"); allowed != "" && fv.Kind() == reflect.String {
 		if slices.Contains(strings.Split(allowed, ","), fv.String()) {
 			return
 		}
-		faults.add(path, "one of "+allowed, got, "choose one of them")
+		errs.add(path, "one of "+allowed, got, "choose one of them")
 	}
 	n, isNumber := numericValue(fv)
 	if !isNumber {
 		return
 	}
 	if low, err := strconv.ParseFloat(tag.Get("min"), 64); err == nil && n < low {
-		faults.add(path, "at least "+tag.Get("min"), got, "raise it")
+		errs.add(path, "at least "+tag.Get("min"), got, "raise it")
 	}
 	if high, err := strconv.ParseFloat(tag.Get("max"), 64); err == nil && n > high {
-		faults.add(path, "at most "+tag.Get("max"), got, "lower it")
+		errs.add(path, "at most "+tag.Get("max"), got, "lower it")
 	}
 }
 
-// runChecks calls every Validator in rv and in its struct fields and list items.
-func runChecks(rv reflect.Value, path string, faults *FieldErrors) {
+// runValidators calls every Validator in rv and in its struct fields and list items.
+func runValidators(rv reflect.Value, path string, errs *FieldErrors) {
 	if rv.CanAddr() {
 		if c, ok := rv.Addr().Interface().(Validator); ok {
-			*faults = append(*faults, c.Validate(path)...)
+			*errs = append(*errs, c.Validate(path)...)
 		}
 	}
 	switch rv.Kind() {
 	case reflect.Struct:
 		for i := range rv.NumField() {
 			if name := jsonName(rv.Type().Field(i)); name != "" {
-				runChecks(rv.Field(i), joinPath(path, name), faults)
+				runValidators(rv.Field(i), joinPath(path, name), errs)
 			}
 		}
 	case reflect.Slice:
 		for i := range rv.Len() {
-			runChecks(rv.Index(i), fmt.Sprintf("%s[%d]", path, i), faults)
+			runValidators(rv.Index(i), fmt.Sprintf("%s[%d]", path, i), errs)
 		}
 	}
 }
@@ -281,7 +281,7 @@
 	})
 }
 
-// describeType returns the expected JSON type for the text of a fault.
+// describeType returns the expected JSON type for the text of an error.
 func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
--- a/internal/kernel/setting/instance.go
+++ b/internal/kernel/setting/instance.go
@@ -44,39 +44,39 @@
 
 // Validate implements Validator.
 func (s *Instance) Validate(string) []FieldError {
-	var faults FieldErrors
-	checkAddress(&faults, "listen", s.Listen)
-	checkAddress(&faults, "peer_listen", s.PeerListen)
+	var errs FieldErrors
+	checkAddress(&errs, "listen", s.Listen)
+	checkAddress(&errs, "peer_listen", s.PeerListen)
 	for i, peer := range s.Peers {
-		checkAddress(&faults, fmt.Sprintf("peers[%d]", i), peer)
+		checkAddress(&errs, fmt.Sprintf("peers[%d]", i), peer)
 	}
-	checkAddress(&faults, "key_value.address", s.KeyValue.Address)
-	checkAddress(&faults, "roster.address", s.Roster.Address)
-	s.checkExposure(&faults)
-	return faults
+	checkAddress(&errs, "key_value.address", s.KeyValue.Address)
+	checkAddress(&errs, "roster.address", s.Roster.Address)
+	s.checkExposure(&errs)
+	return errs
 }
 
 // checkExposure rejects listening beyond loopback without TLS, unless PlainText is
 // set: anyone on the network could read prompts and change the configuration
 // unnoticed. It also checks that certificate settings are complete.
-func (s *Instance) checkExposure(faults *FieldErrors) {
+func (s *Instance) checkExposure(errs *FieldErrors) {
 	if (s.Security.Certificate == "") != (s.Security.PrivateKey == "") {
-		faults.add("security.certificate", "certificate and private_key together", s.Security.Certificate, "set both or neither")
+		errs.add("security.certificate", "certificate and private_key together", s.Security.Certificate, "set both or neither")
 	}
 	peerTLS := s.Security.PeerCertificate != ""
 	if peerTLS != (s.Security.PeerPrivateKey != "") || peerTLS != (s.Security.PeerAuthority != "") {
-		faults.add("security.peer_certificate", "peer_certificate, peer_private_key and peer_authority together",
+		errs.add("security.peer_certificate", "peer_certificate, peer_private_key and peer_authority together",
 			s.Security.PeerCertificate, "set all three or none")
 	}
 	if s.Security.PlainText {
 		return
 	}
 	if s.Security.Certificate == "" && !isLoopback(s.Listen) {
-		faults.add("listen", "a loopback address, as no certificate is set", s.Listen,
+		errs.add("listen", "a loopback address, as no certificate is set", s.Listen,
 			"set security.certificate and private_key, or security.plain_text to true")
 	}
 	if !peerTLS && !isLoopback(s.PeerListen) {
-		faults.add("peer_listen", "a loopback address, as peers talk in plain text", s.PeerListen,
+		errs.add("peer_listen", "a loopback address, as peers talk in plain text", s.PeerListen,
 			"set security.peer_certificate, or security.plain_text to true on a network that only instances share")
 	}
 }
@@ -90,11 +90,11 @@
 	return ip != nil && ip.IsLoopback()
 }
 
-// checkAddress adds a fault unless address is an IP address with a port.
-func checkAddress(faults *FieldErrors, path, address string) {
+// checkAddress adds an error unless address is an IP address with a port.
+func checkAddress(errs *FieldErrors, path, address string) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil {
-		faults.add(path, "an IP address and port", address, "write an address such as 127.0.0.1:7100")
+		errs.add(path, "an IP address and port", address, "write an address such as 127.0.0.1:7100")
 	}
 }
 
