--- a/internal/outside/engine/adapter.go
+++ b/internal/outside/engine/adapter.go
@@ -85,8 +85,8 @@
 var (
 	// ErrNotSent means that no byte of the request was sent.
 	ErrNotSent = errors.New("the request was not sent")
-	// ErrIncompleteResponse means that the request was sent, but that no complete and valid
-	// response arrived. The upstream may have run it.
+	// ErrIncompleteResponse means that the request was sent, but that no complete and
+	// valid response arrived. The upstream may have run it.
 	ErrIncompleteResponse = errors.New("the stream ended early")
 	// ErrConnectionLost is an ErrIncompleteResponse whose connection was closed or reset
 	// before the response began.
--- a/internal/outside/engine/completions.go
+++ b/internal/outside/engine/completions.go
@@ -208,8 +208,8 @@
 	return res, nil
 }
 
-// statusError returns the error for a response other than 200 OK: a RefusedError if
-// the upstream guarantees that it did not run the request, otherwise ErrIncompleteResponse.
+// statusError returns the error for a response other than 200 OK: a RefusedError if the
+// upstream guarantees that it did not run the request, otherwise ErrIncompleteResponse.
 func statusError(res *http.Response) error {
 	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxEventSize))
 	if res.Header.Get(HeaderNotRun) == "" {
--- a/internal/outside/engine/doc.go
+++ b/internal/outside/engine/doc.go
@@ -11,6 +11,6 @@
 //
 // Errors tell what is known about the run. ErrNotSent, ErrMisdirected and
 // *RefusedError mean that the engine did not begin. ErrIncompleteResponse means that the
-// request was sent, but no complete and valid response arrived, for example since the
-// stream ended early; the engine may have run it.
+// request was sent, but no complete and valid response arrived, for example because
+// the stream ended early; the engine may have run it.
 package engine
--- a/internal/outside/keyvalue/http.go
+++ b/internal/outside/keyvalue/http.go
@@ -50,7 +50,7 @@
 	CodeNoChange  ErrorCode = "no_change"
 )
 
-var errorsByFault = map[ErrorCode]error{
+var errorsByCode = map[ErrorCode]error{
 	CodeNotFound:  ErrNotFound,
 	CodeConflict:  ErrConflict,
 	CodeLeaseGone: ErrLeaseGone,
@@ -147,7 +147,7 @@
 		return Item{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	if a.Error != CodeNone {
-		return a.Item, errorsByFault[a.Error]
+		return a.Item, errorsByCode[a.Error]
 	}
 	return a.Item, nil
 }
--- a/internal/outside/keyvalue/space.go
+++ b/internal/outside/keyvalue/space.go
@@ -16,8 +16,8 @@
 // Consistency selects how up to date a listing must be.
 type Consistency bool
 
-// The freshness of listings. A stale listing costs a tenth of a fresh one and may be
-// seconds old.
+// The consistency levels. A stale listing costs a tenth of a fresh one and may be seconds
+// old.
 const (
 	Fresh Consistency = false
 	Stale Consistency = true
@@ -56,14 +56,15 @@
 // MaxEntries is the service's limit on the entries of one transaction.
 const MaxEntries = 32
 
-// TransactionalStore is a key-value service with prefixes and transactions. Every call can return
-// ErrUnavailable (the call did nothing), ErrOutcomeUnknown (it may have taken effect, or
-// may do so later) or ErrRateLimited (rejected by the rate limit; it did nothing).
+// TransactionalStore is a key-value service with prefixes and transactions. Every call can
+// return ErrUnavailable (the call did nothing), ErrOutcomeUnknown (it may have taken
+// effect, or may do so later) or ErrRateLimited (rejected by the rate limit; it did
+// nothing).
 type TransactionalStore interface {
 	// Get returns the item at key, or ErrNotFound.
 	Get(ctx context.Context, key string) (Item, error)
 	// Range returns all items whose key begins with prefix.
-	Range(ctx context.Context, prefix string, f Consistency) (Listing, error)
+	Range(ctx context.Context, prefix string, c Consistency) (Listing, error)
 	// Watch waits up to wait for changes below prefix after the given revision,
 	// and returns them with the revision to continue from. It returns
 	// ErrCompacted when the service's history does not reach back that far.
--- a/internal/outside/keyvalue/store.go
+++ b/internal/outside/keyvalue/store.go
@@ -9,8 +9,8 @@
 )
 
 // Item is a key with its value. Revision is the service's revision of the last write
-// to the key; zero means that the key doesn't exist. When the lease, if
-// not zero, ends, the item is removed.
+// to the key; zero means that the key doesn't exist. With a non-zero lease, the item is
+// removed when that lease ends.
 type Item struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
@@ -28,7 +28,7 @@
 	// ErrOutcomeUnknown, ErrUnavailable.
 	Put(ctx context.Context, key string, value []byte, expect, lease uint64) (uint64, error)
 	// Watch waits until the item at key has a revision above after, and returns
-	// the item. It returns ErrNoChange when the service ends the wait before.
+	// the item. It returns ErrNoChange when the service ends the wait first.
 	Watch(ctx context.Context, key string, after uint64) (Item, error)
 	// Grant creates a lease with the given time to live and returns its number.
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
--- a/internal/outside/roster/source.go
+++ b/internal/outside/roster/source.go
@@ -9,7 +9,7 @@
 	"github.com/egretbend/egretbend/internal/kernel/part"
 )
 
-// Instance is an upstream in the list.
+// Instance is the entry of an upstream in the instance list.
 type Instance struct {
 	ID            string `json:"id"`
 	Group         string `json:"group"`
@@ -19,9 +19,9 @@
 	Leaving       bool   `json:"leaving"`
 }
 
-// Source provides the platform's list of instances.
+// Source provides the platform's instance list.
 type Source interface {
-	// List returns the live and leaving instances known to the platform.
+	// List returns the live and leaving upstreams known to the platform.
 	List(ctx context.Context) ([]Instance, error)
 }
 
