--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -23,7 +23,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !s.checkFencing(o.FencingToken) {
+	if !s.checkFencingToken(o.FencingToken) {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
@@ -39,16 +39,16 @@
 	w.WriteHeader(status)
 }
 
-// checkFencing reports whether an order with this fencing number is accepted,
-// and records the highest number. An engine without ChecksFencing accepts every
-// number.
-func (s *Server) checkFencing(number uint64) bool {
+// checkFencingToken reports whether an order with this fencing token is accepted,
+// and records the highest token. An engine without ChecksFencing accepts every
+// token.
+func (s *Server) checkFencingToken(token uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.Settings.ChecksFencing && number < s.highestFencing {
+	if s.Settings.ChecksFencing && token < s.highestFencingToken {
 		return false
 	}
-	s.highestFencing = max(s.highestFencing, number)
+	s.highestFencingToken = max(s.highestFencingToken, token)
 	return true
 }
 
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -22,13 +22,13 @@
 	Address string
 	Faults  fault.Endpoint[Faults]
 
-	mu             sync.Mutex
-	queue          queue
-	version        version.Version
-	fetched        version.Version
-	highestFencing uint64
-	incarnation    uint64
-	leaving        bool
+	mu                  sync.Mutex
+	queue               queue
+	version             version.Version
+	fetched             version.Version
+	highestFencingToken uint64
+	incarnation         uint64
+	leaving             bool
 	// crashed is closed and replaced at each crash.
 	crashed      chan struct{}
 	crashedUntil timer.Instant
--- a/internal/standin/engine/settings.go
+++ b/internal/standin/engine/settings.go
@@ -22,8 +22,8 @@
 	SwitchMS int64 `json:"switch_ms" default:"50" min:"0"`
 	// ReportLagMS is the age of the load in reports, in milliseconds.
 	ReportLagMS int64 `json:"report_lag_ms" default:"0" min:"0"`
-	// ChecksFencing refuses orders whose fencing number is lower than that of an
-	// earlier order.
+	// ChecksFencing makes the engine refuse orders whose fencing token is lower than
+	// that of an earlier order.
 	ChecksFencing bool `json:"checks_fencing" default:"false"`
 	// Weights is the address of the weight store; if empty, a fetch completes at
 	// once.
--- a/internal/standin/fault/doc.go
+++ b/internal/standin/fault/doc.go
@@ -3,9 +3,9 @@
 //
 // A stand-in defines its faults as a struct and serves it through an Endpoint:
 //
-//	var door fault.Endpoint[Faults]
-//	mux.Handle("/fault", &door)
-//	if door.Get().Down { ... }
+//	var faults fault.Endpoint[Faults]
+//	mux.Handle("/fault", &faults)
+//	if faults.Get().Down { ... }
 //
 // POST /fault replaces the struct by the JSON in the body; {} clears all faults.
 package fault
--- a/internal/standin/fault/door.go
+++ b/internal/standin/fault/door.go
@@ -18,8 +18,8 @@
 }
 
 // Get returns the current faults.
-func (d *Endpoint[T]) Get() T {
-	if p := d.current.Load(); p != nil {
+func (e *Endpoint[T]) Get() T {
+	if p := e.current.Load(); p != nil {
 		return *p
 	}
 	var none T
@@ -27,20 +27,20 @@
 }
 
 // Set replaces the current faults by v.
-func (d *Endpoint[T]) Set(v T) {
-	d.current.Store(&v)
-	if d.OnChange != nil {
-		d.OnChange(v)
+func (e *Endpoint[T]) Set(v T) {
+	e.current.Store(&v)
+	if e.OnChange != nil {
+		e.OnChange(v)
 	}
 }
 
 // ServeHTTP implements http.Handler.
-func (d *Endpoint[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *Endpoint[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var v T
 	if err := json.NewDecoder(r.Body).Decode(&v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	d.Set(v)
+	e.Set(v)
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/standin/keyvalue/server.go
+++ b/internal/standin/keyvalue/server.go
@@ -101,7 +101,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		item, fault := f(r, c)
+		item, code := f(r, c)
 		if r.URL.Path == keyvalue.PathPut {
 			s.writes.Add(1)
 			if s.answersToLose.Add(-1) >= 0 {
@@ -113,7 +113,7 @@
 		}
 		_ = json.NewEncoder(w).Encode(keyvalue.Response{
 			Item:  item,
-			Error: fault,
+			Error: code,
 		})
 	}
 }
@@ -166,11 +166,11 @@
 	defer end.Close()
 	for {
 		unlock := s.lock()
-		item, fault := s.store.get(c.Key, s.Faults.Get().Stale)
+		item, code := s.store.get(c.Key, s.Faults.Get().Stale)
 		changed := s.store.changed
 		unlock()
-		if fault == keyvalue.CodeNone && item.Revision > c.Expect {
-			return item, fault
+		if code == keyvalue.CodeNone && item.Revision > c.Expect {
+			return item, code
 		}
 		select {
 		case <-changed:
--- a/internal/standin/memorystore/space.go
+++ b/internal/standin/memorystore/space.go
@@ -66,8 +66,8 @@
 	compacted   uint64
 	leases      map[uint64]*lease
 	lastLeaseID uint64
-	// lateCommits holds the transactions that ApplyLate executes.
-	lateCommits []keyvalue.Transaction
+	// delayedCommits holds the transactions of delayed commits, in the order of their calls.
+	delayedCommits []keyvalue.Transaction
 	// changed is closed to wake the waiting watches; it is nil until a watch waits.
 	changed chan struct{}
 	calls   map[Operation]int
@@ -112,15 +112,15 @@
 	s.compacted = s.revision
 }
 
-// ApplyLate executes the late commits in the order of their calls. A commit whose
+// ApplyLate executes the delayed commits in the order of their calls. A commit whose
 // conditions no longer hold has no effect.
 func (s *Store) ApplyLate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, tx := range s.lateCommits {
+	for _, tx := range s.delayedCommits {
 		_, _ = s.apply(tx)
 	}
-	s.lateCommits = nil
+	s.delayedCommits = nil
 }
 
 // ExpireLease ends a lease at once, as if it had expired or been revoked.
@@ -254,7 +254,7 @@
 	case Down, LostBefore:
 		return 0, faultError(f)
 	case Delayed:
-		s.lateCommits = append(s.lateCommits, tx)
+		s.delayedCommits = append(s.delayedCommits, tx)
 		return 0, keyvalue.ErrOutcomeUnknown
 	}
 	rev, err := s.apply(tx)
--- a/internal/standin/roster/server.go
+++ b/internal/standin/roster/server.go
@@ -21,7 +21,7 @@
 }
 
 const (
-	// announceTimeout is how long an instance stays listed after its last
+	// announceTimeout is how long an upstream stays listed after its last
 	// announcement.
 	announceTimeout = 4 * time.Second
 	// maxSnapshots is the number of past lists that are kept for LagMS.
@@ -39,7 +39,7 @@
 	Faults fault.Endpoint[Faults]
 
 	mu sync.Mutex
-	// announcements holds the last announcement of each instance by its ID.
+	// announcements holds the last announcement of each upstream by its ID.
 	announcements map[string]announcement
 	// snapshots holds the past lists, the oldest first.
 	snapshots []snapshot
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -39,17 +39,18 @@
 type Faults struct {
 	// SlowFactor scales the time of every request; 0 leaves it unchanged.
 	SlowFactor float64 `json:"slow_factor"`
-	// RefuseShare is refused with status 503 and engine.HeaderNotRun.
+	// RefuseShare is the share refused with status 503 and engine.HeaderNotRun.
 	RefuseShare float64 `json:"refuse_share"`
-	// BareUnavailableShare is run and then answered with status 503, without the headers
-	// that tell whether it was run.
+	// BareUnavailableShare is the share that is run and then answered with status 503,
+	// without the headers that tell whether it was run.
 	BareUnavailableShare float64 `json:"bare_share"`
-	// ResetShare is run, and then its connection is reset.
+	// ResetShare is the share that is run and whose connection is then reset.
 	ResetShare float64 `json:"reset_share"`
-	// CutShare is run, and its connection is reset after half of the answer.
+	// CutShare is the share that is run and whose connection is reset after half of the
+	// answer.
 	CutShare float64 `json:"cut_share"`
-	// WrongAnswerShare is run and answered with the previous answer and the ID of
-	// another attempt.
+	// WrongAnswerShare is the share that is run and answered with the previous answer and
+	// the ID of another attempt.
 	WrongAnswerShare float64 `json:"cross_share"`
 }
 
@@ -65,7 +66,7 @@
 	Detail  string `json:"detail"`
 	// ServedBy is the ID of the service instance that ran the order.
 	ServedBy string `json:"by"`
-	// Check is a hash of the order; it reveals the answer to another order.
+	// Check is a hash of the order; it shows whether the answer belongs to another order.
 	Check string `json:"check"`
 }
 
--- a/internal/standin/trainer/result.go
+++ b/internal/standin/trainer/result.go
@@ -60,8 +60,8 @@
 	idle, busy      time.Duration
 }
 
-// Violations returns the number of violated guarantees: samples that are doubled, too
-// old, foreign or have a wrong version.
+// Violations returns the number of violated guarantees: samples that are
+// duplicated, too old, foreign or have a wrong version.
 func (r *Result) Violations() int { return r.Duplicates + r.TooOld + r.WrongVersion + r.Foreign }
 
 // maxFaults is the number of descriptions that Result.Faults keeps.
