--- a/cmd/egretload/main.go
+++ b/cmd/egretload/main.go
@@ -28,7 +28,7 @@
 	root := &cobra.Command{
 		Use:           "egretload SCENARIO...",
 		Short:         "Run experiments on a fleet of real processes on this machine",
-		Long:          "Run each scenario, one variant after the other. The last line is one JSON line of the last run.",
+		Long:          "Run each scenario, one variant after the other. The last line of the output is the JSON report of the last run.",
 		Example:       "  egretload examples/verhaeghe/scenario.json",
 		Args:          cobra.MinimumNArgs(1),
 		SilenceUsage:  true,
--- a/cmd/egretplay/crashes.go
+++ b/cmd/egretplay/crashes.go
@@ -12,15 +12,15 @@
 	"github.com/egretbend/egretbend/platform/standin"
 )
 
-// crashesCommand returns the command that sends requests that crash upstreams, with
-// one seed or several fresh ones.
+// crashesCommand returns the command that sends poison requests, which crash upstreams,
+// with one seed or several fresh ones.
 func crashesCommand() *cobra.Command {
 	plan := standin.CrashPlan{}
 	var seeds int
 	cmd := &cobra.Command{
 		Use:   "crashes",
-		Short: "Play requests that crash upstreams, and check that they are stopped and others are not",
-		Long: "Play requests that end each upstream that runs them beside other requests, while instances are killed and cut off from " +
+		Short: "Send requests that crash upstreams, and check that they are quarantined and others are not",
+		Long: "Send requests that crash each upstream that runs them along with other requests, while instances are killed and cut off from " +
 			"the key-value service. The last line of each run is JSON.",
 		Example:       "  egretplay crashes --seed 7\n  egretplay crashes --seeds 5 --instances 20 --seats 11",
 		SilenceUsage:  true,
@@ -43,12 +43,12 @@
 	}
 	addPlanFlags(cmd, &plan.Plan, 12*time.Second)
 	flags := cmd.Flags()
-	flags.IntVar(&plan.CrashableUpstreams, "seats", 8, "how many upstreams can be crashed")
-	flags.IntVar(&plan.CrashingRequests, "deadly", 3, "how many different requests crash them")
-	flags.DurationVar(&plan.ResendInterval, "every", time.Second, "how often each of them comes again")
-	flags.DurationVar(&plan.PropagationTime, "contact", 3*time.Second, "time after a fault or a third crash in which instances learn of it")
-	flags.BoolVar(&plan.Faults, "faults", true, "kill instances and cut them off")
+	flags.IntVar(&plan.CrashableUpstreams, "seats", 8, "number of upstreams that can be crashed")
+	flags.IntVar(&plan.CrashingRequests, "deadly", 3, "number of different requests that crash them")
+	flags.DurationVar(&plan.ResendInterval, "every", time.Second, "interval at which each of them is sent again")
+	flags.DurationVar(&plan.PropagationTime, "contact", 3*time.Second, "time within which instances learn of a third crash, also after a fault")
+	flags.BoolVar(&plan.Faults, "faults", true, "kill instances and cut them off from the key-value service")
 	flags.Uint64Var(&plan.Seed, "seed", 1, "seed of the faults")
-	flags.IntVar(&seeds, "seeds", 0, "play so many fresh seeds instead")
+	flags.IntVar(&seeds, "seeds", 0, "number of fresh seeds to run instead")
 	return cmd
 }
--- a/cmd/egretplay/main.go
+++ b/cmd/egretplay/main.go
@@ -17,7 +17,7 @@
 )
 
 func main() {
-	cmd := playCommand()
+	cmd := rootCommand()
 	cmd.AddCommand(soakCommand(), crashesCommand())
 	if err := cmd.Execute(); err != nil {
 		fmt.Fprintf(os.Stderr, "egretplay: %v\n", err)
@@ -29,12 +29,12 @@
 // say which.
 var errViolated = errors.New("a guarantee was violated; see the notes")
 
-// playCommand returns the root command, which plays one run.
-func playCommand() *cobra.Command {
+// rootCommand returns the root command, which runs one scenario.
+func rootCommand() *cobra.Command {
 	plan := standin.Plan{}
 	cmd := &cobra.Command{
 		Use:           "egretplay",
-		Short:         "Play trainers and clients against instances on a stand-in platform",
+		Short:         "Run trainers and clients against instances on a simulated platform",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(*cobra.Command, []string) error {
@@ -49,7 +49,7 @@
 		},
 	}
 	addPlanFlags(cmd, &plan, 12*time.Second)
-	cmd.Flags().BoolVar(&plan.KillOne, "kill", true, "end an instance in the middle and start it again")
+	cmd.Flags().BoolVar(&plan.KillOne, "kill", true, "kill an instance during the run and start it again")
 	return cmd
 }
 
@@ -58,9 +58,9 @@
 func addPlanFlags(cmd *cobra.Command, plan *standin.Plan, length time.Duration) {
 	flags := cmd.Flags()
 	flags.StringVar(&plan.Binary, "binary", "bin/egretbend", "program of the instances")
-	flags.IntVar(&plan.Instances, "instances", 5, "how many instances")
+	flags.IntVar(&plan.Instances, "instances", 5, "number of instances")
 	flags.IntVar(&plan.Groups, "groups", 6, "groups of four items in a step")
-	flags.IntVar(&plan.BreaksPerThousand, "breaks", 100, "runs of a thousand that are cut off in the middle")
+	flags.IntVar(&plan.BreaksPerThousand, "breaks", 100, "number of item streams in a thousand that are cut off")
 	flags.BoolVar(&plan.Keep, "keep", false, "keep settings and logs, and name their folder")
 	flags.DurationVar(&plan.Duration, "length", length, "how long trainers and clients work")
 }
--- a/cmd/egretplay/soak.go
+++ b/cmd/egretplay/soak.go
@@ -21,10 +21,10 @@
 	var folder, defect string
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "Play with storms of faults, and check what is promised",
-		Long: "Play trainers, clients and an operator against real processes while faults come in storms: links that are slow, silent " +
-			"or reset, processes that are killed, paused and stopped, a key-value service that is away, slow, forgetful or loses " +
-			"answers. One seed gives the same faults each time. The last line of each run is JSON.",
+		Short: "Inject bursts of faults, and check the guarantees of the service",
+		Long: "Run trainers, clients and an operator against real processes while faults are injected in bursts: links that are slow, silent " +
+			"or reset, processes that are killed, paused and stopped, a key-value service that is down or slow, or loses its " +
+			"history or answers. One seed gives the same faults each time. The last line of each run is JSON.",
 		Example:       "  egretplay soak --seed 7\n  egretplay soak --seeds 5 --folder run",
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -49,9 +49,9 @@
 	addPlanFlags(cmd, &plan.Plan, 35*time.Second)
 	flags := cmd.Flags()
 	flags.Uint64Var(&plan.Seed, "seed", 1, "seed of the faults")
-	flags.IntVar(&seeds, "seeds", 0, "how many fresh seeds to run instead")
-	flags.StringVar(&folder, "folder", "", "where to draw a picture of each run")
-	flags.StringVar(&defect, "defect", "", "bring about something wrong, to see that it is found")
+	flags.IntVar(&seeds, "seeds", 0, "number of fresh seeds to run instead")
+	flags.StringVar(&folder, "folder", "", "folder for a plot of each run; none if empty")
+	flags.StringVar(&defect, "defect", "", "defect to simulate, to verify that a check detects it")
 	return cmd
 }
 
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -38,7 +38,7 @@
 func main() {
 	root := &cobra.Command{
 		Use:          "standin",
-		Short:        "Stand-ins for the systems outside of egretbend",
+		Short:        "Simulate the systems around egretbend",
 		SilenceUsage: true,
 	}
 	root.AddCommand(keyvalueCommand(), rosterCommand(), weightsCommand(), engineCommand(), serviceCommand(), trainerCommand())
@@ -70,8 +70,8 @@
 		Timer: timer.Real{},
 	}
 	cmd := serverCommand("weights", "The weight store", s.Handler)
-	cmd.Flags().Float64Var(&s.PerSecond, "per-second", 20, "fetches that may begin in a second")
-	cmd.Flags().DurationVar(&s.FetchTime, "took", 200*time.Millisecond, "time of one fetch")
+	cmd.Flags().Float64Var(&s.PerSecond, "per-second", 20, "fetches that may begin per second")
+	cmd.Flags().DurationVar(&s.FetchTime, "took", 200*time.Millisecond, "duration of one fetch")
 	return cmd
 }
 
@@ -148,7 +148,7 @@
 	var path string
 	cmd := &cobra.Command{
 		Use:   "trainer",
-		Short: "A trainer; prints what it saw when it ends",
+		Short: "A trainer; prints its result when it ends",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var file trainerSettings
 			if err := setting.ReadFile(path, &file); err != nil {
