--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -18,7 +18,7 @@
 	"github.com/egretbend/egretbend/internal/kernel/setting"
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/load/addresses"
-	platform "github.com/egretbend/egretbend/internal/outside/roster"
+	outside "github.com/egretbend/egretbend/internal/outside/roster"
 	"github.com/egretbend/egretbend/internal/standin/engine"
 	"github.com/egretbend/egretbend/internal/standin/keyvalue"
 	"github.com/egretbend/egretbend/internal/standin/roster"
@@ -89,7 +89,7 @@
 }
 
 func engineCommand() *cobra.Command {
-	return upstreamCommand("engine", "A model engine", func(file upstreamSettings[engine.Settings]) (http.Handler, func() (platform.Instance, bool)) {
+	return upstreamCommand("engine", "A model engine", func(file upstreamSettings[engine.Settings]) (http.Handler, func() (outside.Instance, bool)) {
 		s := &engine.Server{
 			Timer:    timer.Real{},
 			Settings: file.Details,
@@ -100,7 +100,7 @@
 }
 
 func serviceCommand() *cobra.Command {
-	return upstreamCommand("service", "A plain service", func(file upstreamSettings[service.Settings]) (http.Handler, func() (platform.Instance, bool)) {
+	return upstreamCommand("service", "A plain service", func(file upstreamSettings[service.Settings]) (http.Handler, func() (outside.Instance, bool)) {
 		s := &service.Server{
 			Timer:    timer.Real{},
 			Settings: file.Details,
@@ -113,7 +113,7 @@
 
 // upstreamCommand returns a command that serves an upstream with the settings in a
 // file, and announces it to the instance list.
-func upstreamCommand[T any](name, short string, newHandler func(upstreamSettings[T]) (http.Handler, func() (platform.Instance, bool))) *cobra.Command {
+func upstreamCommand[T any](name, short string, newHandler func(upstreamSettings[T]) (http.Handler, func() (outside.Instance, bool))) *cobra.Command {
 	var path string
 	cmd := &cobra.Command{
 		Use:   name,
