--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -18,7 +18,7 @@
 	"github.com/egretbend/egretbend/internal/kernel/setting"
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/load/addresses"
-	platform "github.com/egretbend/egretbend/internal/outside/roster"
+	outside "github.com/egretbend/egretbend/internal/outside/roster"
 	"github.com/egretbend/egretbend/internal/standin/engine"
 	"github.com/egretbend/egretbend/internal/standin/keyvalue"
 	"github.com/egretbend/egretbend/internal/standin/roster"
@@ -38,7 +38,7 @@
 func main() {
 	root := &cobra.Command{
 		Use:          "standin",
-		Short:        "Stand-ins for the systems outside of egretbend",
+		Short:        "Simulate the systems around egretbend",
 		SilenceUsage: true,
 	}
 	root.AddCommand(keyvalueCommand(), rosterCommand(), weightsCommand(), engineCommand(), serviceCommand(), trainerCommand())
@@ -70,8 +70,8 @@
 		Timer: timer.Real{},
 	}
 	cmd := serverCommand("weights", "The weight store", s.Handler)
-	cmd.Flags().Float64Var(&s.PerSecond, "per-second", 20, "fetches that may begin in a second")
-	cmd.Flags().DurationVar(&s.FetchTime, "took", 200*time.Millisecond, "time of one fetch")
+	cmd.Flags().Float64Var(&s.PerSecond, "per-second", 20, "fetches that may begin per second")
+	cmd.Flags().DurationVar(&s.FetchTime, "took", 200*time.Millisecond, "duration of one fetch")
 	return cmd
 }
 
@@ -89,7 +89,7 @@
 }
 
 func engineCommand() *cobra.Command {
-	return upstreamCommand("engine", "A model engine", func(file upstreamSettings[engine.Settings]) (http.Handler, func() (platform.Instance, bool)) {
+	return upstreamCommand("engine", "A model engine", func(file upstreamSettings[engine.Settings]) (http.Handler, func() (outside.Instance, bool)) {
 		s := &engine.Server{
 			Timer:    timer.Real{},
 			Settings: file.Details,
@@ -100,7 +100,7 @@
 }
 
 func serviceCommand() *cobra.Command {
-	return upstreamCommand("service", "A plain service", func(file upstreamSettings[service.Settings]) (http.Handler, func() (platform.Instance, bool)) {
+	return upstreamCommand("service", "A plain service", func(file upstreamSettings[service.Settings]) (http.Handler, func() (outside.Instance, bool)) {
 		s := &service.Server{
 			Timer:    timer.Real{},
 			Settings: file.Details,
@@ -113,7 +113,7 @@
 
 // upstreamCommand returns a command that serves an upstream with the settings in a
 // file, and announces it to the instance list.
-func upstreamCommand[T any](name, short string, newHandler func(upstreamSettings[T]) (http.Handler, func() (platform.Instance, bool))) *cobra.Command {
+func upstreamCommand[T any](name, short string, newHandler func(upstreamSettings[T]) (http.Handler, func() (outside.Instance, bool))) *cobra.Command {
 	var path string
 	cmd := &cobra.Command{
 		Use:   name,
@@ -148,7 +148,7 @@
 	var path string
 	cmd := &cobra.Command{
 		Use:   "trainer",
-		Short: "A trainer; prints what it saw when it ends",
+		Short: "A trainer; prints its result when it ends",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var file trainerSettings
 			if err := setting.ReadFile(path, &file); err != nil {
