--- a/Makefile
+++ b/Makefile
@@ -16,7 +16,7 @@
 platform: build
 	bin/egretplay
 
-# soak plays storms of faults with fresh seeds, and draws a picture of each run.
+# soak injects overlapping faults with fresh seeds, and draws a picture of each run.
 SEEDS ?= 5
 soak: build
 	bin/egretplay soak --seeds $(SEEDS) --folder run
