--- a/internal/batch/coordinator/adopt_test.go
+++ b/internal/batch/coordinator/adopt_test.go
@@ -30,7 +30,7 @@
 // trainer retries at another instance, which finds the batch accepted.
 func TestUnawareOwnerIsToldToAdoptItsBatch(t *testing.T) {
 	is := is.New(t)
-	d, store := newDesk(t, nil)
+	d, store := newCoordinator(t, nil)
 	owner := &ledger.Ledger{
 		Store: store,
 		Self: ledger.Owner{
@@ -55,7 +55,7 @@
 // The batch has ended in the meantime: no instance is asked to adopt it.
 func TestEndedBatchIsNotAdopted(t *testing.T) {
 	is := is.New(t)
-	d, _ := newDesk(t, nil)
+	d, _ := newCoordinator(t, nil)
 	peers := unawarePeers{
 		adopted: make(chan string, 1),
 	}
@@ -69,7 +69,7 @@
 // not begin it and may report "not run".
 func TestHomeDoesNotReportPreparedBatchAsNotRun(t *testing.T) {
 	is := is.New(t)
-	d, _ := newDesk(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
+	d, _ := newCoordinator(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
 	sub := &submission.Submission{
 		ID:    "b",
 		Model: "m",
@@ -81,9 +81,9 @@
 	err := d.Accept(context.Background(), sub, catalog.Route{})
 	is.Equal(problem.From(err).Kind.Outcome, problem.Unknown)
 
-	// The home keeps trying to store the step, so a separate desk serves as the other
+	// The home keeps trying to store the step, so a separate coordinator serves as the other
 	// instance.
-	other, _ := newDesk(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
+	other, _ := newCoordinator(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
 	other.Registry.SetSelf(self)
 	other.Ledger.Self.Instance = "elsewhere"
 	is.Equal(other.isHome(sub), false)
--- a/internal/batch/coordinator/cleanup.go
+++ b/internal/batch/coordinator/cleanup.go
@@ -13,7 +13,7 @@
 	// cleanupInterval is how often ended batches are listed, in a stale listing,
 	// which costs a tenth of a fresh one.
 	cleanupInterval = time.Minute
-	// endedRetention is how long a batch is kept after its end: its results can be
+	// endedRetention is how long a batch is kept after its end. Its results can be
 	// read for two minutes after it was submitted, and the clocks of instances differ
 	// by seconds.
 	endedRetention = 5 * time.Minute
@@ -22,7 +22,7 @@
 )
 
 // RunCleanup removes ended batches from the ledger until t dies, while holdsDuty reports that
-// this instance has the task. Without it the key-value service would fill up with all
+// this instance holds the duty. Without it the key-value service would fill up with all
 // samples ever generated.
 func (d *Coordinator) RunCleanup(t *tomb.Tomb, holdsDuty func() bool) error {
 	ticks := d.Timer.Every(cleanupInterval)
--- a/internal/batch/coordinator/cleanup_test.go
+++ b/internal/batch/coordinator/cleanup_test.go
@@ -16,7 +16,7 @@
 func TestEndedBatchesAreRemovedAfterRetention(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	d, store := newDesk(t, nil)
+	d, store := newCoordinator(t, nil)
 	for _, id := range []string{"old", "open"} {
 		claim, err := d.Ledger.Accept(ctx, &submission.Submission{ID: id})
 		is.NoErr(err)
--- a/internal/batch/coordinator/desk.go
+++ b/internal/batch/coordinator/desk.go
@@ -20,7 +20,7 @@
 	"github.com/egretbend/egretbend/internal/route/catalog"
 )
 
-// Timeouts and pauses of calls about batches.
+// Timeouts, pauses and retry delays of calls about batches.
 const (
 	// MaxReadWait is how long a read may wait for results.
 	MaxReadWait = time.Second
@@ -65,7 +65,7 @@
 	Stored(ctx context.Context, address, id, item string, after int) (runner.Page, []byte, bool, error)
 	Body(ctx context.Context, address, id, item string) ([]byte, bool, error)
 	End(ctx context.Context, address, id string) error
-	Hint(ctx context.Context, address string, n OwnerHint) error
+	Hint(ctx context.Context, address string, hint OwnerHint) error
 	// Runs reports whether the instance answers that it runs the batch.
 	Runs(ctx context.Context, address, id string) bool
 	Adopt(ctx context.Context, address, id string) error
@@ -94,8 +94,8 @@
 	claimsUncertain atomic.Bool
 	mu              sync.Mutex
 	owners          map[string]ledger.Owner
-	// pendingStores holds the result of each store that is under way at this
-	// instance, by batch.
+	// pendingStores holds, by batch, the channel for the result of each store operation
+	// that is under way at this instance.
 	pendingStores map[string]chan error
 	// finished caches batches that don't change any more.
 	finished recordCache
@@ -260,8 +260,8 @@
 
 // announceOwner tells all instances the owner of a batch, so that a read at any of
 // them needs no call to the key-value service.
-func (d *Coordinator) announceOwner(n OwnerHint) {
-	d.RecordOwner(n)
+func (d *Coordinator) announceOwner(hint OwnerHint) {
+	d.RecordOwner(hint)
 	for _, m := range d.Registry.Members() {
 		if m.Name == d.Registry.Self().Name {
 			continue
@@ -269,9 +269,9 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), hintTimeout)
 			defer cancel()
-			if err := d.Peers.Hint(ctx, m.PeerAddress, n); err != nil {
+			if err := d.Peers.Hint(ctx, m.PeerAddress, hint); err != nil {
 				d.Journal.Debug("owner hint not delivered", log.Fields{
-					"request_id": n.Batch,
+					"request_id": hint.Batch,
 					"instance":   m.Name,
 					"error":      err.Error(),
 				})
@@ -281,16 +281,16 @@
 }
 
 // RecordOwner records the owner of a batch.
-func (d *Coordinator) RecordOwner(n OwnerHint) {
-	if n.Model != "" && d.OnAccepted != nil {
-		d.OnAccepted(n.Model, n.Items, n.Work)
+func (d *Coordinator) RecordOwner(hint OwnerHint) {
+	if hint.Model != "" && d.OnAccepted != nil {
+		d.OnAccepted(hint.Model, hint.Items, hint.Work)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.owners == nil {
 		d.owners = make(map[string]ledger.Owner)
 	}
-	d.owners[n.Batch] = n.Owner
+	d.owners[hint.Batch] = hint.Owner
 }
 
 func (d *Coordinator) forgetOwner(id string, owner ledger.Owner) {
--- a/internal/batch/coordinator/desk_test.go
+++ b/internal/batch/coordinator/desk_test.go
@@ -43,9 +43,9 @@
 func (silentPeers) Adopt(context.Context, string, string) error                  { return errSilent }
 func (silentPeers) Submit(context.Context, string, *submission.Submission) error { return errSilent }
 
-// newDesk returns the desk of instance "me" with peers that never answer, over a
+// newCoordinator returns the coordinator of instance "me" with peers that never answer, over a
 // key-value store with injected faults.
-func newDesk(t *testing.T, fault func(memorystore.Operation) memorystore.Fault) (*Coordinator, *memorystore.Store) {
+func newCoordinator(t *testing.T, fault func(memorystore.Operation) memorystore.Fault) (*Coordinator, *memorystore.Store) {
 	clock := timer.Real{}
 	store := &memorystore.Store{
 		Timer: clock,
@@ -84,7 +84,7 @@
 // it and does not answer, and then the key-value service is unavailable.
 func TestUnknownOutcomeAtHomeIsNotReportedAsNotRun(t *testing.T) {
 	is := is.New(t)
-	d, _ := newDesk(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
+	d, _ := newCoordinator(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
 	err := d.outcomeAfterHome(d.Accept(context.Background(), &submission.Submission{ID: "b"}, catalog.Route{}))
 	is.True(err != nil)
 	is.Equal(problem.From(err).Kind.Outcome, problem.Unknown)
@@ -94,10 +94,10 @@
 // that was read shows that there is no such batch.
 func TestNotFoundOnlyIfLedgerWasRead(t *testing.T) {
 	is := is.New(t)
-	d, _ := newDesk(t, nil)
+	d, _ := newCoordinator(t, nil)
 	_, err := d.Read(context.Background(), "nothing", 0, 0)
 	is.True(problem.Is(err, problem.NotFound))
-	unavailable, _ := newDesk(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
+	unavailable, _ := newCoordinator(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
 	_, err = unavailable.Read(context.Background(), "nothing", 0, 0)
 	is.True(problem.Is(err, problem.PlatformDown))
 }
@@ -107,7 +107,7 @@
 func TestBatchOfSilentOwnerIsReadFromLedger(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	d, store := newDesk(t, nil)
+	d, store := newCoordinator(t, nil)
 	owner := &ledger.Ledger{
 		Store: store,
 		Self:  ledger.Owner{Instance: "other", Incarnation: "1"},
@@ -174,7 +174,7 @@
 func TestLiveOwnerKeepsItsBatch(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	d, store := newDesk(t, nil)
+	d, store := newCoordinator(t, nil)
 	peers := livePeers{
 		asked: make(chan struct{}, 1),
 	}
@@ -226,7 +226,7 @@
 	is := is.New(t)
 	ctx := context.Background()
 	var down atomic.Bool
-	d, store := newDesk(t, func(memorystore.Operation) memorystore.Fault {
+	d, store := newCoordinator(t, func(memorystore.Operation) memorystore.Fault {
 		if down.Load() {
 			return memorystore.Down
 		}
@@ -247,7 +247,7 @@
 	defer func() { tb.Kill(nil); _ = tb.Wait() }()
 	claim := ledger.Claim{Batch: "b", Owner: ledger.Owner{Instance: "other", Incarnation: "1"}}
 	is.True(eventually(func() bool { return d.Registry.Present("other") }))
-	is.True(!d.orphan(claim))
+	is.True(!d.shouldTakeOver(claim))
 	cut, err := store.Grant(ctx, time.Hour)
 	is.NoErr(err)
 	_, err = store.Commit(ctx, keyvalue.Transaction{
@@ -261,7 +261,7 @@
 	timer.Wait(timer.Real{}, 2*time.Second, nil) // longer than an entry may be overdue
 	store.ExpireLease(lease)
 	down.Store(false)
-	is.True(eventually(func() bool { return d.orphan(claim) }))
+	is.True(eventually(func() bool { return d.shouldTakeOver(claim) }))
 	is.True(d.Registry.Present("other")) // still in the view
 }
 
@@ -273,7 +273,7 @@
 	is := is.New(t)
 	ctx := context.Background()
 	var failing atomic.Bool
-	d, _ := newDesk(t, func(c memorystore.Operation) memorystore.Fault {
+	d, _ := newCoordinator(t, func(c memorystore.Operation) memorystore.Fault {
 		if c == memorystore.Range && failing.CompareAndSwap(true, false) {
 			return memorystore.Down
 		}
@@ -306,7 +306,7 @@
 
 // Guards against a step that is late because one of the smallest instances ran its batch:
 // the home had just ended, and the instance that the batch reached accepted it itself. The
-// batch is forwarded to the next able instance first.
+// batch is forwarded to the next eligible instance first.
 func TestHomesIncludeTheNextAbleInstance(t *testing.T) {
 	is := is.New(t)
 	members := []registry.Member{
--- a/internal/batch/coordinator/end_test.go
+++ b/internal/batch/coordinator/end_test.go
@@ -39,7 +39,7 @@
 func TestNewOwnerIsToldOfTheEnd(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	d, store := newDesk(t, nil)
+	d, store := newCoordinator(t, nil)
 	other := &ledger.Ledger{
 		Store: store,
 		Self: ledger.Owner{
@@ -64,7 +64,7 @@
 func TestEndedBatchIsNotTakenOver(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	d, _ := newDesk(t, nil)
+	d, _ := newCoordinator(t, nil)
 	claim, err := d.Ledger.Accept(ctx, &submission.Submission{
 		ID: "b",
 	})
--- a/internal/batch/coordinator/peers.go
+++ b/internal/batch/coordinator/peers.go
@@ -36,12 +36,12 @@
 
 // Server serves the calls of other instances.
 type Server struct {
-	desk *Coordinator
+	coordinator *Coordinator
 }
 
 // Register registers the calls that other instances make to this one.
 func (d *Coordinator) Register(s *peer.Server) error {
-	return s.Register(serviceName, &Server{desk: d})
+	return s.Register(serviceName, &Server{coordinator: d})
 }
 
 // setNotHere carries runner.ErrNotRunHere, the only error that callers act on, in a
@@ -56,7 +56,7 @@
 
 // Read returns results of a batch that runs here.
 func (s *Server) Read(c *Call, r *Reply) error {
-	page, err := s.desk.readLocal(context.Background(), c.Batch, c.After, min(c.Wait, MaxReadWait))
+	page, err := s.coordinator.readLocal(context.Background(), c.Batch, c.After, min(c.Wait, MaxReadWait))
 	r.Page = page
 	return r.setNotHere(err)
 }
@@ -68,20 +68,20 @@
 	defer cancel()
 	var err error
 	if c.Item == "" {
-		if r.Page, err = s.desk.readLocal(ctx, c.Batch, c.After, 0); errors.Is(err, runner.ErrNotRunHere) {
-			r.Page, err = s.desk.readStored(ctx, c.Batch, c.After)
+		if r.Page, err = s.coordinator.readLocal(ctx, c.Batch, c.After, 0); errors.Is(err, runner.ErrNotRunHere) {
+			r.Page, err = s.coordinator.readStored(ctx, c.Batch, c.After)
 		}
 		return err
 	}
-	if r.Body, r.Found, err = s.desk.Runner.Body(c.Batch, c.Item); errors.Is(err, runner.ErrNotRunHere) {
-		r.Body, r.Found, err = s.desk.bodyStored(ctx, c.Batch, c.Item)
+	if r.Body, r.Found, err = s.coordinator.Runner.Body(c.Batch, c.Item); errors.Is(err, runner.ErrNotRunHere) {
+		r.Body, r.Found, err = s.coordinator.bodyStored(ctx, c.Batch, c.Item)
 	}
 	return err
 }
 
 // Body returns the body of an item of a batch that runs here.
 func (s *Server) Body(c *Call, r *Reply) error {
-	body, ok, err := s.desk.Runner.Body(c.Batch, c.Item)
+	body, ok, err := s.coordinator.Runner.Body(c.Batch, c.Item)
 	r.Body = body
 	r.Found = ok
 	return r.setNotHere(err)
@@ -91,12 +91,12 @@
 func (s *Server) End(c *Call, r *Reply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
 	defer cancel()
-	return r.setNotHere(s.desk.Runner.End(ctx, c.Batch))
+	return r.setNotHere(s.coordinator.Runner.End(ctx, c.Batch))
 }
 
 // Runs reports in Found whether the batch runs here.
 func (s *Server) Runs(c *Call, r *Reply) error {
-	r.Found = s.desk.Runner.Has(c.Batch)
+	r.Found = s.coordinator.Runner.Has(c.Batch)
 	return nil
 }
 
@@ -104,12 +104,12 @@
 func (s *Server) Adopt(c *Call, _ *Reply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	return s.desk.Adopt(ctx, c.Batch)
+	return s.coordinator.Adopt(ctx, c.Batch)
 }
 
 // Submit accepts a batch that another instance forwards.
 func (s *Server) Submit(sub *submission.Submission, r *Reply) error {
-	cfg := s.desk.Config.Current()
+	cfg := s.coordinator.Config.Current()
 	if cfg == nil {
 		return problem.NotReady.Withf("no configuration yet")
 	}
@@ -122,7 +122,7 @@
 	// does not know of it.
 	ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
 	defer cancel()
-	err := s.desk.Accept(ctx, sub, route)
+	err := s.coordinator.Accept(ctx, sub, route)
 	r.Prepared = errors.Is(err, ErrPrepared)
 	if r.Prepared {
 		return nil
@@ -131,8 +131,8 @@
 }
 
 // Hint records the owner of a batch.
-func (s *Server) Hint(n *OwnerHint, _ *Reply) error {
-	s.desk.RecordOwner(*n)
+func (s *Server) Hint(hint *OwnerHint, _ *Reply) error {
+	s.coordinator.RecordOwner(*hint)
 	return nil
 }
 
@@ -229,7 +229,7 @@
 }
 
 // Hint implements Peers.
-func (p *PeerClient) Hint(ctx context.Context, address string, n OwnerHint) error {
+func (p *PeerClient) Hint(ctx context.Context, address string, hint OwnerHint) error {
 	var r Reply
-	return p.Client.Call(ctx, address, serviceName+".Hint", &n, &r)
+	return p.Client.Call(ctx, address, serviceName+".Hint", &hint, &r)
 }
--- a/internal/batch/coordinator/prepare_test.go
+++ b/internal/batch/coordinator/prepare_test.go
@@ -32,7 +32,7 @@
 	is := is.New(t)
 	var down atomic.Bool
 	down.Store(true)
-	d, _ := newDesk(t, func(memorystore.Operation) memorystore.Fault {
+	d, _ := newCoordinator(t, func(memorystore.Operation) memorystore.Fault {
 		if down.Load() {
 			return memorystore.Down
 		}
@@ -69,7 +69,7 @@
 // Guards against an instance that accepts a step at once although its home has begun it.
 func TestHomeIsAskedTwiceBeforeBatchIsAcceptedElsewhere(t *testing.T) {
 	is := is.New(t)
-	d, _ := newDesk(t, nil)
+	d, _ := newCoordinator(t, nil)
 	var asked atomic.Int32
 	d.Peers = preparedHome{
 		asked: &asked,
--- a/internal/batch/coordinator/takeover.go
+++ b/internal/batch/coordinator/takeover.go
@@ -19,8 +19,9 @@
 const (
 	// sweepInterval is how often each instance looks for batches without a live
 	// owner, in a stale listing, which costs a tenth of a fresh one. The sweep finds
-	// batches that the notice of a death misses: of an owner that died just after it
-	// accepted one, or of an accepted write whose answer was lost.
+	// batches that are missed when an instance leaves the registry: those of an owner
+	// that died just after it accepted them, and those that were stored by a write
+	// whose answer was lost.
 	sweepInterval = 4 * time.Second
 	// goneDebounce is the pause before a sweep, so that the deaths of instances that
 	// die together cause only one.
@@ -81,8 +82,8 @@
 // After RecheckClaims it first drops the batches that this instance no longer owns.
 func (d *Coordinator) sweep(ctx context.Context, freshness keyvalue.Consistency) error {
 	if !d.Registry.Synced() || d.Leaving() || !d.Registry.Eligible() && len(d.Runner.Claims()) == 0 {
-		// Only able instances are successors; the sweep of any other would find nothing
-		// to take over.
+		// Only eligible instances are successors; the sweep of any other would find
+		// nothing to take over.
 		return nil
 	}
 	if d.Config.Current() == nil {
@@ -105,7 +106,7 @@
 		d.dropStaleClaims(claims)
 	}
 	for _, c := range claims {
-		if d.orphan(c) {
+		if d.shouldTakeOver(c) {
 			go d.takeOver(c)
 		}
 	}
@@ -131,9 +132,9 @@
 	}
 }
 
-// orphan reports whether this instance should take over a batch: it owns the batch and does
+// shouldTakeOver reports whether this instance should take over a batch: it owns the batch and does
 // not run it, or the owner is gone and this instance is its successor.
-func (d *Coordinator) orphan(c ledger.Claim) bool {
+func (d *Coordinator) shouldTakeOver(c ledger.Claim) bool {
 	if c.Owner == d.Ledger.Self {
 		return !d.Runner.Has(c.Batch)
 	}
@@ -144,16 +145,15 @@
 	return d.IsSuccessorOf(c.Owner.Instance)
 }
 
-// IsSuccessorOf reports whether this instance is the successor of another one, or is that
-// one itself. The successor alone lists the ledger after a death; if all instances
+// IsSuccessorOf reports whether this instance is the named instance or its successor. The successor alone lists the ledger after a death; if all instances
 // did, the number of listings would grow with the square of the fleet.
 func (d *Coordinator) IsSuccessorOf(name string) bool {
 	successor := FirstRanked(registry.Without(d.Registry.Members(), name), name)
 	return name == d.Ledger.Self.Instance || successor.Name == d.Ledger.Self.Instance
 }
 
-// FirstRanked returns the able instance that ranks first for a key by rendezvous hashing, or
-// a member without a name if no instance is able.
+// FirstRanked returns the eligible instance that ranks first for a key by rendezvous
+// hashing, or a member without a name if no instance is eligible.
 func FirstRanked(members []registry.Member, key string) registry.Member {
 	if first := registry.Ranked(members, key, 1); len(first) > 0 {
 		return first[0]
@@ -268,7 +268,7 @@
 }
 
 // HandOver gives the batches of this instance, which is stopping, to other instances,
-// with the results and texts that they have so far.
+// with the results and texts that it has of them so far.
 func (d *Coordinator) HandOver(ctx context.Context) {
 	for _, c := range d.Runner.Claims() {
 		to := FirstRanked(d.Registry.Members(), c.Batch)
--- a/internal/batch/coordinator/takeover_test.go
+++ b/internal/batch/coordinator/takeover_test.go
@@ -18,7 +18,7 @@
 func TestOnlyBatchesOfLostOwnerAreTakenOver(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	d, store := newDesk(t, nil)
+	d, store := newCoordinator(t, nil)
 	cfg := catalog.Configuration{
 		Version: 1,
 	}
