--- a/internal/batch/standby/copies.go
+++ b/internal/batch/standby/copies.go
@@ -23,7 +23,7 @@
 // send all of its batches again.
 var ErrGap = errors.New("events before these are missing")
 
-// Copy is what an owner has made of a batch and may not have stored yet.
+// Copy holds the results and texts of a batch that its owner may not have stored yet.
 type Copy struct {
 	Results  []submission.Result
 	Progress []submission.Progress
@@ -167,8 +167,8 @@
 	return found, true
 }
 
-// heardOwners returns the last heartbeat of each owner.
-func (c *Copies) heardOwners() []LastHeartbeat {
+// lastHeartbeats returns the last heartbeat of each owner.
+func (c *Copies) lastHeartbeats() []LastHeartbeat {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := make([]LastHeartbeat, 0, len(c.owners))
--- a/internal/batch/standby/doc.go
+++ b/internal/batch/standby/doc.go
@@ -5,7 +5,7 @@
 //	t.Go(func() error { return s.Run(t) })
 //	w := &standby.Watcher{Copies: copies, OnLost: takeOver, ...} // at each successor
 //	t.Go(func() error { return w.Run(t) })
-//	c, ok := copies.Find(batch)                                  // what the owner had made
+//	c, ok := copies.Find(batch)                                  // the owner's results and texts
 //
 // A Sender sends the changes of its batches to the successors of its instance several
 // times a second. The messages also serve as heartbeats. Copies holds what a successor
--- a/internal/batch/standby/finder.go
+++ b/internal/batch/standby/finder.go
@@ -3,7 +3,7 @@
 import "context"
 
 // Finder finds the copy of a batch at this instance, or else at its successors: a restarted
-// instance finds there what its previous incarnation had made.
+// instance finds there the results and texts of its previous incarnation.
 type Finder struct {
 	Copies     *Copies
 	Successors func() []string
--- a/internal/batch/standby/heartbeat.go
+++ b/internal/batch/standby/heartbeat.go
@@ -40,7 +40,7 @@
 	// Every is the time until the next heartbeat; 0 means that none follows and the owner
 	// is not watched any longer.
 	Every time.Duration
-	// Leaves means that this is the last heartbeat since the owner stops.
+	// Leaves means that the owner stops and that this is its last heartbeat.
 	Leaves bool
 	Deltas []BatchDelta
 	// UnixMicro is the sender's time of day, in microseconds since the start of 1970.
--- a/internal/batch/standby/watcher.go
+++ b/internal/batch/standby/watcher.go
@@ -22,7 +22,7 @@
 	// watchInterval is how often the time since each owner's last heartbeat is checked.
 	watchInterval = 100 * time.Millisecond
 	// successorDelay is how much later the second successor acts than the first, and so on,
-	// since one of them is enough.
+	// since it is enough that one of them acts.
 	successorDelay = 500 * time.Millisecond
 	// revokeTimeout bounds revoking the lease of a lost owner.
 	revokeTimeout = 600 * time.Millisecond
@@ -77,7 +77,7 @@
 func (w *Watcher) checkOwners(ctx context.Context) bool {
 	watching := false
 	now := w.Timer.Now()
-	for _, h := range w.Copies.heardOwners() {
+	for _, h := range w.Copies.lastHeartbeats() {
 		if h.Heartbeat.Every == 0 && !h.Heartbeat.Leaves {
 			w.Copies.forgetOwner(h.Heartbeat.Owner)
 			continue
@@ -95,7 +95,7 @@
 			Leaves:  h.Heartbeat.Leaves && now.Sub(h.At) > askPause,
 		}
 		if e.Suspect() && w.LeaseValid() && w.startInquiry(h.Heartbeat.Owner.Instance) {
-			go w.judgeOwner(ctx, h, e)
+			go w.runInquiry(ctx, h, e)
 		}
 	}
 	return watching
@@ -122,8 +122,8 @@
 	delete(w.inquiries, instance)
 }
 
-// judgeOwner asks an owner, has observers ask it, and takes over from it if it is lost.
-func (w *Watcher) judgeOwner(ctx context.Context, h LastHeartbeat, e Evidence) {
+// runInquiry asks an owner, has the observers ask it, and replaces it if it is lost.
+func (w *Watcher) runInquiry(ctx context.Context, h LastHeartbeat, e Evidence) {
 	owner := h.Heartbeat.Owner
 	defer w.finishInquiry(owner.Instance)
 	e = w.askAll(ctx, owner, e)
@@ -167,8 +167,8 @@
 	return e
 }
 
-// replaceOwner revokes the lease of a lost owner, so that the owner can't go on as if it had
-// its batches, and has the batches taken over.
+// replaceOwner revokes the lease of a lost owner, so that the owner can't go on as if it still
+// owned its batches, and calls OnLost to have the batches taken over.
 func (w *Watcher) replaceOwner(ctx context.Context, h LastHeartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
