--- a/internal/batch/runner/backoff.go
+++ b/internal/batch/runner/backoff.go
@@ -7,11 +7,11 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// The limits of the delay of an item that keeps losing its engines.
+// The limits of the delay of an item whose engines keep crashing.
 const (
-	// toleratedLosses is how many engines in a row may be lost under an item,
-	// without an event of it, before it is delayed: so many may be lost by
-	// chance.
+	// toleratedLosses is how many engines in a row an item may lose before it is
+	// delayed. An engine counts as lost if its response broke off before any event
+	// of the item. That many engines can be lost by chance.
 	toleratedLosses = 3
 	// initialBackoff is the first delay. Each further loss doubles it up to
 	// maxBackoff, which is still short compared with the time of a step.
@@ -19,16 +19,16 @@
 	maxBackoff     = 4 * time.Second
 )
 
-// backoff counts how often an item has lost its engine in a row, and delays it.
-// The item itself may crash the engines: it would go to the next one as fast as
-// they come back. Its zero value delays nothing.
+// backoff counts how many engines in a row an item has lost, and delays the item.
+// The item itself may crash the engines; without a delay it would crash one after
+// the other as fast as they come back. Its zero value delays nothing.
 type backoff struct {
 	losses int
 	until  timer.Instant
 }
 
-// engineLost records that an engine was lost under the item without an event of
-// it.
+// engineLost records that an engine's response broke off before any event of the
+// item.
 func (s *backoff) engineLost(now timer.Instant) {
 	s.losses++
 	if s.losses <= toleratedLosses {
--- a/internal/batch/runner/changes.go
+++ b/internal/batch/runner/changes.go
@@ -10,7 +10,8 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// CopyFinder finds the copy of what an earlier owner had made of a batch.
+// CopyFinder finds the copy of the results and texts that an earlier owner of a
+// batch had.
 type CopyFinder interface {
 	Find(ctx context.Context, batch string) standby.Copy
 }
--- a/internal/batch/runner/doc.go
+++ b/internal/batch/runner/doc.go
@@ -8,7 +8,7 @@
 // the events of the item's text from an engine. If the stream breaks or falls
 // behind, the item continues at another engine after its last complete event.
 // The Scorer scores a finished text; its result is then written to the ledger
-// and only after that listed for reads, because what was read once must be
-// there after any crash. If the owner of a batch is lost, another process takes
+// and only after that listed for reads, because a result that was read once must
+// still be there after any crash. If the owner of a batch is lost, another process takes
 // the batch over with what the ledger and the copies at its successors hold.
 package runner
--- a/internal/batch/runner/engines.go
+++ b/internal/batch/runner/engines.go
@@ -15,12 +15,12 @@
 	u *catalog.Upstream
 }
 
-// EngineAssignment tells which engines are assigned to which model while several models
-// are in use.
+// EngineAssignment tells which engines are assigned to which model while several
+// models are in use.
 type EngineAssignment interface {
-	// ModelsByEngine returns the model that each engine of a service is assigned to, by the
-	// engine's ID, or nil if every engine serves all models. sure says that this
-	// instance has heard of the current steps of all models by now.
+	// ModelsByEngine returns the model that each engine of a service is assigned to, by
+	// the engine's ID, or nil if every engine serves all models. sure says that by now
+	// this instance knows the current steps of all models.
 	ModelsByEngine(service string, sure bool) map[string]string
 }
 
@@ -36,9 +36,9 @@
 	return r.EngineAssignment.ModelsByEngine(b.service, now.Sub(b.startedAt) >= stepPropagationTime)
 }
 
-// isLent reports whether an engine that is assigned to the given model is only
-// lent to the batch.
-func (b *Batch) isLent(model string) bool { return model != "" && model != b.sub.Model }
+// isOtherModel reports whether an engine that is assigned to the given model is
+// assigned to another one than the batch's.
+func (b *Batch) isOtherModel(model string) bool { return model != "" && model != b.sub.Model }
 
 // freeSlots returns how many more requests an engine takes. One that refused a
 // request a moment ago takes none.
@@ -101,7 +101,7 @@
 				SameFailureDomain: u.FailureDomain == r.FailureDomain,
 				Memory:            memory,
 				Reserved:          u.Reserved(),
-				OtherModel:        b.isLent(models[u.ID]),
+				OtherModel:        b.isOtherModel(models[u.ID]),
 				ReportAge:         reportAge(u, now),
 			},
 			u: u,
--- a/internal/batch/runner/estimate.go
+++ b/internal/batch/runner/estimate.go
@@ -15,7 +15,7 @@
 		return
 	}
 	e := schedule.StepEnd{
-		MissingGroups: b.sub.WantedGroups - b.completeGroups,
+		MissingGroups: b.sub.WantedGroups - b.wholeGroups,
 	}
 	for group, left := range r.groupTimesLeft(b, now) {
 		if b.carriedOver[group] {
@@ -30,7 +30,7 @@
 }
 
 // groupTimesLeft returns the time until each unfinished group is expected to be
-// complete. The caller holds b.mu.
+// whole. The caller holds b.mu.
 func (r *Runner) groupTimesLeft(b *Batch, now timer.Instant) map[string]time.Duration {
 	groups := make(map[string]time.Duration)
 	for _, t := range b.tasks {
--- a/internal/batch/runner/prepare_test.go
+++ b/internal/batch/runner/prepare_test.go
@@ -102,14 +102,14 @@
 	is.Equal(len(b.generator.calls), 1) // generated once
 }
 
-// endingSpace ends a batch just before it is read.
-type endingSpace struct {
+// endingStore ends a batch just before it is read.
+type endingStore struct {
 	*memorystore.Store
 	endBatch func()
 }
 
 // Range implements keyvalue.TransactionalStore.
-func (s *endingSpace) Range(ctx context.Context, prefix string, f keyvalue.Consistency) (keyvalue.Listing, error) {
+func (s *endingStore) Range(ctx context.Context, prefix string, f keyvalue.Consistency) (keyvalue.Listing, error) {
 	s.endBatch()
 	return s.Store.Range(ctx, prefix, f)
 }
@@ -125,7 +125,7 @@
 	l := *b.runner.Ledger
 	_, err := l.Accept(ctx, sub)
 	is.NoErr(err)
-	b.runner.Ledger.Store = &endingSpace{
+	b.runner.Ledger.Store = &endingStore{
 		Store:    b.store,
 		endBatch: func() { is.NoErr(l.End(ctx, "b", time.Now())) },
 	}
--- a/internal/batch/runner/rank.go
+++ b/internal/batch/runner/rank.go
@@ -14,7 +14,7 @@
 const rankInterval = 200 * time.Millisecond
 
 // rankQueue orders the queue of a batch; the order depends on whether the step can
-// be complete in time. earlierWork is the work of earlier steps of the same model;
+// complete in time. earlierWork is the work of earlier steps of the same model;
 // rankQueue returns the sum of it and the work of this step. The caller holds b.mu.
 func (r *Runner) rankQueue(b *Batch, earlierWork time.Duration, now timer.Instant) time.Duration {
 	if b.sub.WantedGroups == 0 || b.route.ResultDeadline <= 0 || b.medianPace <= 0 || !r.lengths.Known() {
@@ -24,7 +24,7 @@
 	groupIndex, groups := r.groupWork(b, now)
 	load := schedule.Load{
 		Groups:        groups,
-		MissingGroups: b.sub.WantedGroups - b.completeGroups,
+		MissingGroups: b.sub.WantedGroups - b.wholeGroups,
 		Slots:         r.totalSlots(b, now),
 		OtherWork:     earlierWork,
 		UntilDue:      b.route.ResultDeadline - b.age(now),
@@ -68,7 +68,7 @@
 }
 
 // groupWork returns the remaining work of each unfinished group, and the index of
-// each group there by its name. The caller holds b.mu.
+// each group in that list by its name. The caller holds b.mu.
 func (r *Runner) groupWork(b *Batch, now timer.Instant) (map[string]int, []schedule.GroupWork) {
 	groupIndex := make(map[string]int)
 	var groups []schedule.GroupWork
@@ -101,7 +101,7 @@
 	for _, u := range r.Book.Group(b.service).Upstreams {
 		if u.Usable(now) && u.ModelVersion(b.sub.Model)+1 >= b.sub.OldestVersion {
 			all += max(1, u.Slots)
-			if !b.isLent(models[u.ID]) {
+			if !b.isOtherModel(models[u.ID]) {
 				own += max(1, u.Slots)
 			}
 		}
--- a/internal/batch/runner/rank_test.go
+++ b/internal/batch/runner/rank_test.go
@@ -13,7 +13,7 @@
 
 // A trainer submits three times the work that its engines can do in time. The
 // items of the group with the least work must run first, although others are
-// longer: started longest first across all groups, no group would be complete
+// longer: started longest first across all groups, no group would be whole
 // when the step is due. There is no time for the other groups, which follow
 // longest first.
 func TestOverloadedStepRunsGroupByGroup(t *testing.T) {
--- a/internal/batch/runner/read.go
+++ b/internal/batch/runner/read.go
@@ -18,7 +18,7 @@
 }
 
 const (
-	// maxPageBytes limits a page, which may have a megabyte. A trainer reads
+	// maxPageBytes limits a page; callers accept up to a megabyte. A trainer reads
 	// twice a second: results at the end of its step that do not fit one page are
 	// read half a second later.
 	maxPageBytes = 900 << 10
@@ -230,8 +230,8 @@
 // releaseReads answers the waiting reads early if the reads that follow them are
 // the ones that should wait when the step ends. The caller holds b.mu.
 func (b *Batch) releaseReads(now timer.Instant) {
-	// Pending results are written and listed for the same reason, which answers
-	// the reads as well.
+	// If there are pending results, AnswerEarly has them written and listed, which
+	// answers the reads as well.
 	if len(b.pending) == 0 && b.describeRead(now).AnswerEarly() {
 		b.releases++
 		clear(b.waitingReads)
--- a/internal/batch/runner/reward.go
+++ b/internal/batch/runner/reward.go
@@ -17,8 +17,8 @@
 // The pauses before a reward call is repeated.
 const (
 	rewardRetryPause = 100 * time.Millisecond
-	// quarantineRetryPause follows a call that is refused because upstreams crash
-	// while they run it. The quarantine may end sooner than the refusal says.
+	// quarantineRetryPause follows a call that is refused as a quarantined poison
+	// request, which upstreams crash on. The quarantine may end sooner than the refusal says.
 	quarantineRetryPause = time.Second
 )
 
@@ -29,8 +29,8 @@
 	Timer     timer.Service
 }
 
-// Score implements Scorer. It repeats the call until it is answered with a proof,
-// or until upstreams have failed it as often as its route allows.
+// Score implements Scorer. It repeats the call until it succeeds, or until upstreams
+// have failed it as often as its route allows.
 func (s *RewardScorer) Score(ctx context.Context, reward *submission.Reward) (string, error) {
 	failures := 0
 	for {
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -46,7 +46,7 @@
 	Generate(ctx context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error
 }
 
-// Scorer scores a finished text and returns the proof of its score, or
+// Scorer scores a finished text and returns the signature of its score, or
 // engine.ErrAttemptFailed if the call has failed for good.
 type Scorer interface {
 	Score(ctx context.Context, reward *submission.Reward) (string, error)
@@ -67,8 +67,8 @@
 	// EngineAssignment assigns engines to models; if it is nil, every engine serves all
 	// models.
 	EngineAssignment EngineAssignment
-	// CopyFinder finds what an earlier owner of a batch had made; if it is nil,
-	// nothing is found.
+	// CopyFinder finds the results and texts that an earlier owner of a batch had;
+	// if it is nil, nothing is found.
 	CopyFinder CopyFinder
 
 	// lengths converts estimates in tokens to events, scoring estimates the time
@@ -87,8 +87,8 @@
 	r.tomb.Go(r.watch)
 }
 
-// Stop ends all work at once. What was not written is run again by the next
-// owner.
+// Stop ends all work at once. Items whose results were not written are run again by
+// the next owner.
 func (r *Runner) Stop() {
 	r.tomb.Kill(nil)
 	r.mu.Lock()
@@ -238,8 +238,8 @@
 	go r.writeLoop(b)
 }
 
-// HandOver stops a batch here and makes another process its owner, with all that
-// was made of it.
+// HandOver stops a batch here and makes another process its owner, with the results
+// and texts so far.
 func (r *Runner) HandOver(ctx context.Context, id string, to ledger.Owner) error {
 	b := r.find(id)
 	if b == nil {
@@ -333,10 +333,10 @@
 		r.Journal.Decision("end", log.Fields{
 			"request_id": id,
 			"unfinished": open,
-			"whole":      b.completeGroups,
+			"whole":      b.wholeGroups,
 			"wanted":     b.sub.WantedGroups,
 			// How the time of a step was spent: until the groups that the trainer
-			// waits for were complete, until they could be read, and until the
+			// waits for were whole, until they could be read, and until the
 			// trainer ended the batch.
 			"critical":    b.criticalItem,
 			"made_ms":     b.msSinceStart(b.stepDoneAt),
--- a/internal/batch/runner/runner_test.go
+++ b/internal/batch/runner/runner_test.go
@@ -174,7 +174,7 @@
 
 // An engine breaks off a stream in the middle. The text continues at another
 // engine after the last complete event: the trainer must find each event once,
-// and the versions that made them.
+// and the versions that generated them.
 func TestTextContinuesAtAnotherEngine(t *testing.T) {
 	is := is.New(t)
 	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
@@ -238,7 +238,7 @@
 }
 
 // An item fails on every run. After the attempts of its route it must be listed
-// as dead and not sent again; its group is complete all the same.
+// as dead and not sent again; its group is whole all the same.
 func TestFailingItemEndsDead(t *testing.T) {
 	is := is.New(t)
 	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
@@ -260,14 +260,14 @@
 	is.Equal(len(b.generator.calls), 3) // two attempts at bad and one at good
 }
 
-// slowSpace is a key-value service whose writes of results take long.
-type slowSpace struct {
+// slowStore is a key-value service whose writes of results take long.
+type slowStore struct {
 	*memorystore.Store
 	started, proceed chan struct{}
 }
 
 // Commit implements keyvalue.TransactionalStore.
-func (s *slowSpace) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
+func (s *slowStore) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
 	if len(tx.Writes) > 0 && strings.Contains(tx.Writes[0].Key, "/result/") {
 		s.started <- struct{}{}
 		<-s.proceed
@@ -279,16 +279,16 @@
 	return s.Store.Commit(ctx, tx)
 }
 
-// lossySpace is a key-value service that carries out all writes but loses the
+// lossyStore is a key-value service that carries out all writes but loses the
 // answers to the first writes of results.
-type lossySpace struct {
+type lossyStore struct {
 	*memorystore.Store
 	mu            sync.Mutex
 	repliesToLose int
 }
 
 // Commit implements keyvalue.TransactionalStore.
-func (f *lossySpace) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
+func (f *lossyStore) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
 	rev, err := f.Store.Commit(ctx, tx)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -308,7 +308,7 @@
 	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		return emitEvents(0, 1, 5, emit)
 	})
-	b.runner.Ledger.Store = &lossySpace{
+	b.runner.Ledger.Store = &lossyStore{
 		Store:         b.store,
 		repliesToLose: 20,
 	}
@@ -336,7 +336,7 @@
 	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		return emitEvents(0, 1, 5, emit)
 	})
-	store := &slowSpace{
+	store := &slowStore{
 		Store:   b.store,
 		started: make(chan struct{}),
 		proceed: make(chan struct{}),
--- a/internal/batch/runner/task.go
+++ b/internal/batch/runner/task.go
@@ -25,7 +25,7 @@
 type Event struct {
 	Number int
 	Data   string
-	// Version is the weight version that made the event.
+	// Version is the weight version that generated the event.
 	Version uint64
 }
 
@@ -36,7 +36,7 @@
 	Route catalog.Route
 	// After is the number of the last event that is known; 0 if there is none.
 	After int
-	// OldestVersion is the oldest weight version that may make events.
+	// OldestVersion is the oldest weight version that may generate events.
 	OldestVersion uint64
 	// TimeLeft is the time until the item is given up.
 	TimeLeft time.Duration
@@ -55,7 +55,7 @@
 	events []string
 	// lastEvent is the number of the last event; 0 if there is none.
 	lastEvent int
-	// versions are the weight versions that made the events, each once, in order
+	// versions are the weight versions that generated the events, each once, in order
 	// of first use.
 	versions []uint64
 	failures int
@@ -70,8 +70,7 @@
 	// movedFrom is the engine that the item was last moved away from.
 	movedFrom *catalog.Upstream
 	// attemptStart is when the attempt began, lastEventAt when its last event
-	// came (at first, when it began), and attemptEvents how many events it has
-	// made.
+	// came (at first, when it began), and attemptEvents the number of its events.
 	attemptStart  timer.Instant
 	lastEventAt   timer.Instant
 	attemptEvents int
@@ -80,7 +79,7 @@
 	paceMark   int
 	paceMarkAt timer.Instant
 	// moving says that the attempt was cancelled to move the item, stalled that
-	// it had stalled then.
+	// its stream had stalled by then.
 	moving  bool
 	stalled bool
 	// final is the result once the item is finished; stored says that it is
@@ -88,7 +87,7 @@
 	final   *submission.Result
 	stored  bool
 	timings timings
-	// backoff delays the item after engines were lost under it.
+	// backoff delays the item after it has lost several engines in a row.
 	backoff backoff
 }
 
--- a/internal/batch/runner/watch.go
+++ b/internal/batch/runner/watch.go
@@ -58,7 +58,7 @@
 	return active
 }
 
-// checkBatch does what is due for one batch: it gives up overdue items, orders
+// checkBatch does the periodic work for one batch: it gives up overdue items, orders
 // the queue, answers waiting reads and moves streams that fell behind. It reports
 // whether the batch still needs work. workByModel is the work of earlier steps by
 // model; that of this step is added.
