--- a/internal/batch/schedule/end.go
+++ b/internal/batch/schedule/end.go
@@ -7,7 +7,7 @@
 
 // StepEnd describes the unfinished groups of a step, to estimate when the step ends.
 type StepEnd struct {
-	// Groups has the expected time until each group is whole, without those in CarriedOver.
+	// Groups has the expected time until each group is whole, except for those in CarriedOver.
 	Groups []time.Duration
 	// CarriedOver has the same for groups that are carried over from an earlier step; the
 	// trainer waits for each of them.
--- a/internal/batch/schedule/lengths.go
+++ b/internal/batch/schedule/lengths.go
@@ -39,8 +39,8 @@
 	l.events += float64(events)
 }
 
-// RecordLimited records the number of events of an item that was allowed the given number of
-// tokens.
+// RecordLimited records the number of events of an item that was allowed the given number
+// of tokens.
 func (l *Lengths) RecordLimited(allowed, events int) {
 	if allowed <= 0 {
 		return
@@ -50,8 +50,8 @@
 	l.maxEventsPerToken = max(l.maxEventsPerToken, float64(events)/float64(allowed))
 }
 
-// MaxEvents returns the largest number of events of an item that is allowed the given number
-// of tokens, 0 if unknown. Items that end at their token limit reach it.
+// MaxEvents returns the largest number of events of an item that is allowed the given
+// number of tokens, 0 if unknown. Items that end at their token limit reach it.
 func (l *Lengths) MaxEvents(allowed int) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/batch/schedule/place.go
+++ b/internal/batch/schedule/place.go
@@ -26,26 +26,26 @@
 	ReportAge time.Duration
 }
 
-// maxLentReportAge is the greatest age of a load report that still shows free slots at
+// maxOtherModelReportAge is the greatest age of a load report that still shows free slots at
 // an engine of another model.
-const maxLentReportAge = time.Second
+const maxOtherModelReportAge = time.Second
 
 // crowdedItemsPerSlot is the number of unfinished items per slot above which a step
 // crowds the engines of its model.
 const crowdedItemsPerSlot = 2
 
-// CrowdsOwnEngines reports whether a step with the given number of unfinished items is restricted
-// to the engines of its model, which have the given number of slots. Steps of several
+// CrowdsOwnEngines reports whether a step with the given number of unfinished items is
+// restricted to the engines of its model, which have the given number of slots. Steps of several
 // models begin at the same moment, and the instances that run them don't know yet what
 // the others send: if each filled all engines, the engines would get several times the
 // streams that they have slots for, with long ones behind short ones. A smaller step is
 // better off with the fastest of all engines.
 func CrowdsOwnEngines(items, slots int) bool { return slots > 0 && items > crowdedItemsPerSlot*slots }
 
-// OpenToCrowdedStep reports whether a step that crowds its own engines may send an item to e: e is
-// not lent, or has recently reported a free slot.
+// OpenToCrowdedStep reports whether a step that crowds its own engines may send an item to
+// e: e is not assigned to another model, or has recently reported a free slot.
 func (e Engine) OpenToCrowdedStep() bool {
-	return !e.OtherModel || e.ReportAge <= maxLentReportAge && e.FreeSlots >= 1
+	return !e.OtherModel || e.ReportAge <= maxOtherModelReportAge && e.FreeSlots >= 1
 }
 
 // Weights of the cost of a placement, as fractions of the typical pace.
@@ -174,7 +174,7 @@
 	// SinceLastEvent is the time since the last event, or since the attempt began.
 	SinceLastEvent time.Duration
 	// Ran is the time since the attempt began, and Events the number of events that it
-	// made.
+	// had.
 	Ran    time.Duration
 	Events int
 	// TotalEvents is the number of events that the item has in total, from all attempts.
@@ -206,26 +206,26 @@
 	minPaceEvents = 4
 	// slowStreamFactor is how many times slower than typical a stream must be to move.
 	slowStreamFactor = 2.2
-	// maxMoves bounds the moves of one item; an item that was moved that often fails at
-	// every engine.
+	// maxMoves bounds the moves of one item. An item that was moved that often is
+	// presumed to fail at every engine.
 	maxMoves = 8
 	// minPaceRatio is how many times slower than the other engine a stream's own must be
 	// for an optional move; the paces of equal engines differ by less.
 	minPaceRatio = 1.15
-	// minGain is the time that an optional move must save: the text is read again, and
-	// once more after a move that was wrong.
+	// minGain is the time that an optional move must save. Each move makes an engine read
+	// the text again, and a wrong one is followed by another move.
 	minGain = 250 * time.Millisecond
 	// maxOptionalMoves is the number of moves of any kind after which an item makes no
 	// more optional ones.
 	maxOptionalMoves = 3
-	// longTailShare is the least share of the events already made that is expected to
-	// follow, also when an item is beyond its estimate. Lengths have a long tail: the
+	// longTailShare is the least number of further events that is expected, as a share of
+	// the events so far, also when an item is beyond its estimate. Lengths have a long tail: the
 	// longer a text is, the more is still to come.
 	longTailShare = 0.5
 )
 
-// ShouldMove reports whether an attempt should move to another engine because its own engine
-// fails it: its stream is stalled or much slower than typical. interval is the typical
+// ShouldMove reports whether an attempt should move to another engine because its stream is
+// stalled or much slower than typical. interval is the typical
 // time between events, 0 if unknown; hasFreeEngine reports whether an engine that is not
 // slow has a free slot.
 func ShouldMove(p Progress, interval time.Duration, hasFreeEngine bool) bool {
--- a/internal/batch/schedule/place_test.go
+++ b/internal/batch/schedule/place_test.go
@@ -270,7 +270,7 @@
 	is.True(Engine{}.OpenToCrowdedStep())
 	is.Equal(Engine{OtherModel: true, FreeSlots: 3, ReportAge: time.Hour}.OpenToCrowdedStep(), false)
 	is.Equal(Engine{OtherModel: true, FreeSlots: 0.5, ReportAge: 0}.OpenToCrowdedStep(), false)
-	is.True(Engine{OtherModel: true, FreeSlots: 1, ReportAge: maxLentReportAge}.OpenToCrowdedStep())
+	is.True(Engine{OtherModel: true, FreeSlots: 1, ReportAge: maxOtherModelReportAge}.OpenToCrowdedStep())
 }
 
 // Guards against a step with few items that stays at older engines while fast ones of
--- a/internal/batch/schedule/read.go
+++ b/internal/batch/schedule/read.go
@@ -14,9 +14,9 @@
 	minReadWait = 550 * time.Millisecond
 	// maxReadWait is how long a read waits for results at most.
 	maxReadWait = time.Second
-	// earlyAnswerLead is how long before the expected end of the step the last read
-	// before it is answered at the earliest. The next read has then waited that long at
-	// the end, between minReadWait and maxReadWait, since the estimate of the end may be
+	// earlyAnswerLead is the longest time before the expected end of the step at which a
+	// read is answered early. The next read has then waited that long when the step ends.
+	// It lies between minReadWait and maxReadWait, since the estimate of the end may be
 	// off in both directions.
 	earlyAnswerLead = 800 * time.Millisecond
 )
@@ -29,8 +29,8 @@
 	UntilEnd time.Duration
 }
 
-// AnswerEarly reports whether the read is answered now with the results that there are, so that
-// the next read has waited at least minReadWait when the step ends. If the read reached
+// AnswerEarly reports whether the read is answered now with the results that there are, so
+// that the next read has waited at least minReadWait when the step ends. If the read reached
 // its longest wait just before the end instead, the trainer would process the answer of
 // the next one only half a second after that began, and would be idle meanwhile.
 func (r PendingRead) AnswerEarly() bool {
--- a/internal/batch/schedule/schedule.go
+++ b/internal/batch/schedule/schedule.go
@@ -7,8 +7,8 @@
 )
 
 // Order returns the indexes of items in the order in which they begin, longest first.
-// The length of an item is the caller's estimate or, if that is larger, the number of
-// tokens in least, which has by item ID what items are known to have at least. A long
+// The length of an item is the caller's estimate or, if that is larger, its number in
+// least, which holds the fewest tokens that an item can have, by item ID. A long
 // item alone takes as long as the whole step has; begun last, it would make the step
 // late. Items that are carried over from an earlier step are known to be long, since
 // they held that step up.
--- a/internal/batch/schedule/scoring.go
+++ b/internal/batch/schedule/scoring.go
@@ -32,8 +32,8 @@
 	s.average += time.Duration(scoringWeight * float64(d-s.average))
 }
 
-// Left returns how much longer a reward call is expected to take that was sent the given
-// time ago, 0 if no call is known.
+// Left returns how much longer a reward call that was sent the given time ago is expected
+// to take, 0 if no call was recorded yet.
 func (s *ScoringTime) Left(elapsed time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/batch/schedule/write.go
+++ b/internal/batch/schedule/write.go
@@ -39,13 +39,13 @@
 	// preferredWriteAge is the age of the oldest result from which on results are
 	// written as soon as that does not make the trainer pause; maxWriteAge is the age
 	// from which on they are always written. This bounds what is lost when an instance
-	// ends.
+	// crashes.
 	preferredWriteAge = 1200 * time.Millisecond
 	maxWriteAge       = 2 * time.Second
 	// nearEndWriteAge is the age from which on results are written close to the end of a
 	// step, where they answer no read. The unfinished texts that are stored with them
-	// are the longest of the step, and would have to be made again after a restart of
-	// all instances.
+	// are the longest of the step, and would have to be generated again after a restart
+	// of all instances.
 	nearEndWriteAge = 600 * time.Millisecond
 	// nearEndGroups is how many groups before the end of a step reads are no longer
 	// answered with results that don't end it: a read that finds nothing is repeated at
@@ -69,8 +69,8 @@
 	return p.WantedGroups > 0 && p.WholeGroups+nearEndGroups >= p.WantedGroups
 }
 
-// ShouldAnswerReads reports whether waiting reads are answered with results that were just listed.
-// Close to the end of a step they keep waiting for the results that end it: answered
+// ShouldAnswerReads reports whether waiting reads are answered with results that were just
+// listed. Close to the end of a step they keep waiting for the results that end it: answered
 // with results that were written only because of their age, the trainer would pause just
 // when the step ends.
 func ShouldAnswerReads(p Pending) bool {
--- a/internal/batch/schedule/write_test.go
+++ b/internal/batch/schedule/write_test.go
@@ -23,8 +23,8 @@
 	// too late.
 	is.Equal(ShouldWrite(Pending{Results: 1, WantedGroups: 9, WholeGroups: 7, Reading: PendingRead{Waited: minReadWaitToWrite, UntilEnd: 2 * time.Second}}), false)
 	is.True(ShouldWrite(Pending{Results: 1, WantedGroups: 9, WholeGroups: 6, Reading: PendingRead{Waited: minReadWaitToWrite, UntilEnd: 2 * time.Second}}))
-	// Long unfinished texts are stored, or they would be made again after a restart of
-	// all instances.
+	// Long unfinished texts are stored, or they would be generated again after a restart
+	// of all instances.
 	is.True(ShouldWrite(Pending{Results: 1, WantedGroups: 9, WholeGroups: 7, OldestAge: nearEndWriteAge}))
 	is.True(ShouldAnswerReads(Pending{WantedGroups: 9, WholeGroups: 6}))
 	is.Equal(ShouldAnswerReads(Pending{WantedGroups: 9, WholeGroups: 7}), false)
