--- a/internal/batch/ledger/append.go
+++ b/internal/batch/ledger/append.go
@@ -64,8 +64,8 @@
 	return chunk, err
 }
 
-// resultOverheadBytes is the size of a stored result without its text: its names,
-// versions and score.
+// resultOverheadBytes is the size of a stored result without its text: field names,
+// the item's ID, versions and score.
 const resultOverheadBytes = 256
 
 // ChunkLen returns how many of the leading results make one chunk: as many as fit into
@@ -85,8 +85,8 @@
 const eventOverheadBytes = 4
 
 // fittingProgress returns the leading entries that fit into one value together. The
-// others are made again if the instance that owns the batch is lost; the longest come
-// first, as the step waits for them.
+// others are generated again if the instance that owns the batch is lost. The longest
+// come first, as the step waits for them.
 func fittingProgress(progress []submission.Progress) []submission.Progress {
 	size := 0
 	for i, p := range progress {
--- a/internal/batch/ledger/ledger.go
+++ b/internal/batch/ledger/ledger.go
@@ -42,8 +42,8 @@
 	ErrExists = errors.New("the batch was accepted before")
 	// ErrUnknown means that there is no such batch.
 	ErrUnknown = errors.New("no such batch")
-	// ErrOutcomeUnknown means that the outcome of a write is unknown: it may be done, or may
-	// still be done later.
+	// ErrOutcomeUnknown means that the outcome of a write is unknown: it may have been done,
+	// or may still be done later.
 	ErrOutcomeUnknown = errors.New("it is not known whether the write was done")
 	// ErrFenced means that another process owns the batch now, or that the batch is
 	// ended.
@@ -67,8 +67,8 @@
 	// Chunks is the number of chunks of results that the holder of the claim has written
 	// or read.
 	Chunks int
-	// AlreadyAccepted reports that Accept found the batch in the ledger, accepted by this process
-	// before, so that results may be stored already.
+	// AlreadyAccepted reports that Accept found the batch in the ledger, accepted by this
+	// process before, so that results may be stored already.
 	AlreadyAccepted bool
 }
 
@@ -78,7 +78,7 @@
 	Results    []submission.Result
 	Progress   []submission.Progress
 	Chunks     int
-	// Ended reports that nothing of the batch changes any more.
+	// Ended reports that the batch is ended and does not change any more.
 	Ended bool
 }
 
--- a/internal/batch/ledger/proof_test.go
+++ b/internal/batch/ledger/proof_test.go
@@ -18,11 +18,11 @@
 	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
-// unconditionalSpace is a key-value service that ignores the conditions of transactions.
-type unconditionalSpace struct{ *memorystore.Store }
+// unconditionalStore is a key-value service that ignores the conditions of transactions.
+type unconditionalStore struct{ *memorystore.Store }
 
 // Commit implements keyvalue.TransactionalStore.
-func (c unconditionalSpace) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
+func (c unconditionalStore) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
 	tx.Expects = nil
 	return c.Store.Commit(ctx, tx)
 }
@@ -168,6 +168,6 @@
 // an owner that was paused overwrites what its successor has listed.
 func TestPositionsChangeWithoutConditions(t *testing.T) {
 	property.CheckFails(t, func(t *rapid.T) {
-		runHistory(t, func(s *memorystore.Store) keyvalue.TransactionalStore { return unconditionalSpace{s} })
+		runHistory(t, func(s *memorystore.Store) keyvalue.TransactionalStore { return unconditionalStore{s} })
 	})
 }
