--- a/internal/batch/steptime/account_test.go
+++ b/internal/batch/steptime/account_test.go
@@ -11,9 +11,9 @@
 	"github.com/matryer/is"
 )
 
-// readDay reads recorded log lines of four steps: two that ran while all instances were
+// readReport reads recorded log lines of four steps: two that ran while all instances were
 // killed, one whose items waited for engines, and one that never ended.
-func readDay(t *testing.T) *Report {
+func readReport(t *testing.T) *Report {
 	t.Helper()
 	is := is.New(t)
 	f, err := os.Open("testdata/day.log")
@@ -30,7 +30,7 @@
 // in vain. One of the steps took nine seconds instead of seven.
 func TestCausesAddUpToTheStep(t *testing.T) {
 	is := is.New(t)
-	d := readDay(t)
+	d := readReport(t)
 	is.Equal(len(d.Steps), 3)
 	for _, s := range d.Steps {
 		sum := int64(0)
@@ -50,7 +50,7 @@
 func TestOwnerChangeIsReported(t *testing.T) {
 	is := is.New(t)
 	killed := 0
-	for _, s := range readDay(t).Steps {
+	for _, s := range readReport(t).Steps {
 		if s.Owners < 2 {
 			is.Equal(s.Spent[Owners], int64(0))
 			continue
@@ -66,7 +66,7 @@
 // submitted and never ended has no account, but it is what a trainer lost.
 func TestStepWithoutEndIsReported(t *testing.T) {
 	is := is.New(t)
-	d := readDay(t)
+	d := readReport(t)
 	is.Equal(len(d.Unknowns), 1)
 	is.Equal(d.Unknowns[0].Reason, "no end")
 }
@@ -76,7 +76,7 @@
 // is reported.
 func TestTornLinesAreReported(t *testing.T) {
 	is := is.New(t)
-	d := readDay(t)
+	d := readReport(t)
 	is.Equal(len(d.Faults), 1)
 	is.Equal(d.Faults[0].File, "day.log")
 	is.Equal(d.Faults[0].Line, 7)
@@ -108,7 +108,7 @@
 // Guards against a table, a picture and a JSON form that show different steps.
 func TestForms(t *testing.T) {
 	is := is.New(t)
-	d := readDay(t)
+	d := readReport(t)
 	var table, picture bytes.Buffer
 	is.NoErr(d.WriteTable(&table))
 	is.NoErr(d.WriteSVG(&picture))
--- a/internal/batch/steptime/cause.go
+++ b/internal/batch/steptime/cause.go
@@ -14,12 +14,13 @@
 	Waiting
 	// Generating is the lower bound of the critical item: its events at the typical pace.
 	Generating
-	// Slowness is the run time of the critical item beyond Generating in which events came.
+	// Slowness is the run time of the critical item beyond Generating, without Stalled and
+	// Regenerating.
 	Slowness
 	// Stalled is the time that the critical item spent at engines without receiving
 	// events.
 	Stalled
-	// Regenerating is the time of events that were dropped and made again.
+	// Regenerating is the time of events that were dropped and generated again.
 	Regenerating
 	// Scoring is the time of the critical item's reward call.
 	Scoring
--- a/internal/batch/steptime/day.go
+++ b/internal/batch/steptime/day.go
@@ -28,8 +28,8 @@
 	Spent map[Cause]int64 `json:"spent_ms"`
 }
 
-// IncompleteStep is a step without a full account: it did not end, or a log line about it is
-// missing.
+// IncompleteStep is a step without a full account: it did not end, or a log line about it
+// is missing.
 type IncompleteStep struct {
 	Batch     string    `json:"batch"`
 	Model     string    `json:"model"`
@@ -55,7 +55,7 @@
 	}
 	d := &Report{
 		Sums:   make(map[Cause]int64),
-		Faults: l.faults,
+		Faults: l.badLines,
 	}
 	paces := l.paces()
 	for batch, begins := range l.begins {
@@ -96,7 +96,7 @@
 	if !ok {
 		return s, "no end"
 	}
-	if e.made == 0 {
+	if e.whole == 0 {
 		return s, "ended before its groups were whole"
 	}
 	critical, ok := l.items[itemKey{
@@ -107,38 +107,38 @@
 		return s, "no line of its critical item"
 	}
 	pace := paces[first.model]
-	making := time.Duration(critical.events) * pace
+	generating := time.Duration(critical.events) * pace
 	restored := time.Duration(critical.restored) * pace
-	remaking := time.Duration(critical.remade) * pace
+	regenerating := time.Duration(critical.regenerated) * pace
 	spent := map[Cause]time.Duration{
 		Acceptance:   first.age,
 		Owners:       e.ownerBegan().Sub(first.at) - restored,
 		Waiting:      critical.waited,
-		Generating:   making,
-		Slowness:     critical.ran - critical.stalled - remaking - (making - restored),
+		Generating:   generating,
+		Slowness:     critical.ran - critical.stalled - regenerating - (generating - restored),
 		Stalled:      critical.stalled,
-		Regenerating: remaking,
+		Regenerating: regenerating,
 		Scoring:      critical.scored,
-		Listing:      e.readable - e.made,
+		Listing:      e.readable - e.whole,
 		Reading:      e.age - e.readable,
 	}
 	s.Critical = e.critical
 	s.Events = critical.events
 	s.Attempts = critical.attempts
 	s.Took = e.at.Sub(s.Submitted).Milliseconds()
-	s.Bound = making.Milliseconds()
+	s.Bound = generating.Milliseconds()
 	s.Spent = make(map[Cause]int64, len(spent))
 	for cause, d := range spent {
 		s.Spent[cause] = d.Milliseconds()
 	}
-	if making > 0 {
+	if generating > 0 {
 		s.Ratio = float64(s.Took) / float64(s.Bound)
 	}
 	return s, ""
 }
 
-// minPaceEvents is the number of events that an item must have made for its pace to
-// count.
+// minPaceEvents is the number of events that an owner must have generated of an item for
+// the item's pace to count.
 const minPaceEvents = 20
 
 // paces returns for each model the time per event at a lightly loaded engine. It is the
@@ -146,12 +146,12 @@
 func (l *Log) paces() map[string]time.Duration {
 	models := make(map[string][]time.Duration)
 	for key, i := range l.items {
-		made := i.events - i.restored
-		if made < minPaceEvents || i.attempts != 1 || len(l.begins[key.batch]) == 0 {
+		generated := i.events - i.restored
+		if generated < minPaceEvents || i.attempts != 1 || len(l.begins[key.batch]) == 0 {
 			continue
 		}
 		model := l.begins[key.batch][0].model
-		models[model] = append(models[model], (i.ran-i.stalled)/time.Duration(made))
+		models[model] = append(models[model], (i.ran-i.stalled)/time.Duration(generated))
 	}
 	paces := make(map[string]time.Duration, len(models))
 	for model, list := range models {
--- a/internal/batch/steptime/table.go
+++ b/internal/batch/steptime/table.go
@@ -32,11 +32,11 @@
 			return err
 		}
 	}
-	return d.writeFaults(w)
+	return d.writeBadLines(w)
 }
 
-// writeFaults writes how many lines could not be read, and which was the first.
-func (d *Report) writeFaults(w io.Writer) error {
+// writeBadLines writes how many lines could not be read, and which was the first.
+func (d *Report) writeBadLines(w io.Writer) error {
 	if len(d.Faults) == 0 {
 		return nil
 	}
