--- a/internal/rollout/copystore/doc.go
+++ b/internal/rollout/copystore/doc.go
@@ -10,6 +10,6 @@
 //	err := k.Keep(keepArgs, &keepReply)       // called by the session's instance
 //	err := k.Gather(gatherArgs, &gatherReply) // called by the next session's instance
 //
-// The session number is a fencing token: a keeper refuses calls for a session
-// with a lower number than the highest that it has seen of the trainer.
+// The session number is a fencing token: a Store refuses calls for a session with
+// a lower number than the highest that it has seen of the trainer.
 package copystore
--- a/internal/rollout/copystore/keeper.go
+++ b/internal/rollout/copystore/keeper.go
@@ -64,7 +64,7 @@
 
 // KeepReply is the reply of Keep.
 type KeepReply struct {
-	// Fenced is set if the copy was refused, because the keeper knows a higher
+	// Fenced is set if the copy was refused, because the Store knows a higher
 	// session number.
 	Fenced bool
 }
@@ -80,7 +80,7 @@
 
 // GatherReply is the reply of Gather, with a page of copies.
 type GatherReply struct {
-	// Fenced is set if the keeper knows a higher session number.
+	// Fenced is set if the Store knows a higher session number.
 	Fenced bool
 	Copies []Copy
 	// More is set if there are more copies after these.
@@ -97,7 +97,7 @@
 }
 
 // ErrFull means that a copy would exceed MaxBytes.
-var ErrFull = errors.New("keeper is full; another instance may take the copy")
+var ErrFull = errors.New("copy store is full; another instance may take the copy")
 
 // Keep stores a copy of a finished sample. It keeps an existing copy of the same
 // sample, unless the new one has a newer oldest version.
--- a/internal/rollout/runner/attempt.go
+++ b/internal/rollout/runner/attempt.go
@@ -54,9 +54,9 @@
 }
 
 // run generates the sample and records the result or the failure.
-func (a *attempt) run(trip *router.Dispatch) {
+func (a *attempt) run(dispatch *router.Dispatch) {
 	l := a.session
-	timeout := time.Duration(trip.Set.Deployment.TimeoutMS) * time.Millisecond
+	timeout := time.Duration(dispatch.Set.Deployment.TimeoutMS) * time.Millisecond
 	ctx, cancel := context.WithTimeout(l.ctx, timeout)
 	defer cancel()
 	if a.work.Second {
@@ -68,14 +68,14 @@
 		})
 	}
 	started := l.runner.Timer.Now()
-	finish, err := l.runner.Generator.Run(ctx, trip, a.task, func(t engine.Token) error {
+	result, err := l.runner.Generator.Run(ctx, dispatch, a.task, func(t engine.Token) error {
 		return l.recordToken(a.work.Key, a.rec, t)
 	})
 	l.runner.Journal.Debug("attempt_end", log.Fields{
 		"request_id": a.task.RequestID,
 		"tokens":     len(a.rec.Texts),
 		"resumed":    len(a.task.Resume),
-		"attempts":   trip.Attempts(),
+		"attempts":   dispatch.Attempts(),
 		"took":       l.runner.Timer.Now().Sub(started).String(),
 		"error":      fmt.Sprint(err),
 	})
@@ -83,7 +83,7 @@
 		l.recordFailure(a.work.Key, err)
 		return
 	}
-	l.finishSample(a.work, a.rec, finish, a.task.RequestID)
+	l.finishSample(a.work, a.rec, result, a.task.RequestID)
 }
 
 // weight returns the configured weight of the trainer, or 1 while there is no
@@ -134,7 +134,7 @@
 // makes it ready for delivery to the trainer. A sample that was delivered and
 // acknowledged needs no copy, but losing a sample that is ready would stall the
 // step.
-func (l *openSession) finishSample(work session.Attempt, rec *sample.Recorder, finish stream.Result, requestID string) {
+func (l *openSession) finishSample(work session.Attempt, rec *sample.Recorder, result stream.Result, requestID string) {
 	if len(rec.Spans) == 0 {
 		l.recordFailure(work.Key, sample.ErrNoVersion)
 		return
@@ -145,9 +145,9 @@
 		Prompt:    work.Prompt,
 		Text:      rec.Text(),
 		Tokens:    len(rec.Texts),
-		Finish:    finish.Reason,
+		Finish:    result.Reason,
 		Versions:  rec.Spans,
-		Upstreams: finish.Upstreams,
+		Upstreams: result.Upstreams,
 		RequestID: requestID,
 	}
 	raw, err := json.Marshal(s)
--- a/internal/rollout/runner/copies.go
+++ b/internal/rollout/runner/copies.go
@@ -142,24 +142,24 @@
 	}
 }
 
-// callInstance calls a keeper method of an instance. For this instance, it
-// calls the local keeper directly.
+// callInstance calls a method of an instance's copy store. For this instance, it
+// calls the local store directly.
 func (r *Runner) callInstance(ctx context.Context, m member.Member, method string, args, reply any) error {
 	if m.ID == r.Members.Self().ID {
-		return r.callLocalKeeper(args, reply)
+		return r.callLocalStore(args, reply)
 	}
 	ctx, cancel := context.WithTimeout(ctx, peer.CallTimeout)
 	defer cancel()
 	return r.Client.Call(ctx, m.PeerAddress, method, args, reply)
 }
 
-// callLocalKeeper calls the method of the local keeper that takes args.
-func (r *Runner) callLocalKeeper(args, reply any) error {
+// callLocalStore calls the method of the local copy store that takes args.
+func (r *Runner) callLocalStore(args, reply any) error {
 	switch a := args.(type) {
 	case copystore.KeepArgs:
 		return r.Keeper.Keep(a, reply.(*copystore.KeepReply))
 	case copystore.GatherArgs:
 		return r.Keeper.Gather(a, reply.(*copystore.GatherReply))
 	}
-	return fmt.Errorf("no keeper method takes arguments of type %T", args)
+	return fmt.Errorf("no copy store method takes arguments of type %T", args)
 }
--- a/internal/rollout/runner/open_session.go
+++ b/internal/rollout/runner/open_session.go
@@ -188,12 +188,12 @@
 		a.task.Avoid = slices.Clone(p.upstreams)
 	}
 	a.task.OnChosen = func(upstream string) { l.recordUpstream(work.Key, upstream) }
-	trip, err := l.runner.Generator.Admit(a.task)
+	dispatch, err := l.runner.Generator.Admit(a.task)
 	if err != nil {
 		return false
 	}
 	l.runner.Tomb.Go(func() error {
-		a.run(trip)
+		a.run(dispatch)
 		return nil
 	})
 	return true
--- a/internal/rollout/runner/part.go
+++ b/internal/rollout/runner/part.go
@@ -34,12 +34,12 @@
 		Engine: part.MustGet[engine.Adapter](h),
 		Timer:  h.Timer,
 	}
-	keep := &copystore.Store{
+	store := &copystore.Store{
 		Timer: h.Timer,
 	}
 	r := &Runner{
 		Generator: generator,
-		Keeper:    keep,
+		Keeper:    store,
 		Client:    part.MustGet[*peer.Client](h),
 		Holder:    part.MustGet[*configuration.Holder](h),
 		Versions:  part.MustGet[*version.Table](h),
@@ -55,7 +55,7 @@
 	part.Provide(h, r)
 	return &runnerPart{
 		runner: r,
-	}, part.MustGet[*peer.Server](h).Register("Keeper", keep)
+	}, part.MustGet[*peer.Server](h).Register("Keeper", store)
 }
 
 // Start implements part.Part.
--- a/internal/rollout/runner/runner.go
+++ b/internal/rollout/runner/runner.go
@@ -228,7 +228,7 @@
 }
 
 // stalenessBound returns the current staleness bound of a deployment's samples.
-// The versions in published may be newer than those on the board.
+// The versions in published may be newer than those in r.Versions.
 func (r *Runner) stalenessBound(name string, published map[string]version.Version) session.StalenessBound {
 	d, _ := r.deployment(name)
 	p, _ := r.Versions.Newest(name)
--- a/internal/rollout/session/session.go
+++ b/internal/rollout/session/session.go
@@ -32,8 +32,8 @@
 	runningAttempts int
 }
 
-// StalenessBound is the staleness bound of samples: those beyond it are too old to be
-// delivered.
+// StalenessBound is the staleness bound of samples: those beyond it are too old to
+// be delivered.
 type StalenessBound struct {
 	// Newest is the newest published version.
 	Newest version.Version
--- a/internal/rollout/session/work.go
+++ b/internal/rollout/session/work.go
@@ -14,8 +14,8 @@
 	Deployment string
 	Prompt     string
 	MaxTokens  int
-	// RunningAttempts is the number of attempts at the sample that run, including this
-	// one.
+	// RunningAttempts is the number of attempts at the sample that run, including
+	// this one.
 	RunningAttempts int
 	// Second is set when another attempt at the sample is still running.
 	Second bool
--- a/internal/rollout/stream/doc.go
+++ b/internal/rollout/stream/doc.go
@@ -4,6 +4,6 @@
 // another engine from the last token instead of starting again. Tokens are
 // emitted in order and exactly once:
 //
-//	trip, err := gen.Admit(task) // admission
-//	finish, err := gen.Run(ctx, trip, task, func(t engine.Token) error { ... })
+//	dispatch, err := gen.Admit(task) // admission
+//	result, err := gen.Run(ctx, dispatch, task, func(t engine.Token) error { ... })
 package stream
--- a/internal/rollout/stream/generator.go
+++ b/internal/rollout/stream/generator.go
@@ -77,10 +77,10 @@
 	Upstreams []string
 }
 
-// Admit admits a generation, or refuses it at once. The caller passes the trip to
-// Run or closes it.
+// Admit admits a generation, or refuses it at once. The caller passes the Dispatch
+// to Run or closes it.
 func (g *Generator) Admit(task Task) (*router.Dispatch, error) {
-	job := router.Request{
+	request := router.Request{
 		RequestID:      task.RequestID,
 		Caller:         task.Caller,
 		Class:          task.Class,
@@ -92,35 +92,35 @@
 		ClaimedShare:   task.ClaimedShare,
 	}
 	if task.Class != limit.Training {
-		job.Digest = task.digest
+		request.Digest = task.digest
 	}
-	trip, err := g.Router.Admit(job)
+	dispatch, err := g.Router.Admit(request)
 	if err != nil {
 		return nil, err
 	}
-	if trip.Set.Deployment.Kind != configuration.KindModel {
-		trip.Close(limit.Ignored)
+	if dispatch.Set.Deployment.Kind != configuration.KindModel {
+		dispatch.Close(limit.Ignored)
 		return nil, problem.UnknownDeployment.Withf("deployment %q is not a model", task.Deployment)
 	}
-	return trip, nil
+	return dispatch, nil
 }
 
 // Run generates to the end of the stream, passes each new token to emit, and
-// closes the trip. The deadline is that of ctx.
-func (g *Generator) Run(ctx context.Context, trip *router.Dispatch, task Task, emit func(engine.Token) error) (Result, error) {
+// closes dispatch. The deadline is that of ctx.
+func (g *Generator) Run(ctx context.Context, dispatch *router.Dispatch, task Task, emit func(engine.Token) error) (Result, error) {
 	r := &generation{
 		generator:  g,
-		trip:       trip,
+		dispatch:   dispatch,
 		task:       task,
 		tokenTexts: append([]string(nil), task.Resume...),
 		emit:       emit,
 	}
 	for _, id := range task.Avoid {
-		trip.Exclude(id)
+		dispatch.Exclude(id)
 	}
-	finish, err := r.runAttempts(ctx)
-	trip.Close(r.limitResult(err))
-	return finish, err
+	result, err := r.runAttempts(ctx)
+	dispatch.Close(r.limitResult(err))
+	return result, err
 }
 
 // prefixHash returns the hash of the prompt's prefix. It is never zero, which
@@ -135,7 +135,7 @@
 // generation is the state of a generation during its attempts.
 type generation struct {
 	generator *Generator
-	trip      *router.Dispatch
+	dispatch  *router.Dispatch
 	task      Task
 	// tokenTexts holds the texts of all tokens so far, resumed ones included.
 	tokenTexts []string
@@ -155,7 +155,7 @@
 func (r *generation) runAttempts(ctx context.Context) (Result, error) {
 	var lastErr error
 	for {
-		u, err := r.trip.NextUpstream()
+		u, err := r.dispatch.NextUpstream()
 		if err != nil {
 			return Result{}, r.finalError(err, lastErr)
 		}
@@ -173,7 +173,7 @@
 		if errors.Is(err, errStaleVersion) {
 			continue
 		}
-		if ctx.Err() != nil || errors.Is(err, errConsumer) || !r.trip.MayRetry() {
+		if ctx.Err() != nil || errors.Is(err, errConsumer) || !r.dispatch.MayRetry() {
 			return Result{}, r.finalError(nil, lastErr)
 		}
 	}
@@ -199,7 +199,7 @@
 	r.upstreams = append(r.upstreams, u.ID)
 	finish, err := r.generator.Engine.Generate(ctx, u.Address, engine.Request{
 		ID:        r.task.RequestID,
-		Attempt:   r.task.RequestID + "." + strconv.Itoa(r.trip.Attempts()),
+		Attempt:   r.task.RequestID + "." + strconv.Itoa(r.dispatch.Attempts()),
 		Model:     r.task.Deployment,
 		Prompt:    r.task.Prompt,
 		MaxTokens: r.task.MaxTokens,
@@ -222,7 +222,7 @@
 	if t.Version != r.version || t.Index == 0 {
 		r.version = t.Version
 		u.RecordVersion(t.Version)
-		if _, oldest, ok := r.trip.VersionBounds(0); ok && t.Version.Less(oldest) {
+		if _, oldest, ok := r.dispatch.VersionBounds(0); ok && t.Version.Less(oldest) {
 			return errStaleVersion
 		}
 	}
@@ -250,7 +250,7 @@
 			r.mayHaveRun = true
 		}
 		if errors.Is(err, engine.ErrIncompleteResponse) {
-			r.trip.ReportCutOff(u)
+			r.dispatch.ReportCutOff(u)
 		}
 		u.Failed(now)
 	}
--- a/internal/rollout/stream/property_test.go
+++ b/internal/rollout/stream/property_test.go
@@ -156,12 +156,12 @@
 			Weight:         1,
 			BoundStaleness: boundStaleness,
 		}
-		trip, err := g.Admit(task)
+		dispatch, err := g.Admit(task)
 		if err != nil {
 			t.Fatalf("enter: %v", err)
 		}
 		var received []engine.Token
-		_, err = g.Run(context.Background(), trip, task, func(token engine.Token) error {
+		_, err = g.Run(context.Background(), dispatch, task, func(token engine.Token) error {
 			received = append(received, token)
 			return nil
 		})
