--- a/internal/batch/coordinator/prepare_test.go
+++ b/internal/batch/coordinator/prepare_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// Guards against a step that another instance begins again although its home has made part of it.
+// Guards against a step that another instance begins again although its home has run part
+// of it.
 func TestHomeStoresPreparedBatch(t *testing.T) {
 	is := is.New(t)
 	var down atomic.Bool
--- a/internal/batch/ledger/proof_test.go
+++ b/internal/batch/ledger/proof_test.go
@@ -84,7 +84,7 @@
 	ctx := context.Background()
 	var seen []submission.Result
 	accepted := map[*process]bool{}
-	read := func(list []submission.Result) {
+	checkRead := func(list []submission.Result) {
 		for i, r := range list {
 			if i < len(seen) && r.Item != seen[i].Item {
 				t.Fatalf("position %d was %s and is %s", i, seen[i].Item, r.Item)
@@ -94,7 +94,7 @@
 			seen = slices.Clone(list)
 		}
 	}
-	made := 0
+	resultCount := 0
 	for range rapid.IntRange(1, 40).Draw(t, "steps") {
 		fault = rapid.SampledFrom([]memorystore.Fault{memorystore.None, memorystore.None, memorystore.Down, memorystore.LostBefore, memorystore.LostAfter, memorystore.Delayed}).Draw(t, "fault")
 		o := rapid.SampledFrom(owners).Draw(t, "owner")
@@ -116,8 +116,8 @@
 				continue
 			}
 			if o.unconfirmed == nil {
-				made++
-				o.unconfirmed = []submission.Result{{Item: fmt.Sprint("r", made)}}
+				resultCount++
+				o.unconfirmed = []submission.Result{{Item: fmt.Sprint("r", resultCount)}}
 			}
 			c, err := o.ledger.Append(ctx, *o.claim, o.unconfirmed, nil)
 			if errors.Is(err, ledger.ErrFenced) {
@@ -128,7 +128,7 @@
 				o.claim = &c
 				o.listed = append(o.listed, o.unconfirmed...)
 				o.unconfirmed = nil
-				read(o.listed)
+				checkRead(o.listed)
 			}
 		case "take":
 			found, err := o.ledger.Find(ctx, "b")
@@ -141,7 +141,7 @@
 			}
 		case "read":
 			if rec, err := o.ledger.Load(ctx, "b"); err == nil {
-				read(rec.Results)
+				checkRead(rec.Results)
 			}
 		case "settle":
 			store.ApplyLate()
--- a/internal/batch/runner/backoff.go
+++ b/internal/batch/runner/backoff.go
@@ -7,7 +7,7 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// The limits of the delay of an item whose engines keep crashing.
+// The limits of the delay of an item that keeps losing its engines.
 const (
 	// toleratedLosses is how many engines in a row an item may lose before it is
 	// delayed. An engine counts as lost if its response broke off before any event
--- a/internal/batch/runner/changes_test.go
+++ b/internal/batch/runner/changes_test.go
@@ -103,37 +103,37 @@
 	})
 	is.NoErr(b.submit("x"))
 	is.True(eventually(func() bool {
-		_, news, _ := b.runner.Changes(nil)
-		return len(news) == 1 && len(news[0].Pieces) == 1 && len(news[0].Pieces[0].Events) == 3
+		_, deltas, _ := b.runner.Changes(nil)
+		return len(deltas) == 1 && len(deltas[0].Pieces) == 1 && len(deltas[0].Pieces[0].Events) == 3
 	}))
 	b.store.Fault = func(memorystore.Operation) memorystore.Fault { return memorystore.Down }
 	err := b.runner.HandOver(context.Background(), "b", ledger.Owner{Instance: "next"})
 	is.True(errors.Is(err, keyvalue.ErrUnavailable))
-	open, news, _ := b.runner.Changes(nil)
+	open, deltas, _ := b.runner.Changes(nil)
 	is.Equal(open, []string{"b"})
-	is.Equal(len(news[0].Pieces[0].Events), 3)
+	is.Equal(len(deltas[0].Pieces[0].Events), 3)
 }
 
 // Guards against copying again what was already sent or listed, and against
 // copying batches that have ended.
 func TestChangesContainOnlyNewPieces(t *testing.T) {
 	is := is.New(t)
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
 		if err := emitEvents(0, 3, 5, emit); err != nil || g.Item.ID == "x" {
 			return err
 		}
-		<-goOn
+		<-proceed
 		return emitEvents(3, 5, 5, emit)
 	})
 	is.NoErr(b.submit("x", "y"))
 	is.Equal(len(b.waitForResults(1)), 1)
-	_, news, marks := b.runner.Changes(nil)
-	is.Equal(len(news[0].Pieces), 1) // x is listed already
-	is.Equal(news[0].Pieces[0].Item, "y")
-	_, news, _ = b.runner.Changes(marks)
-	is.Equal(len(news), 0)
-	close(goOn)
+	_, deltas, marks := b.runner.Changes(nil)
+	is.Equal(len(deltas[0].Pieces), 1) // x is listed already
+	is.Equal(deltas[0].Pieces[0].Item, "y")
+	_, deltas, _ = b.runner.Changes(marks)
+	is.Equal(len(deltas), 0)
+	close(proceed)
 	is.Equal(len(b.waitForResults(2)), 2)
 	is.True(eventually(func() bool {
 		open, _, _ := b.runner.Changes(marks)
@@ -162,8 +162,8 @@
 	is.True(eventually(func() bool { return runs.Load() == 1 }))
 	var copies standby.Copies
 	is.True(eventually(func() bool {
-		open, news, _ := first.runner.Changes(nil)
-		is.NoErr(copies.Apply(standby.Heartbeat{Open: open, Deltas: news}, 1))
+		open, deltas, _ := first.runner.Changes(nil)
+		is.NoErr(copies.Apply(standby.Heartbeat{Open: open, Deltas: deltas}, 1))
 		found, _ := copies.Find("b")
 		return len(found.Progress) == 1
 	}))
--- a/internal/batch/runner/runner_test.go
+++ b/internal/batch/runner/runner_test.go
@@ -86,7 +86,7 @@
 	b.store = &memorystore.Store{
 		Timer: b.clock,
 	}
-	book := &catalog.Upstreams{
+	upstreams := &catalog.Upstreams{
 		Timer: b.clock,
 	}
 	var listed []catalog.Entry
@@ -99,7 +99,7 @@
 			Versions: map[string]uint64{"m": 5},
 		})
 	}
-	book.Update(listed, nil)
+	upstreams.Update(listed, nil)
 	holder := &catalog.Holder{}
 	holder.Update(catalog.Configuration{
 		Version: 1,
@@ -114,7 +114,7 @@
 			},
 			Pause: func(time.Duration) {},
 		},
-		Book:      book,
+		Book:      upstreams,
 		Holder:    holder,
 		Generator: b.generator,
 		Scorer:    fixedScorer{},
--- a/internal/batch/schedule/place_test.go
+++ b/internal/batch/schedule/place_test.go
@@ -116,13 +116,13 @@
 
 // simulatedItem is an item of the step that simulateStep runs.
 type simulatedItem struct {
-	length, made float64
-	estimate     int
-	group        int
-	moves        int
-	engine       int
-	begun        time.Duration
-	done         time.Duration
+	length, generated float64
+	estimate          int
+	group             int
+	moves             int
+	engine            int
+	begun             time.Duration
+	done              time.Duration
 }
 
 // simulateStep simulates a step of a trainer: 18 groups of eight items with a long tail
@@ -194,8 +194,8 @@
 				continue
 			}
 			e := engines[r.engine]
-			r.made += float64(tick) / (float64(interval) * e.Pace * (1 + (slotsSlowdown+memorySlowdown)*(1-e.FreeSlots/8)))
-			if r.made < r.length {
+			r.generated += float64(tick) / (float64(interval) * e.Pace * (1 + (slotsSlowdown+memorySlowdown)*(1-e.FreeSlots/8)))
+			if r.generated < r.length {
 				continue
 			}
 			r.done = now + tick
@@ -215,8 +215,8 @@
 				continue
 			}
 			p := Progress{
-				Events:         int(r.made),
-				TotalEvents:    int(r.made),
+				Events:         int(r.generated),
+				TotalEvents:    int(r.generated),
 				Moves:          r.moves,
 				ExpectedEvents: lengths.Events(r.estimate),
 				Pace:           engines[r.engine].Pace,
--- a/internal/batch/schedule/rank_test.go
+++ b/internal/batch/schedule/rank_test.go
@@ -101,7 +101,7 @@
 		Slots:         p.slots,
 		UntilDue:      p.due - now,
 	}
-	at := make(map[int]int)
+	groupIndex := make(map[int]int)
 	for i := range p.length {
 		left := p.estimate[i]
 		if end := p.ends[i]; end > 0 {
@@ -112,16 +112,16 @@
 			left = max(left-ran, ran/2)
 		}
 		g := i / simGroupSize
-		if _, ok := at[g]; !ok {
-			at[g] = len(l.Groups)
+		if _, ok := groupIndex[g]; !ok {
+			groupIndex[g] = len(l.Groups)
 			l.Groups = append(l.Groups, GroupWork{})
 		}
-		w := &l.Groups[at[g]]
+		w := &l.Groups[groupIndex[g]]
 		w.Total += left
 		w.Longest = max(w.Longest, left)
 	}
 	places := l.Rank().Places
-	place := func(i int) int { return places[at[i/simGroupSize]] }
+	place := func(i int) int { return places[groupIndex[i/simGroupSize]] }
 	sort.SliceStable(p.queue, func(a, b int) bool {
 		x, y := p.queue[a], p.queue[b]
 		if place(x) != place(y) {
--- a/internal/batch/schedule/schedule_test.go
+++ b/internal/batch/schedule/schedule_test.go
@@ -57,9 +57,9 @@
 func TestMove(t *testing.T) {
 	interval := 40 * time.Millisecond
 	for name, c := range map[string]struct {
-		p    Progress
-		room bool
-		want bool
+		p             Progress
+		hasFreeEngine bool
+		want          bool
 	}{
 		"at the usual pace":       {Progress{SinceLastEvent: 30 * time.Millisecond, Ran: 400 * time.Millisecond, Events: 10}, true, false},
 		"silent":                  {Progress{SinceLastEvent: 310 * time.Millisecond, Ran: time.Second, Events: 10}, true, true},
@@ -76,7 +76,7 @@
 			if c.p.Events == 0 {
 				pace = 0
 			}
-			is.New(t).Equal(ShouldMove(c.p, pace, c.room), c.want)
+			is.New(t).Equal(ShouldMove(c.p, pace, c.hasFreeEngine), c.want)
 		})
 	}
 }
--- a/internal/batch/schedule/write_test.go
+++ b/internal/batch/schedule/write_test.go
@@ -49,10 +49,10 @@
 
 // simulateTrainer simulates a trainer that reads the results of a step while they are
 // written. It begins a read every half second; a read that finds nothing is kept waiting
-// for a second, and after a longer wait the trainer reads again at once. made has the
-// times at which results are made; the last one makes the wanted groups whole. It
+// for a second, and after a longer wait the trainer reads again at once. finishedAt has the
+// times at which results are finished; the last one makes the wanted groups whole. It
 // returns when the trainer has the last result, and the number of writes.
-func simulateTrainer(made []time.Duration, wanted int) (time.Duration, int) {
+func simulateTrainer(finishedAt []time.Duration, wanted int) (time.Duration, int) {
 	const (
 		tick  = 10 * time.Millisecond
 		every = 500 * time.Millisecond
@@ -62,9 +62,9 @@
 	var next, pending, listed, announced, seen, writes int
 	reading := false
 	for now := time.Duration(0); ; now += tick {
-		for next < len(made) && made[next] <= now {
+		for next < len(finishedAt) && finishedAt[next] <= now {
 			if pending == 0 {
-				first = made[next]
+				first = finishedAt[next]
 			}
 			pending++
 			next++
@@ -72,7 +72,7 @@
 		if !reading && now >= began {
 			reading, began = true, now
 		}
-		last := next == len(made)
+		last := next == len(finishedAt)
 		p := Pending{
 			Results:        pending,
 			CompletesGroup: last || next%8 == 0,
@@ -97,7 +97,7 @@
 		}
 		if reading && (announced > seen || now-began >= wait) {
 			seen = listed
-			if seen == len(made) {
+			if seen == len(finishedAt) {
 				return now, writes
 			}
 			reading, began = false, max(began+every, now+tick)
@@ -105,24 +105,24 @@
 	}
 }
 
-// Guards against a trainer that waits for results which are already made. A step has 144
-// items in 18 groups: most are made within three seconds, then the long ones one by one
+// Guards against a trainer that waits for results that are already finished. A step has 144
+// items in 18 groups: most are finished within three seconds, then the long ones one by one
 // until the seventeenth group is whole, and the trainer is idle until it has read that
 // group. If results are listed as they come, the last ones are read 0.3 s after they
-// were made in the mean, and up to 0.9 s.
+// were finished in the mean, and up to 0.9 s.
 func TestTrainerReadsStepEndAtOnce(t *testing.T) {
 	is := is.New(t)
 	worst, maxWrites := time.Duration(0), 0
 	for shift := range 200 {
-		var made []time.Duration
+		var finishedAt []time.Duration
 		for i := range 130 {
-			made = append(made, 200*time.Millisecond+time.Duration(i)*22*time.Millisecond)
+			finishedAt = append(finishedAt, 200*time.Millisecond+time.Duration(i)*22*time.Millisecond)
 		}
 		for i := range 13 {
-			made = append(made, time.Duration(3100+i*(150+shift%130)+shift)*time.Millisecond)
+			finishedAt = append(finishedAt, time.Duration(3100+i*(150+shift%130)+shift)*time.Millisecond)
 		}
-		end := made[len(made)-1] + time.Duration(50+shift*7)*time.Millisecond
-		seen, writes := simulateTrainer(append(made, end), 17)
+		end := finishedAt[len(finishedAt)-1] + time.Duration(50+shift*7)*time.Millisecond
+		seen, writes := simulateTrainer(append(finishedAt, end), 17)
 		worst, maxWrites = max(worst, seen-end), max(maxWrites, writes)
 	}
 	t.Logf("seen at most %s after the end of the step, with at most %d writes", worst, maxWrites)
--- a/internal/batch/standby/copies_test.go
+++ b/internal/batch/standby/copies_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// lossyPeers is the path to one successor, which loses messages or their answers.
+// lossyPeers sends to one successor, and loses messages or their answers.
 type lossyPeers struct {
 	Peers
 	copies *Copies
@@ -204,10 +204,10 @@
 			{Batch: "b", Whole: true, Pieces: []ItemDelta{{Item: "x", Events: []string{"e1"}}}},
 		},
 	}, 0))
-	again := ownerA
-	again.Incarnation = "2"
+	restarted := ownerA
+	restarted.Incarnation = "2"
 	is.NoErr(c.Apply(Heartbeat{
-		Owner: again,
+		Owner: restarted,
 	}, 1))
 	_, ok := c.Find("b")
 	is.True(ok)
@@ -271,8 +271,8 @@
 }
 
 // Send implements Peers.
-func (b recordingPeers) Send(_ context.Context, address string, beat Heartbeat) error {
-	b.got <- fmt.Sprint(address, " ", beat.Every)
+func (b recordingPeers) Send(_ context.Context, address string, heartbeat Heartbeat) error {
+	b.got <- fmt.Sprint(address, " ", heartbeat.Every)
 	return nil
 }
 
--- a/internal/rollout/session/simulation_test.go
+++ b/internal/rollout/session/simulation_test.go
@@ -30,14 +30,14 @@
 	maxAttempts = 6
 )
 
-// node is an instance with its keeper and the sessions that it serves.
+// node is an instance with its copy store and the sessions that it serves.
 type node struct {
 	alive    bool
-	keeper   *copystore.Store
+	store    *copystore.Store
 	sessions []*servedSession
 }
 
-// servedSession is a session and whether a keeper reported it as fenced.
+// servedSession is a session and whether a copy store reported it as fenced.
 type servedSession struct {
 	state  *session.Session
 	fenced bool
@@ -107,7 +107,7 @@
 func (w *simulation) restart(n *node) {
 	n.alive = true
 	n.sessions = nil
-	n.keeper = &copystore.Store{
+	n.store = &copystore.Store{
 		Timer: w.clock,
 	}
 }
@@ -169,7 +169,7 @@
 			continue
 		}
 		var reply copystore.GatherReply
-		_ = n.keeper.Gather(copystore.GatherArgs{
+		_ = n.store.Gather(copystore.GatherArgs{
 			Trainer: "t",
 			Session: w.sessionNumber,
 			Step:    spec.Step,
@@ -271,7 +271,7 @@
 			continue
 		}
 		var reply copystore.KeepReply
-		_ = n.keeper.Keep(copystore.KeepArgs{
+		_ = n.store.Keep(copystore.KeepArgs{
 			Trainer:   "t",
 			Session:   a.session.state.Number,
 			Key:       a.work.Key,
--- a/internal/rollout/stream/property_test.go
+++ b/internal/rollout/stream/property_test.go
@@ -95,11 +95,11 @@
 	clock := &timer.Manual{}
 	clock.Advance(time.Hour)
 	state := &gossip.State{}
-	board := &version.Table{
+	versions := &version.Table{
 		State: state,
 	}
 	if boundStaleness {
-		_ = board.Publish("m", version.Published{
+		_ = versions.Publish("m", version.Published{
 			Version: version.Version{
 				Epoch:  1,
 				Number: newestNumber,
@@ -133,7 +133,7 @@
 			Limiter: &limit.Limiter{
 				Timer: clock,
 			},
-			Versions: board,
+			Versions: versions,
 			Timer:    clock,
 		},
 	}
