--- a/internal/batch/coordinator/cleanup.go
+++ b/internal/batch/coordinator/cleanup.go
@@ -21,9 +21,9 @@
 	cleanupTimeout = 20 * time.Second
 )
 
-// RunCleanup removes ended batches from the ledger until t dies, while holdsDuty reports that
-// this instance holds the duty. Without it the key-value service would fill up with all
-// samples ever generated.
+// RunCleanup removes ended batches from the ledger until t dies, while holdsDuty
+// reports that this instance holds the duty. Without it the key-value service would
+// fill up with all samples ever generated.
 func (d *Coordinator) RunCleanup(t *tomb.Tomb, holdsDuty func() bool) error {
 	ticks := d.Timer.Every(cleanupInterval)
 	defer ticks.Close()
--- a/internal/batch/coordinator/takeover.go
+++ b/internal/batch/coordinator/takeover.go
@@ -113,9 +113,9 @@
 	return nil
 }
 
-// RecheckClaims makes the next sweep look up all claims of this instance. It is called after
-// the lease of this instance has ended, since other instances may own its batches now
-// and list results that reads here would miss.
+// RecheckClaims makes the next sweep look up all claims of this instance. It is called
+// after the lease of this instance has ended, since other instances may own its batches
+// now and list results that reads here would miss.
 func (d *Coordinator) RecheckClaims() { d.claimsUncertain.Store(true) }
 
 // dropStaleClaims drops the batches that have another owner by now or are ended.
@@ -132,8 +132,8 @@
 	}
 }
 
-// shouldTakeOver reports whether this instance should take over a batch: it owns the batch and does
-// not run it, or the owner is gone and this instance is its successor.
+// shouldTakeOver reports whether this instance should take over a batch: it owns the
+// batch and does not run it, or the owner is gone and this instance is its successor.
 func (d *Coordinator) shouldTakeOver(c ledger.Claim) bool {
 	if c.Owner == d.Ledger.Self {
 		return !d.Runner.Has(c.Batch)
@@ -145,8 +145,9 @@
 	return d.IsSuccessorOf(c.Owner.Instance)
 }
 
-// IsSuccessorOf reports whether this instance is the named instance or its successor. The successor alone lists the ledger after a death; if all instances
-// did, the number of listings would grow with the square of the fleet.
+// IsSuccessorOf reports whether this instance is the named instance or its successor.
+// The successor alone lists the ledger after a death; if all instances did, the number
+// of listings would grow with the square of the fleet.
 func (d *Coordinator) IsSuccessorOf(name string) bool {
 	successor := FirstRanked(registry.Without(d.Registry.Members(), name), name)
 	return name == d.Ledger.Self.Instance || successor.Name == d.Ledger.Self.Instance
--- a/internal/batch/runner/engines.go
+++ b/internal/batch/runner/engines.go
@@ -36,8 +36,8 @@
 	return r.EngineAssignment.ModelsByEngine(b.service, now.Sub(b.startedAt) >= stepPropagationTime)
 }
 
-// isOtherModel reports whether an engine that is assigned to the given model is
-// assigned to another one than the batch's.
+// isOtherModel reports whether model, which an engine is assigned to, is another one
+// than the batch's. It is false for an engine without an assigned model.
 func (b *Batch) isOtherModel(model string) bool { return model != "" && model != b.sub.Model }
 
 // freeSlots returns how many more requests an engine takes. One that refused a
--- a/internal/batch/runner/reward.go
+++ b/internal/batch/runner/reward.go
@@ -18,7 +18,8 @@
 const (
 	rewardRetryPause = 100 * time.Millisecond
 	// quarantineRetryPause follows a call that is refused as a quarantined poison
-	// request, which upstreams crash on. The quarantine may end sooner than the refusal says.
+	// request, which upstreams crash on. The quarantine may end sooner than the refusal
+	// says.
 	quarantineRetryPause = time.Second
 )
 
--- a/internal/batch/schedule/place.go
+++ b/internal/batch/schedule/place.go
@@ -26,8 +26,8 @@
 	ReportAge time.Duration
 }
 
-// maxOtherModelReportAge is the greatest age of a load report that still shows free slots at
-// an engine of another model.
+// maxOtherModelReportAge is the greatest age of a load report that still shows free
+// slots at an engine of another model.
 const maxOtherModelReportAge = time.Second
 
 // crowdedItemsPerSlot is the number of unfinished items per slot above which a step
@@ -35,11 +35,11 @@
 const crowdedItemsPerSlot = 2
 
 // CrowdsOwnEngines reports whether a step with the given number of unfinished items is
-// restricted to the engines of its model, which have the given number of slots. Steps of several
-// models begin at the same moment, and the instances that run them don't know yet what
-// the others send: if each filled all engines, the engines would get several times the
-// streams that they have slots for, with long ones behind short ones. A smaller step is
-// better off with the fastest of all engines.
+// restricted to the engines of its model, which have the given number of slots. Steps
+// of several models begin at the same moment, and the instances that run them don't
+// know yet what the others send: if each filled all engines, the engines would get
+// several times the streams that they have slots for, with long ones behind short ones.
+// A smaller step is better off with the fastest of all engines.
 func CrowdsOwnEngines(items, slots int) bool { return slots > 0 && items > crowdedItemsPerSlot*slots }
 
 // OpenToCrowdedStep reports whether a step that crowds its own engines may send an item to
@@ -218,16 +218,16 @@
 	// maxOptionalMoves is the number of moves of any kind after which an item makes no
 	// more optional ones.
 	maxOptionalMoves = 3
-	// longTailShare is the least number of further events that is expected, as a share of
-	// the events so far, also when an item is beyond its estimate. Lengths have a long tail: the
-	// longer a text is, the more is still to come.
+	// longTailShare is the least number of further events that is expected, as a share
+	// of the events so far, also when an item is beyond its estimate. Lengths have a
+	// long tail: the longer a text is, the more is still to come.
 	longTailShare = 0.5
 )
 
-// ShouldMove reports whether an attempt should move to another engine because its stream is
-// stalled or much slower than typical. interval is the typical
-// time between events, 0 if unknown; hasFreeEngine reports whether an engine that is not
-// slow has a free slot.
+// ShouldMove reports whether an attempt should move to another engine because its
+// stream is stalled or much slower than typical. interval is the typical time between
+// events, 0 if unknown; hasFreeEngine reports whether an engine that is not slow has a
+// free slot.
 func ShouldMove(p Progress, interval time.Duration, hasFreeEngine bool) bool {
 	if !hasFreeEngine || p.Moves >= maxMoves {
 		return false
--- a/internal/batch/schedule/read.go
+++ b/internal/batch/schedule/read.go
@@ -29,10 +29,11 @@
 	UntilEnd time.Duration
 }
 
-// AnswerEarly reports whether the read is answered now with the results that there are, so
-// that the next read has waited at least minReadWait when the step ends. If the read reached
-// its longest wait just before the end instead, the trainer would process the answer of
-// the next one only half a second after that began, and would be idle meanwhile.
+// AnswerEarly reports whether the read is answered now with the results that there are,
+// so that the next read has waited at least minReadWait when the step ends. If the read
+// reached its longest wait just before the end instead, the trainer would process the
+// answer of the next one only half a second after that began, and would be idle
+// meanwhile.
 func (r PendingRead) AnswerEarly() bool {
 	if r.Waited < minReadWait || r.UntilEnd <= 0 {
 		return false
--- a/internal/batch/schedule/write.go
+++ b/internal/batch/schedule/write.go
@@ -69,10 +69,10 @@
 	return p.WantedGroups > 0 && p.WholeGroups+nearEndGroups >= p.WantedGroups
 }
 
-// ShouldAnswerReads reports whether waiting reads are answered with results that were just
-// listed. Close to the end of a step they keep waiting for the results that end it: answered
-// with results that were written only because of their age, the trainer would pause just
-// when the step ends.
+// ShouldAnswerReads reports whether waiting reads are answered with results that were
+// just listed. Close to the end of a step they keep waiting for the results that end
+// it: answered with results that were written only because of their age, the trainer
+// would pause just when the step ends.
 func ShouldAnswerReads(p Pending) bool {
 	return p.EndsStep() || !p.nearEnd() || p.Reading.AnswerEarly()
 }
--- a/internal/batch/steptime/doc.go
+++ b/internal/batch/steptime/doc.go
@@ -11,6 +11,6 @@
 // A step lasts until its critical item is finished: the item that completes the last of
 // the groups that the trainer waits for. The time of each step is divided among the
 // causes of that item's time and of the time before and after it; the parts add up to
-// the whole time. The lower bound of a step is the time that its critical item takes at an
-// engine that has little else to do.
+// the whole time. The lower bound of a step is the time that its critical item takes at
+// an engine that has little else to do.
 package steptime
