--- a/internal/rollout/stream/property_test.go
+++ b/internal/rollout/stream/property_test.go
@@ -95,11 +95,11 @@
 	clock := &timer.Manual{}
 	clock.Advance(time.Hour)
 	state := &gossip.State{}
-	board := &version.Table{
+	versions := &version.Table{
 		State: state,
 	}
 	if boundStaleness {
-		_ = board.Publish("m", version.Published{
+		_ = versions.Publish("m", version.Published{
 			Version: version.Version{
 				Epoch:  1,
 				Number: newestNumber,
@@ -133,7 +133,7 @@
 			Limiter: &limit.Limiter{
 				Timer: clock,
 			},
-			Versions: board,
+			Versions: versions,
 			Timer:    clock,
 		},
 	}
@@ -156,12 +156,12 @@
 			Weight:         1,
 			BoundStaleness: boundStaleness,
 		}
-		trip, err := g.Admit(task)
+		dispatch, err := g.Admit(task)
 		if err != nil {
 			t.Fatalf("enter: %v", err)
 		}
 		var received []engine.Token
-		_, err = g.Run(context.Background(), trip, task, func(token engine.Token) error {
+		_, err = g.Run(context.Background(), dispatch, task, func(token engine.Token) error {
 			received = append(received, token)
 			return nil
 		})
