--- a/internal/route/catalog/catalog_test.go
+++ b/internal/route/catalog/catalog_test.go
@@ -50,7 +50,7 @@
 	is.Equal(h.Current().Version, uint64(4))
 }
 
-func newListed(id string, born int64, leaving bool) Entry {
+func newEntry(id string, born int64, leaving bool) Entry {
 	return Entry{
 		ID:      id,
 		Service: "s",
@@ -70,13 +70,13 @@
 		Timer: clock,
 	}
 	now := clock.Now().Add(time.Hour)
-	b.Update([]Entry{newListed("u", 1, false)}, nil)
+	b.Update([]Entry{newEntry("u", 1, false)}, nil)
 	first := b.Group("s").Upstreams[0]
 	is.True(first.Usable(now))
-	b.Update([]Entry{newListed("u", 1, true)}, nil)
-	b.Update([]Entry{newListed("u", 1, false)}, nil)
+	b.Update([]Entry{newEntry("u", 1, true)}, nil)
+	b.Update([]Entry{newEntry("u", 1, false)}, nil)
 	is.Equal(first.Usable(now), false) // the leaving mark can't be removed
-	b.Update([]Entry{newListed("u", 2, false)}, nil)
+	b.Update([]Entry{newEntry("u", 2, false)}, nil)
 	second := b.Group("s").Upstreams[0]
 	is.True(second != first)
 	is.True(second.Usable(now))
--- a/internal/route/catalog/doc.go
+++ b/internal/route/catalog/doc.go
@@ -4,7 +4,7 @@
 //
 //	cfg := holder.Current()
 //	route, ok := cfg.Find("orders.example", "/confirm/17")
-//	group := book.Group(route.ChooseService(random))
+//	group := upstreams.Group(route.ChooseService(random))
 //
 // A Holder only replaces a configuration by one of a higher version. An upstream that is
 // leaving, because it said so or because its entry was removed, gets no new work; the mark can't
--- a/internal/route/catalog/upstreams.go
+++ b/internal/route/catalog/upstreams.go
@@ -29,7 +29,7 @@
 // Upstream is a listed upstream with its state.
 type Upstream struct {
 	*upstream.Upstream
-	listed atomic.Pointer[Entry]
+	entry atomic.Pointer[Entry]
 	// reservedTokens is the engine memory, in tokens, reserved for streams of this instance.
 	reservedTokens atomic.Int64
 }
@@ -41,13 +41,12 @@
 func (u *Upstream) Reserved() int64 { return u.reservedTokens.Load() }
 
 // Listed returns the upstream's entry in the platform's list.
-func (u *Upstream) Listed() *Entry { return u.listed.Load() }
+func (u *Upstream) Listed() *Entry { return u.entry.Load() }
 
 // ModelVersion returns the weight version of a model according to the list.
 func (u *Upstream) ModelVersion(model string) uint64 { return u.Listed().Versions[model] }
 
-// Group holds the upstreams of one service. It is immutable, but the upstreams' state
-// is not.
+// Group holds the upstreams of one service. It is immutable, but the upstreams' state is not.
 type Group struct {
 	Upstreams []*Upstream
 	// Set holds the same upstreams for the routing policies.
@@ -105,7 +104,7 @@
 
 // upsert adds or updates the upstream of an entry. If the address, Born or the service changed,
 // it creates a new upstream, which takes over neither the counts nor the leaving mark. initial
-// reports whether the book was empty, in which case a new upstream skips the slow start. The
+// reports whether b was empty, in which case a new upstream skips the slow start. The
 // caller holds b.mu.
 func (b *Upstreams) upsert(l *Entry, initial bool) {
 	u := b.byID[l.ID]
@@ -133,7 +132,7 @@
 		u.SetSlowStart(since)
 		b.byID[l.ID] = u
 	}
-	u.listed.Store(l)
+	u.entry.Store(l)
 	if l.Leaving {
 		u.MarkLeaving()
 	}
@@ -161,7 +160,8 @@
 	b.groups.Store(&groups)
 }
 
-// DetectOutliers updates the slowness of the upstreams of each service and limits how many are ejected.
+// DetectOutliers updates the slowness of the upstreams of each service and limits how many are
+// ejected.
 func (b *Upstreams) DetectOutliers(now timer.Instant) {
 	for _, g := range b.Groups() {
 		g.Set.DetectOutliers(now)
--- a/internal/route/crash/doc.go
+++ b/internal/route/crash/doc.go
@@ -4,7 +4,7 @@
 //		Secret: secret,
 //		Timer:  clock,
 //	}
-//	reporter.Cut(crash.Cut{
+//	reporter.ReportCutOff(crash.Cut{
 //		RequestID:   "9c41d07be2a35f68",
 //		Incarnation: crash.IncarnationOf(u.ID, u.Incarnation),
 //		Address:     u.Address,
--- a/internal/route/crash/reporter.go
+++ b/internal/route/crash/reporter.go
@@ -23,7 +23,7 @@
 	// secretTimeout bounds the call for the secret.
 	secretTimeout = time.Second
 	// crashTTL is how long the result of a probe that found a crash is kept. It exceeds the
-	// time until all requests that the crash cut are noticed.
+	// time until all requests that the crash cut off have been reported.
 	crashTTL = 10 * time.Second
 	// openTTL is how long the result of a probe that found no crash is kept.
 	openTTL = time.Second
@@ -49,8 +49,8 @@
 	Sum         fingerprint.Digest
 	// At is when the connection was cut.
 	At timer.Instant
-	// Consecutive is the number of consecutive upstream crashes during this request if this upstream
-	// crashed: one more than were known when the request was sent to it.
+	// Consecutive is the number of consecutive upstream crashes during this request if this
+	// upstream crashed: one more than were known when the request was sent to it.
 	Consecutive int
 }
 
@@ -84,8 +84,9 @@
 	waiting    []Cut
 }
 
-// ReportCutOff reports a request that was cut once a probe tells whether its upstream crashed. It does
-// not block.
+// ReportCutOff takes a request that was cut off. Once a probe has shown whether its upstream
+// crashed, the request is logged, counted and, after a crash, passed to r.OnCrash. ReportCutOff
+// does not block.
 func (r *Reporter) ReportCutOff(c Cut) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/route/fingerprint/fingerprint.go
+++ b/internal/route/fingerprint/fingerprint.go
@@ -9,7 +9,7 @@
 )
 
 // Parts are the parts of a request that identify it. The request id is not one of them: it
-// changes each time that the request is sent.
+// changes each time the request is sent.
 type Parts struct {
 	// Organisation is the organisation that the request is made for; empty for none.
 	Organisation string
--- a/internal/route/forward/forward.go
+++ b/internal/route/forward/forward.go
@@ -34,8 +34,8 @@
 	Deadline time.Time
 }
 
-// fingerprintSum returns the digest that identifies the request when it is sent again.
-func (r *Request) fingerprintSum() fingerprint.Digest {
+// digest returns the digest that identifies the request when it is sent again.
+func (r *Request) digest() fingerprint.Digest {
 	return fingerprint.DigestOf(fingerprint.Parts{
 		Organisation: r.Organisation,
 		Method:       r.Method,
@@ -85,10 +85,10 @@
 	Metrics   *Metrics
 	// Usage counts the requests that start to run; nil counts nothing.
 	Usage UsageCounter
-	// Crashes finds out whether an upstream crashed when an attempt was cut off; nil
-	// disables it.
+	// Crashes checks whether an upstream crashed when an attempt was cut off; nil
+	// disables the check.
 	Crashes CrashReporter
-	// Suspects tells which requests crash upstreams; nil disables it.
+	// Suspects detects poison requests; nil disables the detection.
 	Suspects PoisonDetector
 }
 
@@ -102,8 +102,8 @@
 type PoisonDetector interface {
 	// Judge returns the verdict on a request. It calls sum only if any crash is known.
 	Judge(sum func() fingerprint.Digest) poison.Verdict
-	// RecordAnswer records that a request ran to completion, which clears it of suspicion. It
-	// calls sum only if any crash is known.
+	// RecordAnswer records that a request ran to completion, which clears it of
+	// suspicion. It calls sum only if any crash is known.
 	RecordAnswer(sum func() fingerprint.Digest)
 }
 
--- a/internal/route/forward/forward_test.go
+++ b/internal/route/forward/forward_test.go
@@ -81,7 +81,7 @@
 // in the background until the returned function is called.
 func newForwarder(s *sender, n int) (*Forwarder, func()) {
 	clock := &timer.Manual{}
-	book := &catalog.Upstreams{
+	upstreams := &catalog.Upstreams{
 		Timer: clock,
 	}
 	var list []catalog.Entry
@@ -93,9 +93,9 @@
 			Slots:   4,
 		})
 	}
-	book.Update(list, nil)
+	upstreams.Update(list, nil)
 	return &Forwarder{
-		Upstreams: book,
+		Upstreams: upstreams,
 		Sender:    s,
 		Timer:     clock,
 	}, clock.Run(10*time.Millisecond, 200*time.Microsecond)
@@ -163,7 +163,7 @@
 	}
 	f, stop := newForwarder(s, 3)
 	defer stop()
-	begun := f.Timer.Now()
+	started := f.Timer.Now()
 	answer, err := f.Do(context.Background(), Request{
 		ID:    "x",
 		Route: route(catalog.Idempotent),
@@ -171,7 +171,7 @@
 	is.NoErr(err)
 	is.Equal(answer.Attempts, 2)
 	is.True(s.ids[0] != s.ids[1])
-	is.True(f.Timer.Now().Sub(begun) < 400*time.Millisecond)
+	is.True(f.Timer.Now().Sub(started) < 400*time.Millisecond)
 }
 
 // Guards against a request that is held until its deadline when there are no upstreams:
@@ -180,12 +180,12 @@
 	is := is.New(t)
 	f, stop := newForwarder(&sender{behaviours: []behaviour{answers}}, 0)
 	defer stop()
-	begun := f.Timer.Now()
+	started := f.Timer.Now()
 	_, err := f.Do(context.Background(), Request{
 		ID:    "x",
 		Route: route(catalog.Idempotent),
 	})
 	is.True(problem.Is(err, problem.NoUpstream))
 	is.True(problem.From(err).RetryAfter > 0)
-	is.True(f.Timer.Now().Sub(begun) < 100*time.Millisecond)
+	is.True(f.Timer.Now().Sub(started) < 100*time.Millisecond)
 }
--- a/internal/route/forward/suspect.go
+++ b/internal/route/forward/suspect.go
@@ -10,15 +10,15 @@
 	"github.com/egretbend/egretbend/internal/route/crash"
 )
 
-// runUnlessQuarantined sends the request unless it is refused because it is known to
-// crash upstreams. It reports a request that was answered, which clears it of suspicion;
-// a streaming answer is reported when its stream ends.
+// runUnlessQuarantined sends the request unless it is quarantined. It reports a request
+// that was answered, which clears it of suspicion; a streaming answer is reported when
+// its stream ends.
 func (t *dispatch) runUnlessQuarantined(ctx context.Context) (*Answer, error) {
 	if t.f.Suspects == nil {
 		return t.runAttempts(ctx)
 	}
-	fingerprintSum := t.req.fingerprintSum
-	t.verdict = t.f.Suspects.Judge(fingerprintSum)
+	digest := t.req.digest
+	t.verdict = t.f.Suspects.Judge(digest)
 	if t.verdict.Quarantined() {
 		return nil, problem.Quarantined.Withf("%s", t.verdict).WithRetryAfter(t.verdict.RetryAfter)
 	}
@@ -32,7 +32,7 @@
 		return answer, err
 	}
 	if answer != nil {
-		t.f.Suspects.RecordAnswer(fingerprintSum)
+		t.f.Suspects.RecordAnswer(digest)
 	}
 	return answer, err
 }
@@ -48,7 +48,7 @@
 		RequestID:   t.req.ID,
 		Incarnation: crash.IncarnationOf(u.ID, u.Incarnation),
 		Address:     u.Address,
-		Sum:         t.req.fingerprintSum(),
+		Sum:         t.req.digest(),
 		At:          t.f.Timer.Now(),
 		Consecutive: t.verdict.Crashes + t.cutAttempts,
 	})
@@ -73,7 +73,7 @@
 	w.ended = true
 	switch {
 	case errors.Is(err, io.EOF):
-		w.t.f.Suspects.RecordAnswer(w.t.req.fingerprintSum)
+		w.t.f.Suspects.RecordAnswer(w.t.req.digest)
 	case w.ctx.Err() == nil:
 		w.t.reportCut(w.t.winner)
 	}
--- a/internal/route/forward/suspect_test.go
+++ b/internal/route/forward/suspect_test.go
@@ -22,9 +22,9 @@
 	"github.com/egretbend/egretbend/internal/route/upstream"
 )
 
-// fakeSuspects returns the same verdict on every request and counts the cuts and
-// completed requests that are reported to it.
-type fakeSuspects struct {
+// fakeDetector returns the same verdict on every request and counts the attempts that
+// were cut off and the completed requests that are reported to it.
+type fakeDetector struct {
 	verdict poison.Verdict
 
 	mu      sync.Mutex
@@ -33,19 +33,19 @@
 }
 
 // Judge implements PoisonDetector.
-func (c *fakeSuspects) Judge(func() fingerprint.Digest) poison.Verdict {
+func (c *fakeDetector) Judge(func() fingerprint.Digest) poison.Verdict {
 	return c.verdict
 }
 
 // RecordAnswer implements PoisonDetector.
-func (c *fakeSuspects) RecordAnswer(func() fingerprint.Digest) {
+func (c *fakeDetector) RecordAnswer(func() fingerprint.Digest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cleared++
 }
 
 // ReportCutOff implements CrashReporter.
-func (c *fakeSuspects) ReportCutOff(crash.Cut) {
+func (c *fakeDetector) ReportCutOff(crash.Cut) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cuts++
@@ -65,7 +65,7 @@
 }
 
 // send forwards one repeatable request with up to that many attempts.
-func (c *fakeSuspects) send(s *sender, attempts int) (*Answer, error) {
+func (c *fakeDetector) send(s *sender, attempts int) (*Answer, error) {
 	f, stop := newForwarder(s, 6)
 	defer stop()
 	f.Crashes, f.Suspects = c, c
@@ -77,12 +77,12 @@
 	})
 }
 
-// Guards against a request that is known to crash upstreams but is sent to another one or
-// held until its deadline.
+// Guards against a quarantined request that is sent to another upstream or held until its
+// deadline.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := &sender{behaviours: []behaviour{answers}}
-	c := &fakeSuspects{verdict: poison.Verdict{Crashes: 4, RetryAfter: time.Minute}}
+	c := &fakeDetector{verdict: poison.Verdict{Crashes: 4, RetryAfter: time.Minute}}
 	_, err := c.send(s, 2)
 	e := problem.From(err)
 	is.True(problem.Is(err, problem.Quarantined))
@@ -98,7 +98,7 @@
 	is := is.New(t)
 	for before, runs := range map[int]int{0: 3, 1: 2, 2: 1, 3: 1} {
 		s := &sender{behaviours: []behaviour{cuts}}
-		c := &fakeSuspects{verdict: poison.Verdict{Crashes: before}}
+		c := &fakeDetector{verdict: poison.Verdict{Crashes: before}}
 		_, err := c.send(s, 6)
 		is.True(problem.Is(err, problem.UpstreamFailed))
 		is.Equal(s.counted().runs, runs)
@@ -106,7 +106,7 @@
 		is.Equal(c.cleared, 0)
 	}
 	s := &sender{behaviours: []behaviour{hangs}}
-	c := &fakeSuspects{verdict: poison.Verdict{Crashes: 3}}
+	c := &fakeDetector{verdict: poison.Verdict{Crashes: 3}}
 	_, err := c.send(s, 6)
 	is.True(problem.Is(err, problem.UpstreamTimeout))
 	is.Equal(s.counted().runs, 1)
@@ -117,7 +117,7 @@
 func TestSuspectedRequestIsOfferedUntilItRuns(t *testing.T) {
 	is := is.New(t)
 	s := &sender{behaviours: []behaviour{refuses, unsent, answers}}
-	c := &fakeSuspects{verdict: poison.Verdict{Crashes: 3}}
+	c := &fakeDetector{verdict: poison.Verdict{Crashes: 3}}
 	_, err := c.send(s, 2)
 	is.NoErr(err)
 	is.Equal(c.cleared, 1)
@@ -128,7 +128,7 @@
 func TestAnsweredRequestIsCleared(t *testing.T) {
 	is := is.New(t)
 	for _, behaviours := range [][]behaviour{{cuts, answers}, {cuts, fails}, {answers}} {
-		c := &fakeSuspects{}
+		c := &fakeDetector{}
 		_, err := c.send(&sender{behaviours: behaviours}, 2)
 		is.NoErr(err)
 		is.Equal(c.cleared, 1)
@@ -140,7 +140,7 @@
 func TestStreamThatIsCutOffIsACrash(t *testing.T) {
 	is := is.New(t)
 	for err, cuts := range map[error]int{io.EOF: 0, engine.ErrIncompleteResponse: 1} {
-		c := &fakeSuspects{verdict: poison.Verdict{Crashes: 1}}
+		c := &fakeDetector{verdict: poison.Verdict{Crashes: 1}}
 		f := &Forwarder{Crashes: c, Suspects: c, Timer: &timer.Manual{}}
 		w := &trackedStream{
 			ReadCloser: io.NopCloser(io.MultiReader(strings.NewReader("id: 1"), errorReader{err})),
--- a/internal/route/limit/doc.go
+++ b/internal/route/limit/doc.go
@@ -7,7 +7,12 @@
 // only while part of the limit is unused. When the limit is nearly used up, callers
 // above their fair share are refused first.
 //
-//	permit, err := limiter.Admit(limit.Request{Deployment: "d", Caller: "c", Weight: 1, Capacity: 40})
+//	permit, err := limiter.Admit(limit.Request{
+//		Deployment: "d",
+//		Caller:     "c",
+//		Weight:     1,
+//		Capacity:   40,
+//	})
 //	if err != nil {
 //		return err // problem.Overloaded, with the time to retry after
 //	}
--- a/internal/route/limit/limit_test.go
+++ b/internal/route/limit/limit_test.go
@@ -13,7 +13,7 @@
 	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
-func ask(caller string, class limit.Priority) limit.Request {
+func newRequest(caller string, class limit.Priority) limit.Request {
 	return limit.Request{
 		Deployment: "d",
 		Caller:     caller,
@@ -37,7 +37,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"admit": func(t *rapid.T) {
 				class := rapid.SampledFrom([]limit.Priority{limit.Interactive, limit.Training, limit.Background}).Draw(t, "class")
-				p, err := l.Admit(ask(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "caller"), class))
+				p, err := l.Admit(newRequest(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "caller"), class))
 				if err == nil {
 					open = append(open, p)
 					return
@@ -69,7 +69,7 @@
 		for _, p := range open {
 			p.Release(limit.Ignored)
 		}
-		if _, err := l.Admit(ask("a", limit.Background)); err != nil {
+		if _, err := l.Admit(newRequest("a", limit.Background)); err != nil {
 			t.Fatalf("refused without any request in flight: %v", err)
 		}
 	})
@@ -84,18 +84,18 @@
 	l := &limit.Limiter{
 		Timer: clock,
 	}
-	p, err := l.Admit(ask("modest", limit.Interactive))
+	p, err := l.Admit(newRequest("modest", limit.Interactive))
 	is.NoErr(err)
 	p.Release(limit.Ignored)
 	refused := 0
 	for range 100 {
 		clock.Advance(time.Millisecond)
-		if _, err := l.Admit(ask("greedy", limit.Interactive)); err != nil {
+		if _, err := l.Admit(newRequest("greedy", limit.Interactive)); err != nil {
 			refused++
 		}
 	}
 	is.True(refused > 0)
-	_, err = l.Admit(ask("modest", limit.Interactive))
+	_, err = l.Admit(newRequest("modest", limit.Interactive))
 	is.NoErr(err) // the other caller's share is free
 }
 
@@ -109,7 +109,7 @@
 		Timer: clock,
 	}
 	admitAt := func(class limit.Priority, used float64) error {
-		a := ask("a", class)
+		a := newRequest("a", class)
 		a.Usage = used
 		p, err := l.Admit(a)
 		if err == nil {
@@ -123,12 +123,12 @@
 	is.NoErr(admitAt(limit.Interactive, 1.5))
 }
 
-// BenchmarkAdmit measures admitting and closing one request.
+// BenchmarkAdmit measures admitting a request and releasing its permit.
 func BenchmarkAdmit(b *testing.B) {
 	l := &limit.Limiter{
 		Timer: timer.Real{},
 	}
-	a := ask("a", limit.Interactive)
+	a := newRequest("a", limit.Interactive)
 	b.ReportAllocs()
 	for b.Loop() {
 		p, err := l.Admit(a)
@@ -148,7 +148,7 @@
 	l := &limit.Limiter{
 		Timer: clock,
 	}
-	a := ask("cutting", limit.Training)
+	a := newRequest("cutting", limit.Training)
 	a.Slots = 16
 	a.ClaimedShare = 0.25
 	a.Usage = 1.5 // above the maximum usage of its class: others have filled the slots
--- a/internal/route/limit/limiter.go
+++ b/internal/route/limit/limiter.go
@@ -49,7 +49,7 @@
 	Ignored
 )
 
-// Permit is the permit of an admitted request. It must be closed exactly once.
+// Permit represents an admitted request. It must be released exactly once.
 type Permit struct {
 	limiter    *Limiter
 	deployment *deploymentLimiter
@@ -122,7 +122,7 @@
 	return a.Class.maxUsage()
 }
 
-// Release releases the permit and adapts the limit to the result.
+// Release ends the request and adapts the limit to the result.
 func (p *Permit) Release(r Result) {
 	p.caller.inFlight.Add(-1)
 	p.deployment.inFlight.Add(-1)
--- a/internal/route/organisation/organisation_test.go
+++ b/internal/route/organisation/organisation_test.go
@@ -36,7 +36,7 @@
 }
 
 // Guards against accepting a voucher for another organisation or another request.
-func TestVouchedRejectsOtherOrganisationOrMessage(t *testing.T) {
+func TestVerifyRejectsOtherOrganisationOrMessage(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory([]Organisation{
 		{Name: "saddlers", Digests: []Digest{DigestOf("k1"), DigestOf("k2")}},
--- a/internal/route/poison/doc.go
+++ b/internal/route/poison/doc.go
@@ -1,14 +1,14 @@
 // Package poison detects poison requests, which crash the upstreams that run them, and
 // quarantines them.
 //
-//	var e poison.Tracker
-//	e.Add(poison.Crash{
+//	var tracker poison.Tracker
+//	tracker.Add(poison.Crash{
 //		Incarnation: "desk-4/1774870592702",
 //		Print:       print,
 //		At:          now,
 //		Consecutive: 1,
 //	})
-//	if v := e.Judge(print, now); v.Quarantined() {
+//	if v := tracker.Judge(print, now); v.Quarantined() {
 //		return problem.Quarantined.Withf("%s", v).WithRetryAfter(v.RetryAfter)
 //	}
 //
--- a/internal/route/poison/evidence.go
+++ b/internal/route/poison/evidence.go
@@ -28,8 +28,8 @@
 	Incarnation crash.Incarnation
 	Print       fingerprint.Fingerprint
 	At          timer.Instant
-	// Consecutive is the number of consecutive upstream crashes during this request, including this
-	// one, as known when the request was sent. Upstreams that are lost at the same time while
+	// Consecutive is the number of consecutive upstream crashes during this request, including
+	// this one, as known when the request was sent. Upstreams that are lost at the same time while
 	// running a popular request may share one cause, so they don't add to each other's
 	// Consecutive.
 	Consecutive int
@@ -60,7 +60,7 @@
 	return slices.IndexFunc(x.requests, func(c Crash) bool { return c.Print == p })
 }
 
-// blame is the crash record of one request.
+// blame summarizes the crashes of one request.
 type blame struct {
 	// total is the number of upstreams that crashed while running the request; consecutive is
 	// the number of those that crashed one after the other.
--- a/internal/route/poison/suspect_test.go
+++ b/internal/route/poison/suspect_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Guards against refusing a request after three crashes, which it may not have caused, and
-// against serving it after a fourth.
+// Guards against quarantining a request after three crashes, which it may not have caused,
+// and against serving it after a fourth.
 func TestFourthCrashQuarantinesRequest(t *testing.T) {
 	is := is.New(t)
 	var e Tracker
@@ -82,7 +82,7 @@
 	is.Equal(e.Judge(printOf(1), later.Add(time.Hour)), Verdict{})
 }
 
-// Guards against refusing a popular request that was in flight at several upstreams that
+// Guards against quarantining a popular request that was in flight at several upstreams that
 // crashed at the same time.
 func TestConcurrentCrashesCountOnce(t *testing.T) {
 	is := is.New(t)
@@ -162,7 +162,7 @@
 
 // checkRandomCrashes runs poison requests and innocent ones in random order on upstreams that
 // also crash for other reasons. It checks that each poison request runs a bounded number of
-// times, and that no innocent request is refused: neither one that was in flight beside a
+// times, and that no innocent request is quarantined: neither one that was in flight beside a
 // poison request three times before it was answered, nor one that met three unrelated crashes.
 func checkRandomCrashes(t *rapid.T) {
 	var e Tracker
@@ -203,7 +203,8 @@
 	}
 }
 
-// Guards against refusing innocent requests and against serving poison requests without bound.
+// Guards against quarantining innocent requests and against serving poison requests without
+// bound.
 func TestOnlyPoisonRequestsAreRefused(t *testing.T) { property.Check(t, checkRandomCrashes) }
 
 // BenchmarkJudge measures Judge with and without a change before it, with MaxCrashes crashes
--- a/internal/route/poison/verdict.go
+++ b/internal/route/poison/verdict.go
@@ -11,7 +11,7 @@
 	"github.com/egretbend/egretbend/internal/route/fingerprint"
 )
 
-// Thresholds for limiting and refusing a request.
+// Thresholds for limiting the attempts of a request and for quarantining it.
 const (
 	// singleAttemptFrom is the number of crashes from which a request is sent to one upstream
 	// only. Three upstreams may crash during a request without being crashed by it.
--- a/internal/route/policy/policy.go
+++ b/internal/route/policy/policy.go
@@ -52,8 +52,8 @@
 	ReasonSpill Reason = "prefix_spill"
 	// ReasonIdleConnection means that there was an idle connection to it.
 	ReasonIdleConnection Reason = "idle_connection"
-	// ReasonAllEjected means that no matching upstream was usable, since all were
-	// ejected for failures, and one of them was chosen nevertheless.
+	// ReasonAllEjected means that all matching upstreams were ejected for failures, and
+	// that one of them was chosen nevertheless.
 	ReasonAllEjected Reason = "all_out"
 )
 
--- a/internal/route/policy/policy_test.go
+++ b/internal/route/policy/policy_test.go
@@ -20,8 +20,8 @@
 	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
-// set returns a set of n upstreams in four failure domains with 8 slots each.
-func set(n int, now timer.Instant) *upstream.Set {
+// newSet returns a newSet of n upstreams in four failure domains with 8 slots each.
+func newSet(n int, now timer.Instant) *upstream.Set {
 	var table upstream.Table
 	var list []roster.Instance
 	for i := range n {
@@ -54,7 +54,7 @@
 	property.Check(t, func(t *rapid.T) {
 		clock := &timer.Manual{}
 		clock.Advance(time.Hour)
-		s := set(rapid.IntRange(1, 12).Draw(t, "upstreams"), clock.Now())
+		s := newSet(rapid.IntRange(1, 12).Draw(t, "upstreams"), clock.Now())
 		p, err := policy.Find(rapid.SampledFrom(policy.Names()).Draw(t, "policy"))
 		if err != nil {
 			t.Fatalf("policy: %v", err)
@@ -120,7 +120,7 @@
 	clock.Advance(time.Hour)
 	for _, name := range policy.Names() {
 		for last := range 5 {
-			s := set(5, clock.Now())
+			s := newSet(5, clock.Now())
 			for i, u := range s.Upstreams {
 				if i != last {
 					u.MarkLeaving()
@@ -148,7 +148,7 @@
 	is := is.New(t)
 	clock := &timer.Manual{}
 	clock.Advance(time.Hour)
-	s := set(4, clock.Now())
+	s := newSet(4, clock.Now())
 	u := s.Upstreams[0]
 	for range 5 {
 		u.Begin()
@@ -167,7 +167,7 @@
 			b.Run(fmt.Sprintf("%s/%d", name, n), func(b *testing.B) {
 				clock := &timer.Manual{}
 				clock.Advance(time.Hour)
-				s := set(n, clock.Now())
+				s := newSet(n, clock.Now())
 				p, err := policy.Find(name)
 				if err != nil {
 					b.Fatal(err)
--- a/internal/route/policy/warm.go
+++ b/internal/route/policy/warm.go
@@ -4,11 +4,11 @@
 
 func init() { registry.Add("warm", IdleConnection{}) }
 
-// IdleConnection chooses an upstream to which this instance has an idle connection, as long as
-// that upstream is not busy, and falls back to TwoChoices. Many small instances with
-// a request a second each would otherwise open a connection for nearly every request:
-// 90 instances with 37 upstreams open 2,500 connections a minute, each of which takes
-// a round trip and may hold a slot.
+// IdleConnection chooses an upstream to which this instance has an idle connection, as
+// long as that upstream is not busy, and falls back to TwoChoices. Many small instances
+// with a request a second each would otherwise open a connection for nearly every
+// request: 90 instances with 37 upstreams open 2,500 connections a minute, each of which
+// takes a round trip and may hold a slot.
 type IdleConnection struct{}
 
 // idleConnMaxLoad is the load up to which an upstream with an idle connection is
--- a/internal/route/policy/warm_test.go
+++ b/internal/route/policy/warm_test.go
@@ -34,16 +34,16 @@
 	}
 	is.Equal(opened, 1)
 
-	var warm *upstream.Upstream
+	var idle *upstream.Upstream
 	for _, u := range s.Upstreams {
 		if u.HasIdleConnection(now) {
-			warm = u
+			idle = u
 		}
 	}
-	is.True(!warm.HasIdleConnection(now.Add(6 * time.Second))) // the upstream has closed the connection
+	is.True(!idle.HasIdleConnection(now.Add(6 * time.Second))) // the upstream has closed the connection
 	for range 4 {
-		warm.Begin()
+		idle.Begin()
 	}
-	warm.ConnectionIdle(now, 5*time.Second)
-	is.True(IdleConnection{}.Choose(s, Query{Random: 1, Now: now}).Upstream != warm)
+	idle.ConnectionIdle(now, 5*time.Second)
+	is.True(IdleConnection{}.Choose(s, Query{Random: 1, Now: now}).Upstream != idle)
 }
--- a/internal/route/relay/call.go
+++ b/internal/route/relay/call.go
@@ -38,8 +38,8 @@
 	Idempotent bool
 }
 
-// fingerprintSum returns the digest that identifies the call when it is sent again.
-func (c *Call) fingerprintSum() fingerprint.Digest {
+// digest returns the digest that identifies the call when it is sent again.
+func (c *Call) digest() fingerprint.Digest {
 	return fingerprint.DigestOf(fingerprint.Parts{
 		Organisation: c.Caller,
 		Method:       c.Method,
--- a/internal/route/relay/crash_test.go
+++ b/internal/route/relay/crash_test.go
@@ -83,11 +83,11 @@
 	holder.Update(doc)
 	table := &upstream.Table{}
 	table.Build(doc.Parsed(), member.Member{ID: name}, list, clock.Now())
-	keeper := &secret.GossipSecret{
+	sharedSecret := &secret.GossipSecret{
 		State: state,
 	}
 	board := &crashnotice.Board{
-		Secret: keeper,
+		Secret: sharedSecret,
 		Key:    name,
 		Poster: &crashnotice.GossipPublisher{
 			State: state,
@@ -117,7 +117,7 @@
 				Versions: &version.Table{State: state},
 				Timer:    clock,
 				Crashes: &crash.Reporter{
-					Secret:  keeper,
+					Secret:  sharedSecret,
 					Timer:   clock,
 					OnCrash: board.ReportCrash,
 				},
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -31,48 +31,48 @@
 // Do sends a call and repeats it at other upstreams until it is answered or may not be
 // repeated. The deadline is that of ctx.
 func (r *Relay) Do(ctx context.Context, c Call) (*Answer, error) {
-	trip, err := r.Router.Admit(router.Request{
+	dispatch, err := r.Router.Admit(router.Request{
 		RequestID:  c.RequestID,
 		Caller:     c.Caller,
 		Class:      c.Class,
 		Weight:     c.Weight,
 		Deployment: c.Deployment,
-		Digest:     c.fingerprintSum,
+		Digest:     c.digest,
 	})
 	if err != nil {
 		return nil, err
 	}
-	if trip.Set.Deployment.Kind != configuration.KindService {
-		trip.Close(limit.Ignored)
+	if dispatch.Set.Deployment.Kind != configuration.KindService {
+		dispatch.Close(limit.Ignored)
 		return nil, problem.UnknownDeployment.Withf("deployment %q is not a service", c.Deployment)
 	}
-	answer, err := r.runAttempts(ctx, trip, c)
-	trip.Close(limitResult(err))
+	answer, err := r.runAttempts(ctx, dispatch, c)
+	dispatch.Close(limitResult(err))
 	return answer, err
 }
 
 // runAttempts sends the call to one upstream after the other. Once an attempt may have
 // run, possiblyRun stays true, whatever the outcome of later attempts.
-func (r *Relay) runAttempts(ctx context.Context, trip *router.Dispatch, c Call) (*Answer, error) {
+func (r *Relay) runAttempts(ctx context.Context, dispatch *router.Dispatch, c Call) (*Answer, error) {
 	var lastErr error
 	possiblyRun := false
 	for {
-		u, err := trip.NextUpstream()
+		u, err := dispatch.NextUpstream()
 		if err != nil {
 			return nil, finalError(err, lastErr, possiblyRun)
 		}
-		answer, failure := r.sendAttempt(ctx, trip, c, u)
+		answer, failure := r.sendAttempt(ctx, dispatch, c, u)
 		if failure == nil {
 			answer.Upstream = u.ID
-			answer.Attempts = trip.Attempts()
+			answer.Attempts = dispatch.Attempts()
 			return answer, nil
 		}
 		lastErr = failure
 		if errors.Is(failure, engine.ErrConnectionLost) {
-			trip.ReportCutOff(u)
+			dispatch.ReportCutOff(u)
 		}
 		possiblyRun = possiblyRun || problem.From(failure).Kind.Outcome == problem.Unknown
-		if ctx.Err() != nil || (possiblyRun && !c.Idempotent) || !trip.MayRetry() {
+		if ctx.Err() != nil || (possiblyRun && !c.Idempotent) || !dispatch.MayRetry() {
 			return nil, finalError(nil, lastErr, possiblyRun)
 		}
 	}
@@ -107,9 +107,9 @@
 }
 
 // sendAttempt makes one attempt at an upstream.
-func (r *Relay) sendAttempt(ctx context.Context, trip *router.Dispatch, c Call, u *upstream.Upstream) (*Answer, error) {
-	d := trip.Set.Deployment
-	attempt := c.RequestID + "." + strconv.Itoa(trip.Attempts())
+func (r *Relay) sendAttempt(ctx context.Context, dispatch *router.Dispatch, c Call, u *upstream.Upstream) (*Answer, error) {
+	d := dispatch.Set.Deployment
+	attempt := c.RequestID + "." + strconv.Itoa(dispatch.Attempts())
 	req, err := newRequest(ctx, c, u.Address, attempt)
 	if err != nil {
 		u.Cancelled()
--- a/internal/route/relay/relay_test.go
+++ b/internal/route/relay/relay_test.go
@@ -11,7 +11,7 @@
 // Guards against a refusal that is rejected as an answer to another request, which
 // would tell the caller "unknown" so that it had to check at the service. A full
 // upstream refuses before it reads the request and so can't name the attempt. On a
-// fresh connection the refusal can only be for this request; on a shared one it may be
+// fresh connection the refusal can only be for this request; on a pooled one it may be
 // a late answer to another request.
 func TestAnswerMatchesAttemptByEchoOrFreshConnection(t *testing.T) {
 	is := is.New(t)
--- a/internal/route/router/doc.go
+++ b/internal/route/router/doc.go
@@ -5,13 +5,13 @@
 // A Router admits a Request and returns a Dispatch, which chooses the upstream of each
 // attempt:
 //
-//	trip, err := r.Admit(job) // admitted, or refused at once
+//	dispatch, err := r.Admit(req) // admitted, or refused at once
 //	if err != nil {
 //		return err
 //	}
-//	u, err := trip.NextUpstream() // an upstream that was not tried yet
+//	u, err := dispatch.NextUpstream() // an upstream that was not tried yet
 //	...
-//	trip.Close(limit.Succeeded)
+//	dispatch.Close(limit.Succeeded)
 //
 // Each choice writes one log line with the chosen upstream, the number of
 // candidates and the reason.
--- a/internal/route/router/router.go
+++ b/internal/route/router/router.go
@@ -31,8 +31,8 @@
 	Timer    timer.Service
 	Journal  *journal.Journal
 	Metrics  *Metrics
-	// Crashes finds out whether an upstream crashed when an attempt was cut off, Suspects
-	// tells which requests crash upstreams. Each may be nil, which disables it.
+	// Crashes checks whether an upstream crashed when an attempt was cut off, Suspects
+	// detects poison requests. Each may be nil, which disables it.
 	Crashes  CrashReporter
 	Suspects PoisonDetector
 
@@ -71,7 +71,8 @@
 	Class      limit.Priority
 	Weight     float64
 	Deployment string
-	// PrefixHash is the hash of the prompt's prefix, for prefix affinity; zero if there is none.
+	// PrefixHash is the hash of the prompt's prefix, for prefix affinity; zero if there is
+	// none.
 	PrefixHash uint64
 	// BoundStaleness enables the deployment's bound on the age of weight versions.
 	BoundStaleness bool
@@ -81,8 +82,8 @@
 	// ClaimedShare is the share of the deployment that the caller may claim while slots
 	// are scarce; zero means no particular share.
 	ClaimedShare float64
-	// Digest returns the digest that identifies the request when it is sent again. If it is
-	// nil, the request is never suspected of crashing upstreams.
+	// Digest returns the digest that identifies the request when it is sent again. If it
+	// is nil, the request is never suspected of crashing upstreams.
 	Digest func() fingerprint.Digest
 }
 
@@ -102,39 +103,39 @@
 // Admit admits a request. It returns problem.NotReady, problem.UnknownDeployment,
 // problem.NoUpstream, problem.Overloaded, problem.Quarantined or problem.Internal;
 // with any of them nothing has run.
-func (r *Router) Admit(job Request) (*Dispatch, error) {
+func (r *Router) Admit(req Request) (*Dispatch, error) {
 	if r.Holder.Current() == nil {
 		return nil, problem.NotReady.Withf("no configuration yet").WithRetryAfter(time.Second)
 	}
-	verdict, err := r.checkQuarantine(job)
+	verdict, err := r.checkQuarantine(req)
 	if err != nil {
-		return nil, r.recordRefusal(job, err)
+		return nil, r.recordRefusal(req, err)
 	}
-	set := r.Table.Set(job.Deployment)
+	set := r.Table.Set(req.Deployment)
 	if set == nil {
-		return nil, problem.UnknownDeployment.Withf("no deployment %q", job.Deployment)
+		return nil, problem.UnknownDeployment.Withf("no deployment %q", req.Deployment)
 	}
-	slots, others := r.capacity(job.Deployment, set)
+	slots, others := r.capacity(req.Deployment, set)
 	if slots == 0 {
-		return nil, r.recordRefusal(job, problem.NoUpstream.Withf("deployment %q has no usable upstream", job.Deployment).
+		return nil, r.recordRefusal(req, problem.NoUpstream.Withf("deployment %q has no usable upstream", req.Deployment).
 			WithRetryAfter(2*time.Second))
 	}
 	// The load of other instances may be slightly outdated, but this instance's own
 	// count is exact: with a cached count, every request of a burst would see the
 	// same free slots.
-	_, ownInFlight := r.Limiter.Limit(job.Deployment)
+	_, ownInFlight := r.Limiter.Limit(req.Deployment)
 	permit, err := r.Limiter.Admit(limit.Request{
-		Deployment:   job.Deployment,
-		Caller:       job.Caller,
-		Class:        job.Class,
-		Weight:       max(job.Weight, 0.01),
+		Deployment:   req.Deployment,
+		Caller:       req.Caller,
+		Class:        req.Class,
+		Weight:       max(req.Weight, 0.01),
 		Capacity:     slots * (1 + set.Deployment.QueueShare),
 		Usage:        (others + float64(ownInFlight)) / slots,
 		Slots:        slots,
-		ClaimedShare: job.ClaimedShare,
+		ClaimedShare: req.ClaimedShare,
 	})
 	if err != nil {
-		return nil, r.recordRefusal(job, err)
+		return nil, r.recordRefusal(req, err)
 	}
 	selected, err := policy.Find(set.Deployment.Policy)
 	if err != nil {
@@ -142,7 +143,7 @@
 		return nil, problem.Internal.With(err).WithOutcome(problem.NotRun)
 	}
 	return &Dispatch{
-		Job:     job,
+		Job:     req,
 		Set:     set,
 		router:  r,
 		permit:  permit,
@@ -152,14 +153,14 @@
 }
 
 // recordRefusal counts and logs a refused request and returns err.
-func (r *Router) recordRefusal(job Request, err error) error {
+func (r *Router) recordRefusal(req Request, err error) error {
 	if r.Metrics != nil {
-		r.Metrics.Refusals.WithLabelValues(job.Deployment, job.Class.String()).Inc()
+		r.Metrics.Refusals.WithLabelValues(req.Deployment, req.Class.String()).Inc()
 	}
 	r.Journal.Decision("refuse", log.Fields{
-		"request_id": job.RequestID,
-		"deployment": job.Deployment,
-		"priority":   job.Class.String(),
+		"request_id": req.RequestID,
+		"deployment": req.Deployment,
+		"priority":   req.Class.String(),
 		"reason":     err.Error(),
 	})
 	return err
@@ -208,7 +209,7 @@
 	attempts int
 	excluded int
 	// verdict tells whether the request is suspected of crashing upstreams.
-	// cutAttempts counts this trip's attempts that were cut off.
+	// cutAttempts counts this dispatch's attempts that were cut off.
 	verdict     poison.Verdict
 	cutAttempts int
 }
@@ -233,8 +234,8 @@
 	}
 }
 
-// NextUpstream chooses an upstream that was not tried yet and counts the request as in flight
-// there. It returns problem.NoUpstream if there is none or all attempts are used.
+// NextUpstream chooses an upstream that was not tried yet and counts the request as in
+// flight there. It returns problem.NoUpstream if there is none or all attempts are used.
 func (t *Dispatch) NextUpstream() (*upstream.Upstream, error) {
 	if t.attempts >= t.Set.Deployment.Attempts || t.excluded+t.attempts >= policy.MaxTried {
 		return nil, problem.NoUpstream.Withf("all %d attempts of request %s have been used", t.attempts, t.Job.RequestID).
@@ -281,9 +282,9 @@
 	return q
 }
 
-// VersionBounds returns the newest published version and the oldest version whose results
-// are still within the staleness bound after lead more versions. ok is false if the
-// job has no staleness bound or no version is published.
+// VersionBounds returns the newest published version and the oldest version whose
+// results are still within the staleness bound after lead more versions. ok is false if
+// the request has no staleness bound or no version is published.
 func (t *Dispatch) VersionBounds(lead uint64) (newest, oldest version.Version, ok bool) {
 	p, ok := t.router.Versions.Newest(t.Job.Deployment)
 	if !ok || !t.Job.BoundStaleness {
@@ -326,8 +327,8 @@
 	return true
 }
 
-// Close ends the trip and releases its admission. A good result also earns retry
-// budget and clears the request of suspicion.
+// Close ends the dispatch and releases its permit. A request that succeeded also adds to
+// the retry budget and is cleared of suspicion.
 func (t *Dispatch) Close(r limit.Result) {
 	if r == limit.Succeeded {
 		t.router.retryBudget(t.Job.Deployment).Deposit(t.Set.Deployment.RetryShare)
--- a/internal/route/router/suspect.go
+++ b/internal/route/router/suspect.go
@@ -18,22 +18,22 @@
 type PoisonDetector interface {
 	// Judge returns the verdict on a request. It calls sum only if any crash is known.
 	Judge(sum func() fingerprint.Digest) poison.Verdict
-	// RecordAnswer records that a request ran to completion, which clears it of suspicion. It
-	// calls sum only if any crash is known.
+	// RecordAnswer records that a request ran to completion, which clears it of
+	// suspicion. It calls sum only if any crash is known.
 	RecordAnswer(sum func() fingerprint.Digest)
 }
 
 // checkQuarantine returns the verdict on a request, or problem.Quarantined if no
 // upstream may run it now.
-func (r *Router) checkQuarantine(job Request) (poison.Verdict, error) {
-	if r.Suspects == nil || job.Digest == nil {
+func (r *Router) checkQuarantine(req Request) (poison.Verdict, error) {
+	if r.Suspects == nil || req.Digest == nil {
 		return poison.Verdict{}, nil
 	}
-	v := r.Suspects.Judge(job.Digest)
+	v := r.Suspects.Judge(req.Digest)
 	if v.Quarantined() {
 		fields := v.Fields()
-		fields["request_id"] = job.RequestID
-		fields["deployment"] = job.Deployment
+		fields["request_id"] = req.RequestID
+		fields["deployment"] = req.Deployment
 		r.Journal.Decision("quarantine", fields)
 		return v, problem.Quarantined.Withf("%s", v).WithRetryAfter(v.RetryAfter)
 	}
--- a/internal/route/ticket/book.go
+++ b/internal/route/ticket/book.go
@@ -46,7 +46,7 @@
 	Done <-chan struct{}
 
 	done        chan struct{}
-	book        *Issuer
+	issuer      *Issuer
 	number      uint64
 	expires     timer.Instant
 	fingerprint uint64
@@ -67,41 +67,41 @@
 }
 
 // Issue returns n new tickets.
-func (b *Issuer) Issue(n int) []Ticket {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (i *Issuer) Issue(n int) []Ticket {
+	i.mu.Lock()
+	defer i.mu.Unlock()
 	list := make([]Ticket, 0, n)
 	for range n {
-		b.lastIssued++
+		i.lastIssued++
 		list = append(list, Ticket{
-			Address:     b.Address,
-			Incarnation: b.Incarnation,
-			Number:      b.lastIssued,
-			Expires:     b.Timer.Now().Add(TTL),
+			Address:     i.Address,
+			Incarnation: i.Incarnation,
+			Number:      i.lastIssued,
+			Expires:     i.Timer.Now().Add(TTL),
 		})
 	}
 	return list
 }
 
 // Issued reports whether this incarnation of the instance issued t.
-func (b *Issuer) Issued(t Ticket) bool {
-	return t.Address == b.Address && t.Incarnation == b.Incarnation
+func (i *Issuer) Issued(t Ticket) bool {
+	return t.Address == i.Address && t.Incarnation == i.Incarnation
 }
 
 // Use starts the run of a ticket's request, or returns the earlier run if the ticket was used
 // before for the same request. Errors: problem.TicketHolderGone, .TicketExpired,
 // .TicketMismatch, .BadRequest.
-func (b *Issuer) Use(t Ticket, fingerprint uint64) (run, earlier *Run, err error) {
-	if !b.Issued(t) {
+func (i *Issuer) Use(t Ticket, fingerprint uint64) (run, earlier *Run, err error) {
+	if !i.Issued(t) {
 		return nil, nil, problem.TicketHolderGone.Withf("the ticket is of an earlier incarnation of %s", t.Address)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.expireRuns()
-	if t.Number == 0 || t.Number > b.lastIssued {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.expireRuns()
+	if t.Number == 0 || t.Number > i.lastIssued {
 		return nil, nil, problem.BadRequest.Withf("ticket %v was never issued", t)
 	}
-	if earlierRun, ok := b.runs[t.Number]; ok {
+	if earlierRun, ok := i.runs[t.Number]; ok {
 		if earlierRun.fingerprint != fingerprint {
 			return nil, nil, problem.TicketMismatch.Withf("ticket %v was used for another request", t)
 		}
@@ -110,43 +110,43 @@
 	// The run of a used ticket is kept until the ticket has expired, so a ticket without a run
 	// that has not expired was never used. Tickets expire in the order of their numbers, so
 	// forgottenThrough also rejects a ticket whose expiry the caller altered.
-	if b.Timer.Now() >= t.Expires || t.Number <= b.forgottenThrough {
+	if i.Timer.Now() >= t.Expires || t.Number <= i.forgottenThrough {
 		return nil, nil, problem.TicketExpired.Withf("ticket %v has expired", t)
 	}
-	return b.startRun(t, fingerprint), nil, nil
+	return i.startRun(t, fingerprint), nil, nil
 }
 
-// startRun adds a run for t. The caller holds b.mu.
-func (b *Issuer) startRun(t Ticket, fingerprint uint64) *Run {
+// startRun adds a run for t. The caller holds i.mu.
+func (i *Issuer) startRun(t Ticket, fingerprint uint64) *Run {
 	done := make(chan struct{})
 	run := &Run{
 		Done:        done,
 		done:        done,
-		book:        b,
+		issuer:      i,
 		number:      t.Number,
 		expires:     t.Expires,
 		fingerprint: fingerprint,
 	}
-	if b.runs == nil {
-		b.runs = make(map[uint64]*Run)
+	if i.runs == nil {
+		i.runs = make(map[uint64]*Run)
 	}
-	b.runs[t.Number] = run
-	b.runOrder = append(b.runOrder, t.Number)
+	i.runs[t.Number] = run
+	i.runOrder = append(i.runOrder, t.Number)
 	return run
 }
 
 // Finish ends the run with its result, which all repeats get.
 func (r *Run) Finish(answer *relay.Answer, err error) {
-	b := r.book
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	i := r.issuer
+	i.mu.Lock()
+	defer i.mu.Unlock()
 	r.answer = answer
 	r.err = err
 	if answer != nil {
-		b.storedBytes += len(answer.Body)
-		b.answerOrder = append(b.answerOrder, r.number)
+		i.storedBytes += len(answer.Body)
+		i.answerOrder = append(i.answerOrder, r.number)
 	}
-	b.evictAnswers()
+	i.evictAnswers()
 	close(r.done)
 }
 
@@ -154,39 +154,39 @@
 // answer is no longer kept, the outcome is reported as unknown and the request is not run
 // again.
 func (r *Run) Result() (*relay.Answer, error) {
-	r.book.mu.Lock()
-	defer r.book.mu.Unlock()
+	r.issuer.mu.Lock()
+	defer r.issuer.mu.Unlock()
 	if r.answer == nil && r.err == nil {
 		return nil, problem.TicketExpired.Withf("the request was answered, but its answer is no longer kept")
 	}
 	return r.answer, r.err
 }
 
-// expireRuns deletes the runs whose ticket expired at least TTL ago. The caller holds b.mu.
-func (b *Issuer) expireRuns() {
-	now := b.Timer.Now()
-	for len(b.runOrder) > 0 {
-		run, ok := b.runs[b.runOrder[0]]
+// expireRuns deletes the runs whose ticket expired at least TTL ago. The caller holds i.mu.
+func (i *Issuer) expireRuns() {
+	now := i.Timer.Now()
+	for len(i.runOrder) > 0 {
+		run, ok := i.runs[i.runOrder[0]]
 		if ok && now < run.expires.Add(TTL) {
 			return
 		}
 		if ok && run.answer != nil {
-			b.storedBytes -= len(run.answer.Body)
+			i.storedBytes -= len(run.answer.Body)
 		}
-		b.forgottenThrough = max(b.forgottenThrough, b.runOrder[0])
-		delete(b.runs, b.runOrder[0])
-		b.runOrder = b.runOrder[1:]
+		i.forgottenThrough = max(i.forgottenThrough, i.runOrder[0])
+		delete(i.runs, i.runOrder[0])
+		i.runOrder = i.runOrder[1:]
 	}
 }
 
 // evictAnswers deletes the oldest answers while they exceed maxAnswerBytes, except the last one.
-// The runs are kept, so that the requests don't run again. The caller holds b.mu.
-func (b *Issuer) evictAnswers() {
-	for b.storedBytes > maxAnswerBytes && len(b.answerOrder) > 1 {
-		if run, ok := b.runs[b.answerOrder[0]]; ok && run.answer != nil {
-			b.storedBytes -= len(run.answer.Body)
+// The runs are kept, so that the requests don't run again. The caller holds i.mu.
+func (i *Issuer) evictAnswers() {
+	for i.storedBytes > maxAnswerBytes && len(i.answerOrder) > 1 {
+		if run, ok := i.runs[i.answerOrder[0]]; ok && run.answer != nil {
+			i.storedBytes -= len(run.answer.Body)
 			run.answer = nil
 		}
-		b.answerOrder = b.answerOrder[1:]
+		i.answerOrder = i.answerOrder[1:]
 	}
 }
--- a/internal/route/ticket/doc.go
+++ b/internal/route/ticket/doc.go
@@ -6,7 +6,7 @@
 // gone, the outcome of the request is unknown and no instance runs it again. So instances share
 // no state, and the cost does not grow with the fleet.
 //
-//	run, earlier, err := book.Use(t, ticket.Fingerprint(method, deployment, path, body))
+//	run, earlier, err := issuer.Use(t, ticket.Fingerprint(method, deployment, path, body))
 //	switch {
 //	case err != nil: // expired, of another incarnation, or used for another request
 //	case run != nil: // first use: run the request, then call run.Finish(answer, err)
--- a/internal/route/ticket/proof_test.go
+++ b/internal/route/ticket/proof_test.go
@@ -22,13 +22,13 @@
 
 const instances = 3
 
-// fleet is a set of books and of callers who repeat requests at any instance. It counts how
+// fleet is a set of issuers and of callers who repeat requests at any instance. It counts how
 // often each request ran.
 type fleet struct {
-	t      *rapid.T
-	faults faultConfig
-	clock  *timer.Manual
-	books  []*ticket.Issuer
+	t       *rapid.T
+	faults  faultConfig
+	clock   *timer.Manual
+	issuers []*ticket.Issuer
 
 	issued []ticket.Ticket
 	runs   map[ticket.Ticket]int
@@ -43,12 +43,12 @@
 		runs:   make(map[ticket.Ticket]int),
 	}
 	for i := range instances {
-		w.books = append(w.books, w.newBook(i, 1))
+		w.issuers = append(w.issuers, w.newIssuer(i, 1))
 	}
 	return w
 }
 
-func (w *fleet) newBook(i int, incarnation uint64) *ticket.Issuer {
+func (w *fleet) newIssuer(i int, incarnation uint64) *ticket.Issuer {
 	return &ticket.Issuer{
 		Address:     fmt.Sprintf("127.0.0.1:%d", 7000+i),
 		Incarnation: incarnation,
@@ -60,8 +60,8 @@
 // instance at the issuer's address.
 func (w *fleet) send(t ticket.Ticket, at int) {
 	key := t
-	target := w.books[at]
-	for _, b := range w.books {
+	target := w.issuers[at]
+	for _, b := range w.issuers {
 		if b.Address == t.Address && !w.faults.anyInstance {
 			target = b
 		}
@@ -107,7 +107,7 @@
 		pick := rapid.IntRange(0, 1000)
 		t.Repeat(map[string]func(*rapid.T){
 			"issue": func(t *rapid.T) {
-				w.issued = append(w.issued, w.books[pick.Draw(t, "issuer")%instances].Issue(1)...)
+				w.issued = append(w.issued, w.issuers[pick.Draw(t, "issuer")%instances].Issue(1)...)
 			},
 			"ask": func(t *rapid.T) {
 				if len(w.issued) > 0 {
@@ -117,7 +117,7 @@
 			"finish": func(t *rapid.T) { w.finish(pick.Draw(t, "run")) },
 			"replace": func(t *rapid.T) {
 				i := pick.Draw(t, "instance") % instances
-				w.books[i] = w.newBook(i, w.books[i].Incarnation+1)
+				w.issuers[i] = w.newIssuer(i, w.issuers[i].Incarnation+1)
 			},
 			"wait": func(t *rapid.T) {
 				w.clock.Advance(time.Duration(rapid.IntRange(1, 30).Draw(t, "minutes")) * time.Minute)
@@ -141,7 +141,7 @@
 	}))
 }
 
-// A caller alters the expiry in its ticket after the book has deleted the run, and only the
+// A caller alters the expiry in its ticket after the issuer has deleted the run, and only the
 // order of the ticket numbers shows that the ticket is old. Guards against running the request
 // again.
 func TestAlteredExpiryDoesNotRunAgain(t *testing.T) {
--- a/internal/route/upstream/idle.go
+++ b/internal/route/upstream/idle.go
@@ -15,7 +15,8 @@
 	expiresAt atomic.Int64
 }
 
-// ConnectionIdle records that the connection of a request that just ended stays open for keepAlive.
+// ConnectionIdle records that the connection of a request that just ended stays open for
+// keepAlive.
 func (u *Upstream) ConnectionIdle(now timer.Instant, keepAlive time.Duration) {
 	if keepAlive <= 0 {
 		return
--- a/internal/route/upstream/scale_test.go
+++ b/internal/route/upstream/scale_test.go
@@ -38,11 +38,11 @@
 		}
 		state.Merge(m.Entry(0))
 	}
-	book := &listing.Table{
+	listed := &listing.Table{
 		State: state,
 	}
 	for i := range upstreams {
-		book.Upsert(roster.Instance{
+		listed.Upsert(roster.Instance{
 			ID:            fmt.Sprintf("sampler-%d", i),
 			Group:         "sampler",
 			Address:       "10.100.100.100:8000",
@@ -50,7 +50,7 @@
 			Incarnation:   1700000000000,
 		})
 	}
-	return table, book
+	return table, listed
 }
 
 var sizes = []struct{ instances, upstreams int }{
@@ -63,7 +63,7 @@
 func BenchmarkRebuild(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d_%d", size.instances, size.upstreams), func(b *testing.B) {
-			members, book := newFleetState(size.instances, size.upstreams)
+			members, listed := newFleetState(size.instances, size.upstreams)
 			cfg := &configuration.Configuration{
 				Deployments: []configuration.Deployment{{
 					Name:       "m",
@@ -74,7 +74,7 @@
 			var table upstream.Table
 			b.ReportAllocs()
 			for b.Loop() {
-				table.Build(cfg, members.Self(), book.List(), timer.Instant(time.Hour))
+				table.Build(cfg, members.Self(), listed.List(), timer.Instant(time.Hour))
 			}
 		})
 	}
@@ -108,12 +108,12 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			members, book := newFleetState(size.instances, size.upstreams)
+			members, listed := newFleetState(size.instances, size.upstreams)
 			members.View()
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			for b.Loop() {
-				runtime.KeepAlive(book)
+				runtime.KeepAlive(listed)
 				runtime.KeepAlive(members)
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1e6, "MB")
--- a/internal/route/upstream/set.go
+++ b/internal/route/upstream/set.go
@@ -18,8 +18,7 @@
 // prefix hashes are looked up.
 const virtualNodes = 16
 
-// Set is the immutable list of upstreams of one deployment that this instance
-// routes to.
+// Set is the immutable list of upstreams of one deployment that this instance routes to.
 type Set struct {
 	Deployment configuration.Deployment
 	Upstreams  []*Upstream
@@ -176,12 +175,12 @@
 			continue
 		}
 		slots += float64(max(1, u.Slots))
-		h := u.report.Load()
-		if h == nil {
+		report := u.report.Load()
+		if report == nil {
 			continue
 		}
-		slots += float64(u.effectiveSlots(h) - max(1, u.Slots))
-		others += u.othersLoad(h, now)
+		slots += float64(u.effectiveSlots(report) - max(1, u.Slots))
+		others += u.othersLoad(report, now)
 	}
 	return slots, others
 }
@@ -203,8 +202,8 @@
 	}
 }
 
-// MedianPace returns the median time per unit of work in seconds, or zero
-// if fewer than three upstreams have a pace.
+// MedianPace returns the median time per unit of work in seconds, or zero if fewer than three
+// upstreams have a pace.
 func (s *Set) MedianPace() float64 {
 	var paces []float64
 	for _, u := range s.Upstreams {
@@ -222,9 +221,9 @@
 // maxEjectedShare is the largest share of a set that may be ejected for failures.
 const maxEjectedShare = 0.34
 
-// limitEjected readmits upstreams if too many are ejected, those first that would return first.
-// The remaining ones would be overloaded, and when so many fail the cause is probably not in
-// each of them.
+// limitEjected readmits upstreams if too many are ejected, starting with those whose ejection
+// ends first. The remaining ones would otherwise be overloaded, and when so many fail, the cause
+// is probably not in each of them.
 func (s *Set) limitEjected(now timer.Instant) {
 	var ejected []*Upstream
 	for _, u := range s.Upstreams {
--- a/internal/route/upstream/table.go
+++ b/internal/route/upstream/table.go
@@ -34,8 +34,7 @@
 	return *sets
 }
 
-// Build replaces all sets after a change of the configuration or of the
-// instance list.
+// Build replaces all sets after a change of the configuration or of the instance list.
 func (t *Table) Build(cfg *configuration.Configuration, self member.Member, list []roster.Instance, now timer.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -51,8 +50,8 @@
 	t.sets.Store(&next)
 }
 
-// DetectOutliers updates the slowness of the upstreams of each set and limits how many are ejected. It
-// is called periodically.
+// DetectOutliers updates the slowness of the upstreams of each set and limits how many are
+// ejected. It is called periodically.
 func (t *Table) DetectOutliers(now timer.Instant) {
 	for _, s := range t.Sets() {
 		s.DetectOutliers(now)
--- a/internal/route/upstream/upstream.go
+++ b/internal/route/upstream/upstream.go
@@ -165,8 +165,8 @@
 	if old == 0 {
 		old = pace.Seconds()
 	}
-	now := min(pace.Seconds(), maxJump*old)
-	u.pace.Store(math.Float64bits(old + weight*(now-old)))
+	bounded := min(pace.Seconds(), maxJump*old)
+	u.pace.Store(math.Float64bits(old + weight*(bounded-old)))
 	return true
 }
 
@@ -183,9 +183,9 @@
 	// measuredPaceWeight is the weight of a measurement over many events in the smoothed pace.
 	measuredPaceWeight = 0.4
 	// paceHalfLife is the time after which a pace that is no longer measured counts for
-	// half: an engine that was slow gets no work that would show its recovery
-	// while faster ones have room. Engines of an older kind stay slow for good, so it spans
-	// a few steps, during which they get no long items.
+	// half: while faster engines have free slots, an engine that was slow gets no work that
+	// would show its recovery. Engines of an older kind stay slow for good, so it spans a few
+	// steps, during which they get no long items.
 	paceHalfLife = 10 * time.Second
 )
 
@@ -228,11 +228,11 @@
 // requests and the load of other instances in the last report.
 func (u *Upstream) FreeSlots(now timer.Instant) float64 {
 	own := float64(u.inFlight.Load())
-	h := u.report.Load()
-	if h == nil {
+	report := u.report.Load()
+	if report == nil {
 		return float64(max(1, u.Slots)) - own
 	}
-	return float64(u.effectiveSlots(h)) - own - u.othersLoad(h, now)
+	return float64(u.effectiveSlots(report)) - own - u.othersLoad(report, now)
 }
 
 // RecordReport records a report that was received at now.
@@ -259,9 +259,8 @@
 	return max(u.peak.Load(), u.previousPeak.Load())
 }
 
-// RecordVersion records the weight version that the upstream stated, in a
-// report or in a stream. A stream is the first to show that an engine restarted
-// with old weights.
+// RecordVersion records the weight version that the upstream stated, in a report or in a stream.
+// A stream is the first to show that an engine restarted with old weights.
 func (u *Upstream) RecordVersion(v version.Version) {
 	if old := u.version.Load(); old == nil || *old != v {
 		u.version.Store(&v)
@@ -279,20 +278,20 @@
 
 // Report returns the last report and its age, and false if there is none.
 func (u *Upstream) Report(now timer.Instant) (engine.LoadReport, time.Duration, bool) {
-	h := u.report.Load()
-	if h == nil {
+	report := u.report.Load()
+	if report == nil {
 		return engine.LoadReport{}, 0, false
 	}
-	return h.LoadReport, now.Sub(h.receivedAt), true
+	return report.LoadReport, now.Sub(report.receivedAt), true
 }
 
 // ReportedLoad returns the load as a share of the slots, by the last report alone.
 func (u *Upstream) ReportedLoad() float64 {
-	h := u.report.Load()
-	if h == nil {
+	report := u.report.Load()
+	if report == nil {
 		return 0
 	}
-	return float64(h.Running+h.Waiting) / float64(u.effectiveSlots(h))
+	return float64(report.Running+report.Waiting) / float64(u.effectiveSlots(report))
 }
 
 // Load estimates the load with one more request, as a share of the upstream's slots; 1 means
@@ -302,26 +301,26 @@
 // attract every instance.
 func (u *Upstream) Load(now timer.Instant) float64 {
 	own := float64(u.inFlight.Load())
-	h := u.report.Load()
-	if h == nil {
+	report := u.report.Load()
+	if report == nil {
 		return (own + 1) / float64(max(1, u.Slots)) * u.loadFactor(now)
 	}
-	return (own + u.othersLoad(h, now) + 1) / float64(u.effectiveSlots(h)) * u.loadFactor(now)
+	return (own + u.othersLoad(report, now) + 1) / float64(u.effectiveSlots(report)) * u.loadFactor(now)
 }
 
 // othersLoad estimates the load of other instances from a report. The report has an unknown
 // lag, so it may include as many requests of this instance as were in flight at any moment of
 // the last windows. If only the current ones were subtracted, an instance that just finished
 // its requests would take them for those of others and hold back.
-func (u *Upstream) othersLoad(h *receivedReport, now timer.Instant) float64 {
-	halfLives := float64(now.Sub(h.receivedAt)) / float64(reportHalfLife)
-	return max(0, float64(h.Running+h.Waiting)-float64(h.ownPeak)) / (1 + max(0, halfLives))
+func (u *Upstream) othersLoad(report *receivedReport, now timer.Instant) float64 {
+	halfLives := float64(now.Sub(report.receivedAt)) / float64(reportHalfLife)
+	return max(0, float64(report.Running+report.Waiting)-float64(report.ownPeak)) / (1 + max(0, halfLives))
 }
 
 // effectiveSlots returns the slots in a report, or the configured ones if it has none.
-func (u *Upstream) effectiveSlots(h *receivedReport) int {
-	if h.Slots > 0 {
-		return h.Slots
+func (u *Upstream) effectiveSlots(report *receivedReport) int {
+	if report.Slots > 0 {
+		return report.Slots
 	}
 	return max(1, u.Slots)
 }
--- a/internal/route/wire/client.go
+++ b/internal/route/wire/client.go
@@ -25,7 +25,7 @@
 	TLS *tls.Config
 
 	once   sync.Once
-	shared http.Transport
+	pooled http.Transport
 	fresh  http.Transport
 }
 
@@ -43,10 +43,10 @@
 	Fresh Reuse = false
 )
 
-// configureTransports sets up both transports; only the shared one keeps connections
+// configureTransports sets up both transports; only the pooled one keeps connections
 // alive.
 func (c *Client) configureTransports() {
-	for _, t := range []*http.Transport{&c.shared, &c.fresh} {
+	for _, t := range []*http.Transport{&c.pooled, &c.fresh} {
 		t.DialContext = dial
 		t.MaxIdleConnsPerHost = idlePerUpstream
 		t.IdleConnTimeout = idleTime
@@ -83,7 +83,7 @@
 	// Without GetBody the transport can't silently repeat a request whose body
 	// it has begun to send.
 	req.GetBody = nil
-	transport := &c.shared
+	transport := &c.pooled
 	if reuse == Fresh {
 		transport = &c.fresh
 	}
@@ -96,7 +96,7 @@
 
 // CloseIdle closes the connections that are not in use.
 func (c *Client) CloseIdle() {
-	c.shared.CloseIdleConnections()
+	c.pooled.CloseIdleConnections()
 	c.fresh.CloseIdleConnections()
 }
 
