--- a/internal/entry/command/config.go
+++ b/internal/entry/command/config.go
@@ -70,10 +70,10 @@
 	var file string
 	cmd := &cobra.Command{
 		Use:   "put",
-		Short: "Change the configuration from the revision that you saw",
+		Short: "Change the configuration, starting from a given revision",
 		Long: "Change the configuration. The change is accepted only if --revision is still in force;\n" +
-			"otherwise the conflict names both revisions. If the answer is lost, the command asks\n" +
-			"what became of the change and says accepted, refused or unknown.",
+			"otherwise the conflict error names both revisions. If the response is lost, the command\n" +
+			"asks for the outcome of the change and reports accepted, refused or unknown.",
 		Example: "  egretbend config put --file configuration.json --revision 12 --operator an",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			data, err := readConfiguration(file)
@@ -86,10 +86,10 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&file, "file", "", "configuration file")
-	flags.Uint64Var(&body.Revision, "revision", 0, "revision that the change was made from; 0 for the first")
+	flags.Uint64Var(&body.Revision, "revision", 0, "revision on which the change is based; 0 for the first configuration")
 	flags.StringVar(&body.Operator, "operator", os.Getenv("USER"), "your name")
-	flags.StringVar(&body.Note, "note", "", "why")
-	flags.StringVar(&body.ID, "id", "", "name of the change; chosen if empty")
+	flags.StringVar(&body.Note, "note", "", "reason for the change")
+	flags.StringVar(&body.ID, "id", "", "id of the change; generated if empty")
 	_ = cmd.MarkFlagRequired("file")
 	_ = cmd.MarkFlagRequired("revision")
 	return cmd
@@ -144,7 +144,7 @@
 func (a *app) configList() *cobra.Command {
 	return &cobra.Command{
 		Use:     "list",
-		Short:   "List the deployments in force",
+		Short:   "List the deployments of the configuration in force",
 		Example: "  egretbend config list",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := a.fetchConfiguration(cmd.Context())
@@ -193,7 +193,7 @@
 func (a *app) configWatch() *cobra.Command {
 	return &cobra.Command{
 		Use:     "watch",
-		Short:   "Print each revision as it comes in force, until interrupted",
+		Short:   "Print each revision as it comes into force, until interrupted",
 		Example: "  egretbend config watch",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			seen := uint64(0)
--- a/internal/entry/command/digest.go
+++ b/internal/entry/command/digest.go
@@ -14,8 +14,8 @@
 func (a *app) digestCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "digest",
-		Short:   "Print the digest of a key that is read from the standard input",
-		Long:    "Print the digest of a key of an organisation, as it stands in a configuration. The key is read from the standard input, so that no list of processes or history of a shell shows it.",
+		Short:   "Print the digest of a key read from standard input",
+		Long:    "Print the digest of an organisation's key, in the form that a configuration contains. The key is read from standard input, so that it does not appear in process lists or the shell history.",
 		Example: "  egretbend digest < key.txt",
 		Args:    cobra.NoArgs,
 		RunE:    func(*cobra.Command, []string) error { return a.digest(os.Stdin) },
--- a/internal/entry/command/fleet.go
+++ b/internal/entry/command/fleet.go
@@ -18,7 +18,7 @@
 	var name string
 	cmd := &cobra.Command{
 		Use:     "addresses",
-		Short:   "Ask which addresses a caller should use",
+		Short:   "Print the addresses that a caller should use",
 		Example: "  egretbend addresses --caller saddlers",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var answer caller.AddressesResponse
@@ -93,9 +93,9 @@
 	var instance bool
 	cmd := &cobra.Command{
 		Use:   "drain {UPSTREAM | --instance}",
-		Short: "Give an upstream, or the instance at --address, no new work",
-		Long: "Mark the present incarnation of an upstream as leaving, in the whole fleet; or, with\n" +
-			"--instance, let the instance at --address finish what it has and end, as SIGTERM does.",
+		Short: "Drain an upstream, or the instance at --address",
+		Long: "Mark the current incarnation of an upstream as leaving in the whole fleet, so that it gets no\n" +
+			"new work. With --instance, the instance at --address finishes its work and stops, as on SIGTERM.",
 		Example: "  egretbend drain sampler-3\n  egretbend drain --instance --address 127.0.0.1:7101",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -123,9 +123,9 @@
 	var logs []string
 	cmd := &cobra.Command{
 		Use:   "why REQUEST|SAMPLE",
-		Short: "Show the decisions in the life of a request or sample",
-		Long: "Show what the instances remember of a request id, or of a sample written step/group/index; " +
-			"or with --log what their logs say of it, - for standard input.",
+		Short: "Show the decisions about a request or sample",
+		Long: "Show the decisions that the instances remember about a request id, or about a sample given as\n" +
+			"step/group/index. With --log, show the matching lines of log files instead.",
 		Example: "  egretbend why 00c5a3f09d1e77aa\n  egretbend why 12/g3/0\n  egretbend why 7c41e09b52d6a3f8 --log gent-a-1.log",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -145,7 +145,7 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringArrayVar(&logs, "log", nil, "log file of an instance, - for standard input; may be repeated")
+	cmd.Flags().StringArrayVar(&logs, "log", nil, "log file of an instance, or - for standard input; may be repeated")
 	return cmd
 }
 
--- a/internal/entry/command/generate.go
+++ b/internal/entry/command/generate.go
@@ -19,8 +19,8 @@
 		Use:   "generate",
 		Short: "Generate a configuration from a team's answers",
 		Long: "Ask about workloads, priorities and tolerances in the terminal, or take a saved answers\n" +
-			"file, and print the configuration that follows. The same answers always give the same\n" +
-			"configuration; `egretbend explain` says which value follows from which answer.",
+			"file, and print the configuration generated from them. The same answers always give the\n" +
+			"same configuration; `egretbend explain` shows which answer each value comes from.",
 		Example: "  egretbend generate --save answers.json --out configuration.json\n" +
 			"  egretbend generate --answers examples/verhaeghe/answers.json",
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -39,9 +39,9 @@
 			return err
 		},
 	}
-	cmd.Flags().StringVar(&answers, "answers", "", "saved answers; nothing is asked then")
-	cmd.Flags().StringVar(&out, "out", "", "file for the configuration; empty prints it")
-	cmd.Flags().StringVar(&save, "save", "", "file for the answers that were asked for")
+	cmd.Flags().StringVar(&answers, "answers", "", "file with saved answers; no questions are asked")
+	cmd.Flags().StringVar(&out, "out", "", "file for the configuration; printed if empty")
+	cmd.Flags().StringVar(&save, "save", "", "file in which to save the answers given in the terminal")
 	return cmd
 }
 
@@ -71,7 +71,7 @@
 	var path string
 	cmd := &cobra.Command{
 		Use:     "explain",
-		Short:   "Say which generated value follows from which answer",
+		Short:   "Show which answer each generated value comes from",
 		Example: "  egretbend explain --answers examples/labelpoint/answers.json",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			given, err := a.loadAnswers(cmd, path, "")
@@ -91,7 +91,7 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&path, "answers", "", "saved answers")
+	cmd.Flags().StringVar(&path, "answers", "", "file with saved answers")
 	_ = cmd.MarkFlagRequired("answers")
 	return cmd
 }
--- a/internal/entry/command/root.go
+++ b/internal/entry/command/root.go
@@ -63,8 +63,8 @@
 
 // exitCode returns the exit code for an error.
 func exitCode(err error) int {
-	var faults setting.FieldErrors
-	if errors.As(err, &faults) || errors.Is(err, errInput) {
+	var fieldErrs setting.FieldErrors
+	if errors.As(err, &fieldErrs) || errors.Is(err, errInput) {
 		return ExitInput
 	}
 	var e *problem.Error
@@ -89,7 +89,7 @@
 	}
 	flags := root.PersistentFlags()
 	flags.StringVar(&a.address, "address", "127.0.0.1:7100", "address of any instance")
-	flags.StringVar(&a.key, "key", "", "bearer token of the door")
+	flags.StringVar(&a.key, "key", "", "bearer token sent to the instance")
 	flags.StringVar(&a.scheme, "scheme", "http", "http or https")
 	flags.BoolVar(&a.json, "json", false, "print JSON")
 	root.AddCommand(
--- a/internal/entry/command/serve.go
+++ b/internal/entry/command/serve.go
@@ -24,8 +24,8 @@
 	var path string
 	cmd := &cobra.Command{
 		Use:     "serve",
-		Short:   "Run one instance until it is told to stop",
-		Long:    "Run one instance. SIGTERM or an interrupt drains it gracefully; a second one ends it at once.",
+		Short:   "Run one instance until it is stopped",
+		Long:    "Run one instance. SIGTERM or an interrupt drains it gracefully; a second one stops it at once.",
 		Example: "  egretbend serve --settings instance.json",
 		RunE:    func(*cobra.Command, []string) error { return a.serve(path) },
 	}
--- a/internal/entry/command/steps.go
+++ b/internal/entry/command/steps.go
@@ -14,14 +14,14 @@
 	var picture string
 	cmd := &cobra.Command{
 		Use:   "steps FILE...",
-		Short: "Tell from logs how the time of each step of a trainer went by",
-		Long: "Tell from the logs of any number of instances how the time of each step went by, against the time that its longest " +
-			"item needs. A file called - is the standard input.",
+		Short: "Show from logs how the time of each trainer step was spent",
+		Long: "Show from the logs of any number of instances how the time of each step was spent, compared\n" +
+			"with the time that its longest item needs. The file - is standard input.",
 		Example: "  egretbend steps logs/*.log\n  egretbend steps --picture steps.svg --json day.log",
 		Args:    cobra.MinimumNArgs(1),
 		RunE:    func(_ *cobra.Command, args []string) error { return a.steps(args, picture, os.Stdin) },
 	}
-	cmd.Flags().StringVar(&picture, "picture", "", "file for a picture of the steps (SVG); none if empty")
+	cmd.Flags().StringVar(&picture, "picture", "", "SVG file for a diagram of the steps; none if empty")
 	return cmd
 }
 
@@ -32,7 +32,7 @@
 			return err
 		}
 	}
-	day, err := l.Report()
+	report, err := l.Report()
 	if err != nil {
 		for _, f := range l.Faults() {
 			return fmt.Errorf("%w: %w; the first line that could not be read: %w", errInput, err, f)
@@ -40,14 +40,14 @@
 		return fmt.Errorf("%w: %w", errInput, err)
 	}
 	if picture != "" {
-		if err := writePicture(day, picture); err != nil {
+		if err := writePicture(report, picture); err != nil {
 			return err
 		}
 	}
 	if a.json {
-		return a.printJSON(day)
+		return a.printJSON(report)
 	}
-	return day.WriteTable(a.out)
+	return report.WriteTable(a.out)
 }
 
 // readLog opens the log file at path, or standard input if path is -, and passes it to
@@ -70,12 +70,12 @@
 	return nil
 }
 
-func writePicture(day *steptime.Report, path string) error {
+func writePicture(report *steptime.Report, path string) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return fmt.Errorf("%w: picture: %w", errInput, err)
 	}
-	if err := day.WriteSVG(f); err != nil {
+	if err := report.WriteSVG(f); err != nil {
 		f.Close()
 		return fmt.Errorf("picture %s: %w", path, err)
 	}
--- a/internal/entry/identity/doc.go
+++ b/internal/entry/identity/doc.go
@@ -1,13 +1,13 @@
 // Package identity identifies the organisation on whose behalf a request is made, or
 // tells why the request is refused.
 //
-//	gate := &identity.Authenticator{
+//	auth := &identity.Authenticator{
 //		Config: config,
 //		Record: record,
 //		Bound:  5 * time.Second,
 //		Timer:  clock,
 //	}
-//	org, err := gate.Identify(ctx, identity.Call{
+//	org, err := auth.Identify(ctx, identity.Call{
 //		RequestID: id,
 //		Header:    r.Header,
 //	})
--- a/internal/entry/identity/proof_test.go
+++ b/internal/entry/identity/proof_test.go
@@ -50,14 +50,14 @@
 
 // instance simulates an instance that may be disconnected or suspended.
 type instance struct {
-	fleet        *testFleet
-	revision     uint64
-	config       catalog.Holder
-	record       confirmation.Record
-	keeper       confirmation.Confirmer
-	gate         identity.Authenticator
-	disconnected bool
-	suspendedFor time.Duration
+	fleet         *testFleet
+	revision      uint64
+	config        catalog.Holder
+	record        confirmation.Record
+	confirmer     confirmation.Confirmer
+	authenticator identity.Authenticator
+	disconnected  bool
+	suspendedFor  time.Duration
 }
 
 // Now implements timer.Service. It returns the time on the instance's own clock.
@@ -88,7 +88,7 @@
 	i := &instance{
 		fleet: w,
 	}
-	i.keeper = confirmation.Confirmer{
+	i.confirmer = confirmation.Confirmer{
 		Record:       &i.record,
 		Source:       i,
 		Key:          configurationKey,
@@ -96,14 +96,14 @@
 		Apply:        i.applyChanges,
 		Timer:        i,
 	}
-	i.gate = identity.Authenticator{
+	i.authenticator = identity.Authenticator{
 		Config: &i.config,
 		Record: &i.record,
 		Bound:  bound,
 		Timer:  i,
 	}
 	if w.disabled.bound {
-		i.gate.Bound = 0
+		i.authenticator.Bound = 0
 	}
 	return i
 }
@@ -173,7 +173,7 @@
 // must be refused once it was removed for bound, and an initial key that was not
 // removed must not be called unknown.
 func (w *testFleet) sendRequest(i *instance, k int) {
-	_, err := i.gate.Identify(context.Background(), identity.Call{
+	_, err := i.authenticator.Identify(context.Background(), identity.Call{
 		Header: http.Header{"Authorization": {fmt.Sprint("Bearer key-", k)}},
 	})
 	at, gone := w.removedAt[k]
@@ -199,7 +199,7 @@
 	if w.disabled.revisionCheck {
 		revision = 0
 	}
-	to.keeper.AcceptRemote(to.Now().Add(-age), revision)
+	to.confirmer.AcceptRemote(to.Now().Add(-age), revision)
 }
 
 // suspend suspends an instance for the duration d.
@@ -223,7 +223,7 @@
 				}
 			},
 			"take away": func(*rapid.T) { w.removeKey(number("key", keyCount)) },
-			"confirm":   func(*rapid.T) { _ = some("instance").keeper.Confirm(context.Background()) },
+			"confirm":   func(*rapid.T) { _ = some("instance").confirmer.Confirm(context.Background()) },
 			"read old": func(*rapid.T) {
 				some("instance").applyRevision(uint64(1 + number("revision", len(w.keysByRevision))))
 			},
