--- a/internal/route/crash/doc.go
+++ b/internal/route/crash/doc.go
@@ -11,8 +11,8 @@
 //		Sum:         sum,
 //	})
 //
-// A connection that is cut before an answer is no proof of a crash: the network path may be
+// A connection that is cut off before an answer is no proof of a crash: the network path may be
 // down, or the upstream may have closed an idle connection. A Reporter therefore dials the
 // upstream, and takes it for crashed only if the port refuses the connection. It dials once
-// for all requests that were cut at an upstream.
+// for all requests that were cut off at an upstream.
 package crash
--- a/internal/route/crash/reporter.go
+++ b/internal/route/crash/reporter.go
@@ -29,7 +29,7 @@
 	openTTL = time.Second
 	// maxProbes bounds the probes that are running or whose result is kept.
 	maxProbes = 256
-	// maxWaitingCuts bounds the cut requests that wait for the result of one probe.
+	// maxWaitingCuts bounds the requests that wait for the result of one probe.
 	maxWaitingCuts = 32
 )
 
@@ -41,13 +41,13 @@
 	return Incarnation(fmt.Sprintf("%s/%d", id, number))
 }
 
-// Cut is a request whose connection to an upstream was cut before an answer.
+// Cut is a request whose connection to an upstream was cut off before an answer.
 type Cut struct {
 	RequestID   string
 	Incarnation Incarnation
 	Address     string
 	Sum         fingerprint.Digest
-	// At is when the connection was cut.
+	// At is when the connection was cut off.
 	At timer.Instant
 	// Consecutive is the number of consecutive upstream crashes during this request if this
 	// upstream crashed: one more than were known when the request was sent to it.
@@ -59,13 +59,13 @@
 	Get(ctx context.Context) ([]byte, error)
 }
 
-// Reporter probes the upstreams at which requests were cut, and reports those that crashed.
+// Reporter probes the upstreams at which requests were cut off, and reports those that crashed.
 type Reporter struct {
 	Secret  Secret
 	Timer   timer.Service
 	Journal *journal.Journal
 	Metrics *Metrics
-	// OnCrash, if not nil, is called for each request that was cut by a crash. It returns
+	// OnCrash, if not nil, is called for each request that was cut off by a crash. It returns
 	// additional fields for the log line.
 	OnCrash func(c Cut, print fingerprint.Fingerprint) log.Fields
 	// Dial opens a connection to an address and closes it; nil does so over TCP.
@@ -91,30 +91,30 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Timer.Now()
-	u := r.probes[c.Incarnation]
-	if u != nil && !u.running && !u.valid(now) {
+	p := r.probes[c.Incarnation]
+	if p != nil && !p.running && !p.valid(now) {
 		delete(r.probes, c.Incarnation)
-		u = nil
+		p = nil
 	}
 	switch {
-	case u == nil:
+	case p == nil:
 		r.startProbe(c, now)
-	case u.running && len(u.waiting) < maxWaitingCuts:
-		u.waiting = append(u.waiting, c)
-	case u.running:
+	case p.running && len(p.waiting) < maxWaitingCuts:
+		p.waiting = append(p.waiting, c)
+	case p.running:
 		r.Metrics.countDropped()
 	default:
-		go r.report(c, u.crashed)
+		go r.report(c, p.crashed)
 	}
 }
 
 // valid reports whether the result of a finished probe may still be used.
-func (u *probe) valid(now timer.Instant) bool {
+func (p *probe) valid(now timer.Instant) bool {
 	ttl := openTTL
-	if u.crashed {
+	if p.crashed {
 		ttl = crashTTL
 	}
-	return now.Sub(u.finishedAt) < ttl
+	return now.Sub(p.finishedAt) < ttl
 }
 
 // startProbe starts a probe of the incarnation of c, or drops c if there are too many probes.
@@ -130,17 +130,17 @@
 		r.Metrics.countDropped()
 		return
 	}
-	u := &probe{
+	p := &probe{
 		running: true,
 		waiting: []Cut{c},
 	}
-	r.probes[c.Incarnation] = u
+	r.probes[c.Incarnation] = p
 	go func() {
 		crashed := r.portClosed(c.Address)
 		r.mu.Lock()
-		u.running, u.crashed, u.finishedAt = false, crashed, r.Timer.Now()
-		waiting := u.waiting
-		u.waiting = nil
+		p.running, p.crashed, p.finishedAt = false, crashed, r.Timer.Now()
+		waiting := p.waiting
+		p.waiting = nil
 		r.mu.Unlock()
 		for _, c := range waiting {
 			r.report(c, crashed)
@@ -150,8 +150,8 @@
 
 // evictExpired deletes the probes whose result is no longer valid. The caller holds r.mu.
 func (r *Reporter) evictExpired(now timer.Instant) {
-	for name, u := range r.probes {
-		if !u.running && !u.valid(now) {
+	for name, p := range r.probes {
+		if !p.running && !p.valid(now) {
 			delete(r.probes, name)
 		}
 	}
@@ -177,7 +177,7 @@
 	return c.Close()
 }
 
-// report logs and counts one cut request, and calls r.OnCrash if its upstream crashed.
+// report logs and counts one request that was cut off, and calls r.OnCrash if its upstream crashed.
 func (r *Reporter) report(c Cut, crashed bool) {
 	r.Metrics.countCut(crashed)
 	fields := log.Fields{
--- a/internal/route/crash/reporter_test.go
+++ b/internal/route/crash/reporter_test.go
@@ -63,7 +63,7 @@
 }
 
 // Guards against one probe per request of a crashed upstream, and against not reporting
-// requests that were cut before the probe had a result.
+// requests that were cut off before the probe had a result.
 func TestOneProbePerUpstream(t *testing.T) {
 	is := is.New(t)
 	var dials atomic.Int32
--- a/internal/route/forward/attempt.go
+++ b/internal/route/forward/attempt.go
@@ -11,76 +11,76 @@
 )
 
 // startAttempt chooses an upstream and sends the request to it in a goroutine, which
-// puts the result into t.results.
-func (t *dispatch) startAttempt(ctx context.Context) error {
-	chosen := t.chooseUpstream()
+// puts the result into d.results.
+func (d *dispatch) startAttempt(ctx context.Context) error {
+	chosen := d.chooseUpstream()
 	if chosen == nil {
-		return problem.NoUpstream.Withf("none of the %d upstreams is usable", len(t.group.Upstreams)).
+		return problem.NoUpstream.Withf("none of the %d upstreams is usable", len(d.group.Upstreams)).
 			WithRetryAfter(retryAfterNoUpstream)
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	t.cancels = append(t.cancels, cancel)
-	attempt := t.sent
-	t.tried[attempt] = chosen.Upstream
-	t.sent++
-	t.inFlight++
+	d.cancels = append(d.cancels, cancel)
+	attempt := d.sent
+	d.tried[attempt] = chosen.Upstream
+	d.sent++
+	d.inFlight++
 	chosen.Begin()
-	t.recordUsage()
-	startedAt := t.f.Timer.Now()
-	timeLeft := t.deadline.Sub(startedAt)
+	d.recordUsage()
+	startedAt := d.f.Timer.Now()
+	timeLeft := d.deadline.Sub(startedAt)
 	go func() {
-		answer, err := t.f.Sender.Send(ctx, chosen, t.req, timeLeft)
-		t.results <- attemptResult{
+		answer, err := d.f.Sender.Send(ctx, chosen, d.req, timeLeft)
+		d.results <- attemptResult{
 			attempt: attempt,
 			u:       chosen,
 			answer:  answer,
 			err:     err,
-			took:    t.f.Timer.Now().Sub(startedAt),
+			took:    d.f.Timer.Now().Sub(startedAt),
 		}
 	}()
 	return nil
 }
 
 // recordUsage counts the request for its organisation when it is first sent.
-func (t *dispatch) recordUsage() {
-	if t.undoUsage == nil && t.f.Usage != nil && t.req.Organisation != "" {
-		t.undoUsage = t.f.Usage.RequestStarted(t.req.Organisation)
+func (d *dispatch) recordUsage() {
+	if d.undoUsage == nil && d.f.Usage != nil && d.req.Organisation != "" {
+		d.undoUsage = d.f.Usage.RequestStarted(d.req.Organisation)
 	}
 }
 
 // revertUsage reverts recordUsage if no upstream runs or may have run the request.
-func (t *dispatch) revertUsage() {
-	if t.undoUsage != nil && t.possibleRuns() == 0 {
-		t.undoUsage()
-		t.undoUsage = nil
+func (d *dispatch) revertUsage() {
+	if d.undoUsage != nil && d.possibleRuns() == 0 {
+		d.undoUsage()
+		d.undoUsage = nil
 	}
 }
 
 // chooseUpstream returns an upstream that was not tried yet. If there is none and no
 // attempt is in flight, it returns one that was tried before, and nil if there is none
 // at all.
-func (t *dispatch) chooseUpstream() *catalog.Upstream {
+func (d *dispatch) chooseUpstream() *catalog.Upstream {
 	q := policy.Query{
 		Random: rand.Uint64(),
-		Now:    t.f.Timer.Now(),
-		Tried:  t.tried,
+		Now:    d.f.Timer.Now(),
+		Tried:  d.tried,
 	}
 	var p policy.Policy = policy.TwoChoices{}
-	if t.req.Route.Repeatable() && t.sent == 0 {
+	if d.req.Route.Repeatable() && d.sent == 0 {
 		// Prefer idle connections only for the first attempt of a repeatable
 		// request: others are sent over a connection of their own, and a second
 		// attempt needs the least loaded upstream.
 		p = policy.IdleConnection{}
 	}
-	c := p.Choose(t.group.Set, q)
-	if c.Upstream == nil && t.inFlight == 0 {
+	c := p.Choose(d.group.Set, q)
+	if c.Upstream == nil && d.inFlight == 0 {
 		q.Tried = [policy.MaxTried]*upstream.Upstream{}
-		c = policy.TwoChoices{}.Choose(t.group.Set, q)
+		c = policy.TwoChoices{}.Choose(d.group.Set, q)
 	}
 	if c.Upstream == nil {
 		return nil
 	}
-	for _, u := range t.group.Upstreams {
+	for _, u := range d.group.Upstreams {
 		if u.Upstream == c.Upstream {
 			return u
 		}
@@ -91,24 +91,24 @@
 // cancelOthers cancels all attempts except the winner, whose answer may still be
 // streaming; winner is nil if there is none. An attempt that took more than
 // slowAttemptFactor times as long as the winner counts as a failure of its upstream.
-func (t *dispatch) cancelOthers(winner *attemptResult) {
-	for i, cancel := range t.cancels {
+func (d *dispatch) cancelOthers(winner *attemptResult) {
+	for i, cancel := range d.cancels {
 		if winner != nil && i == winner.attempt && winner.answer != nil && winner.answer.Stream != nil {
 			continue
 		}
 		cancel()
 	}
-	t.cancels = nil
-	if t.inFlight == 0 {
+	d.cancels = nil
+	if d.inFlight == 0 {
 		return
 	}
-	pending := t.inFlight
-	t.inFlight = 0
+	pending := d.inFlight
+	d.inFlight = 0
 	go func() {
 		for range pending {
-			r := <-t.results
+			r := <-d.results
 			if winner != nil && r.took > slowAttemptFactor*winner.took {
-				r.u.Failed(t.f.Timer.Now())
+				r.u.Failed(d.f.Timer.Now())
 				continue
 			}
 			r.u.Cancelled()
--- a/internal/route/forward/dispatch.go
+++ b/internal/route/forward/dispatch.go
@@ -65,31 +65,31 @@
 
 // runAttempts sends the request, hedges and retries it, and returns when it is
 // answered, can't be retried, has timed out or ctx has ended.
-func (t *dispatch) runAttempts(ctx context.Context) (*Answer, error) {
-	defer t.cancelOthers(nil)
-	if err := t.startAttempt(ctx); err != nil {
+func (d *dispatch) runAttempts(ctx context.Context) (*Answer, error) {
+	defer d.cancelOthers(nil)
+	if err := d.startAttempt(ctx); err != nil {
 		return nil, err
 	}
-	deadlineTimer := t.f.Timer.Once(t.deadline.Sub(t.f.Timer.Now()))
+	deadlineTimer := d.f.Timer.Once(d.deadline.Sub(d.f.Timer.Now()))
 	defer deadlineTimer.Close()
-	hedgeTimer := t.f.Timer.Once(t.hedgeDelay())
+	hedgeTimer := d.f.Timer.Once(d.hedgeDelay())
 	defer func() { hedgeTimer.Close() }()
 	for {
 		select {
-		case r := <-t.results:
-			if done, answer, err := t.handleResult(ctx, r); done {
+		case r := <-d.results:
+			if done, answer, err := d.handleResult(ctx, r); done {
 				return answer, err
 			}
 		case <-hedgeTimer.C:
 			hedgeTimer.Close()
-			if t.mayHedge() {
-				_ = t.startAttempt(ctx)
+			if d.mayHedge() {
+				_ = d.startAttempt(ctx)
 			}
-			hedgeTimer = t.f.Timer.Once(t.hedgeDelay())
+			hedgeTimer = d.f.Timer.Once(d.hedgeDelay())
 		case <-deadlineTimer.C:
-			return nil, t.timeoutError()
+			return nil, d.timeoutError()
 		case <-ctx.Done():
-			t.possiblyRun = true
+			d.possiblyRun = true
 			return nil, problem.UpstreamTimeout.Withf("the caller cancelled the request: %w", ctx.Err())
 		}
 	}
@@ -98,85 +98,85 @@
 // handleResult handles the result of one attempt. It reports whether the dispatch is
 // finished and, if so, the answer or error for the caller; otherwise it may have
 // started another attempt.
-func (t *dispatch) handleResult(ctx context.Context, r attemptResult) (bool, *Answer, error) {
-	t.inFlight--
-	t.recordResult(r)
-	t.outcomes[r.attempt] = outcomeOf(r)
+func (d *dispatch) handleResult(ctx context.Context, r attemptResult) (bool, *Answer, error) {
+	d.inFlight--
+	d.recordResult(r)
+	d.outcomes[r.attempt] = outcomeOf(r)
 	if errors.Is(r.err, engine.ErrConnectionLost) {
-		t.reportCut(r.u)
+		d.reportCut(r.u)
 	}
 	if r.answer != nil {
 		r.answer.Upstream = r.u.ID
-		r.answer.Attempts = t.sent
+		r.answer.Attempts = d.sent
 	}
-	if r.err == nil && !t.retriable(r.answer.Status) {
-		t.winner = r.u
-		t.cancelOthers(&r)
+	if r.err == nil && !d.retriable(r.answer.Status) {
+		d.winner = r.u
+		d.cancelOthers(&r)
 		return true, r.answer, nil
 	}
 	if r.err == nil {
 		if r.answer.Status == http.StatusInternalServerError {
-			t.failures++
+			d.failures++
 		}
-		r.answer.Failures = t.failures
+		r.answer.Failures = d.failures
 		r.err = problem.UpstreamFailed.Withf("upstream %s answered with status %d", r.u.ID, r.answer.Status)
 	}
-	t.lastErr = r.err
+	d.lastErr = r.err
 	if mayHaveRun(r.err) {
-		t.possiblyRun = true
+		d.possiblyRun = true
 	} else {
-		t.notRun++
-		t.revertUsage()
+		d.notRun++
+		d.revertUsage()
 	}
-	if t.inFlight > 0 {
+	if d.inFlight > 0 {
 		return false, nil, nil
 	}
-	if !t.mayRetry() {
+	if !d.mayRetry() {
 		if r.answer != nil {
 			return true, r.answer, nil
 		}
-		return true, nil, t.finalError(nil)
+		return true, nil, d.finalError(nil)
 	}
-	if err := t.startAttempt(ctx); err != nil {
+	if err := d.startAttempt(ctx); err != nil {
 		if r.answer != nil {
 			return true, r.answer, nil
 		}
-		return true, nil, t.finalError(err)
+		return true, nil, d.finalError(err)
 	}
 	return false, nil, nil
 }
 
 // retriable reports whether an answer with this status may be followed by another
 // attempt: it is a failure of the upstream and the request is repeatable.
-func (t *dispatch) retriable(status int) bool {
-	return status >= http.StatusInternalServerError && t.req.Route.Repeatable()
+func (d *dispatch) retriable(status int) bool {
+	return status >= http.StatusInternalServerError && d.req.Route.Repeatable()
 }
 
 // mayRetry reports whether another attempt may be started after a failed one.
-func (t *dispatch) mayRetry() bool {
-	if t.possiblyRun && (!t.req.Route.Repeatable() || !t.verdict.MayRetry(t.cutAttempts, 0)) {
+func (d *dispatch) mayRetry() bool {
+	if d.possiblyRun && (!d.req.Route.Repeatable() || !d.verdict.MayRetry(d.cutAttempts, 0)) {
 		return false
 	}
-	if t.possibleRuns() >= max(1, t.req.Route.Attempts) || t.sent >= maxSends {
+	if d.possibleRuns() >= max(1, d.req.Route.Attempts) || d.sent >= maxSends {
 		return false
 	}
-	return t.deadline.Sub(t.f.Timer.Now()) > minTimeLeft
+	return d.deadline.Sub(d.f.Timer.Now()) > minTimeLeft
 }
 
 // mayHedge reports whether a second attempt may be started while the first is in
 // flight.
-func (t *dispatch) mayHedge() bool {
-	return t.inFlight == 1 && t.req.Route.Repeatable() && t.req.Route.Kind != catalog.Streaming &&
-		t.verdict.MayRetry(t.cutAttempts, t.inFlight) && t.mayRetry()
+func (d *dispatch) mayHedge() bool {
+	return d.inFlight == 1 && d.req.Route.Repeatable() && d.req.Route.Kind != catalog.Streaming &&
+		d.verdict.MayRetry(d.cutAttempts, d.inFlight) && d.mayRetry()
 }
 
 // possibleRuns returns how many attempts may have run or may still run.
-func (t *dispatch) possibleRuns() int { return t.sent - t.notRun }
+func (d *dispatch) possibleRuns() int { return d.sent - d.notRun }
 
 // recordResult updates the upstream's state and the metrics with the result of an
 // attempt.
-func (t *dispatch) recordResult(r attemptResult) {
-	now := t.f.Timer.Now()
+func (d *dispatch) recordResult(r attemptResult) {
+	now := d.f.Timer.Now()
 	if r.answer != nil && r.answer.Load != nil {
 		r.u.RecordReport(*r.answer.Load, now)
 	}
@@ -197,7 +197,7 @@
 	default:
 		r.u.Failed(now)
 	}
-	t.f.Metrics.attempt(r)
+	d.f.Metrics.attempt(r)
 }
 
 // mayHaveRun reports whether an attempt that failed with err may have run.
@@ -208,56 +208,56 @@
 
 // timeoutError returns the error for the caller when the request has timed out. An
 // attempt in flight may have run.
-func (t *dispatch) timeoutError() error {
-	t.possiblyRun = t.possiblyRun || t.inFlight > 0
-	if t.lastErr == nil {
-		t.lastErr = problem.UpstreamTimeout.Withf("no answer in %s", t.deadline.Sub(t.started))
+func (d *dispatch) timeoutError() error {
+	d.possiblyRun = d.possiblyRun || d.inFlight > 0
+	if d.lastErr == nil {
+		d.lastErr = problem.UpstreamTimeout.Withf("no answer in %s", d.deadline.Sub(d.started))
 	}
-	if t.possiblyRun {
-		return problem.UpstreamTimeout.Withf("no answer in %s: %w", t.deadline.Sub(t.started), t.lastErr)
+	if d.possiblyRun {
+		return problem.UpstreamTimeout.Withf("no answer in %s: %w", d.deadline.Sub(d.started), d.lastErr)
 	}
-	return problem.DeadlineBeforeRun.Withf("no upstream accepted the request in %s: %w", t.deadline.Sub(t.started), t.lastErr)
+	return problem.DeadlineBeforeRun.Withf("no upstream accepted the request in %s: %w", d.deadline.Sub(d.started), d.lastErr)
 }
 
 // finalError returns the error for the caller when no attempt is in flight and none can
 // be started. Its outcome is problem.NotRun only if no attempt may have run.
-func (t *dispatch) finalError(startErr error) error {
-	if t.possiblyRun {
-		return problem.UpstreamFailed.Withf("after %d attempts: %w", t.sent, t.lastErr)
+func (d *dispatch) finalError(startErr error) error {
+	if d.possiblyRun {
+		return problem.UpstreamFailed.Withf("after %d attempts: %w", d.sent, d.lastErr)
 	}
-	if t.lastErr != nil {
-		return problem.UpstreamRefused.Withf("after %d attempts: %w", t.sent, t.lastErr).WithRetryAfter(retryAfterRefused)
+	if d.lastErr != nil {
+		return problem.UpstreamRefused.Withf("after %d attempts: %w", d.sent, d.lastErr).WithRetryAfter(retryAfterRefused)
 	}
 	return startErr
 }
 
 // logOutcome logs the finished request and updates its metrics.
-func (t *dispatch) logOutcome(service string, answer *Answer, err error) {
+func (d *dispatch) logOutcome(service string, answer *Answer, err error) {
 	fields := log.Fields{
-		"request_id": t.req.ID,
-		"route":      t.req.Route.Name,
+		"request_id": d.req.ID,
+		"route":      d.req.Route.Name,
 		"service":    service,
-		"for":        t.req.Organisation,
-		"attempts":   t.sent,
-		"of":         len(t.group.Upstreams),
-		"took_ms":    t.f.Timer.Now().Sub(t.started).Milliseconds(),
+		"for":        d.req.Organisation,
+		"attempts":   d.sent,
+		"of":         len(d.group.Upstreams),
+		"took_ms":    d.f.Timer.Now().Sub(d.started).Milliseconds(),
 	}
 	outcome := "answered"
 	if err != nil {
 		outcome = problem.From(err).Kind.Code
 		fields["error"] = err.Error()
 	}
-	if t.sent > 1 || err != nil {
-		fields["tried"] = t.attemptHistory()
+	if d.sent > 1 || err != nil {
+		fields["tried"] = d.attemptHistory()
 	}
-	if t.verdict.Suspected() {
-		maps.Copy(fields, t.verdict.Fields())
+	if d.verdict.Suspected() {
+		maps.Copy(fields, d.verdict.Fields())
 	}
 	if answer != nil {
 		fields["upstream"] = answer.Upstream
 		fields["status"] = answer.Status
 	}
 	fields["outcome"] = outcome
-	t.f.Metrics.request(t.req.Route, outcome, t.f.Timer.Now().Sub(t.started))
-	t.f.Journal.Decision("forward", fields)
+	d.f.Metrics.request(d.req.Route, outcome, d.f.Timer.Now().Sub(d.started))
+	d.f.Journal.Decision("forward", fields)
 }
--- a/internal/route/forward/forward.go
+++ b/internal/route/forward/forward.go
@@ -118,7 +118,7 @@
 func (f *Forwarder) Do(ctx context.Context, req Request) (*Answer, error) {
 	service := req.Route.ChooseService(rand.Float64())
 	now := f.Timer.Now()
-	t := &dispatch{
+	d := &dispatch{
 		f:        f,
 		req:      req,
 		group:    f.Upstreams.Group(service),
@@ -126,8 +126,8 @@
 		deadline: now.Add(timeoutFor(req, time.Now())),
 		results:  make(chan attemptResult, policy.MaxTried),
 	}
-	answer, err := t.runUnlessQuarantined(ctx)
-	t.logOutcome(service, answer, err)
+	answer, err := d.runUnlessQuarantined(ctx)
+	d.logOutcome(service, answer, err)
 	return answer, err
 }
 
--- a/internal/route/forward/limits.go
+++ b/internal/route/forward/limits.go
@@ -36,14 +36,14 @@
 
 // hedgeDelay returns how long to wait for the attempts in flight before a second one is
 // considered.
-func (t *dispatch) hedgeDelay() time.Duration {
-	share := time.Duration(hedgeObjectiveShare * float64(t.req.Route.Objective))
-	medianPace := time.Duration(hedgePaceFactor * float64(t.medianPace()))
+func (d *dispatch) hedgeDelay() time.Duration {
+	share := time.Duration(hedgeObjectiveShare * float64(d.req.Route.Objective))
+	medianPace := time.Duration(hedgePaceFactor * float64(d.medianPace()))
 	return max(share, medianPace, minHedgeDelay)
 }
 
 // medianPace returns the median duration of requests at the upstreams of the group, or
 // zero while it is unknown.
-func (t *dispatch) medianPace() time.Duration {
-	return time.Duration(t.group.Set.MedianPace() * float64(time.Second))
+func (d *dispatch) medianPace() time.Duration {
+	return time.Duration(d.group.Set.MedianPace() * float64(time.Second))
 }
--- a/internal/route/forward/outcome.go
+++ b/internal/route/forward/outcome.go
@@ -33,19 +33,19 @@
 
 // attemptHistory lists the upstreams the request was sent to, each with the outcome of
 // its attempt.
-func (t *dispatch) attemptHistory() string {
+func (d *dispatch) attemptHistory() string {
 	var b strings.Builder
-	for i, u := range t.tried[:t.sent] {
+	for i, u := range d.tried[:d.sent] {
 		if i > 0 {
 			b.WriteString(", ")
 		}
 		b.WriteString(u.ID)
 		b.WriteByte(' ')
-		if t.outcomes[i] == "" {
+		if d.outcomes[i] == "" {
 			b.WriteString("at_work")
 			continue
 		}
-		b.WriteString(t.outcomes[i])
+		b.WriteString(d.outcomes[i])
 	}
 	return b.String()
 }
--- a/internal/route/forward/suspect.go
+++ b/internal/route/forward/suspect.go
@@ -13,44 +13,44 @@
 // runUnlessQuarantined sends the request unless it is quarantined. It reports a request
 // that was answered, which clears it of suspicion; a streaming answer is reported when
 // its stream ends.
-func (t *dispatch) runUnlessQuarantined(ctx context.Context) (*Answer, error) {
-	if t.f.Suspects == nil {
-		return t.runAttempts(ctx)
+func (d *dispatch) runUnlessQuarantined(ctx context.Context) (*Answer, error) {
+	if d.f.Suspects == nil {
+		return d.runAttempts(ctx)
 	}
-	digest := t.req.digest
-	t.verdict = t.f.Suspects.Judge(digest)
-	if t.verdict.Quarantined() {
-		return nil, problem.Quarantined.Withf("%s", t.verdict).WithRetryAfter(t.verdict.RetryAfter)
+	digest := d.req.digest
+	d.verdict = d.f.Suspects.Judge(digest)
+	if d.verdict.Quarantined() {
+		return nil, problem.Quarantined.Withf("%s", d.verdict).WithRetryAfter(d.verdict.RetryAfter)
 	}
-	answer, err := t.runAttempts(ctx)
+	answer, err := d.runAttempts(ctx)
 	if answer != nil && answer.Stream != nil {
 		answer.Stream = &trackedStream{
 			ReadCloser: answer.Stream,
 			ctx:        ctx,
-			t:          t,
+			dispatch:   d,
 		}
 		return answer, err
 	}
 	if answer != nil {
-		t.f.Suspects.RecordAnswer(digest)
+		d.f.Suspects.RecordAnswer(digest)
 	}
 	return answer, err
 }
 
 // reportCut counts and reports an upstream whose connection was lost before the answer
 // was complete, as it may have crashed.
-func (t *dispatch) reportCut(u *catalog.Upstream) {
-	t.cutAttempts++
-	if t.f.Crashes == nil {
+func (d *dispatch) reportCut(u *catalog.Upstream) {
+	d.cutAttempts++
+	if d.f.Crashes == nil {
 		return
 	}
-	t.f.Crashes.ReportCutOff(crash.Cut{
-		RequestID:   t.req.ID,
+	d.f.Crashes.ReportCutOff(crash.Cut{
+		RequestID:   d.req.ID,
 		Incarnation: crash.IncarnationOf(u.ID, u.Incarnation),
 		Address:     u.Address,
-		Sum:         t.req.digest(),
-		At:          t.f.Timer.Now(),
-		Consecutive: t.verdict.Crashes + t.cutAttempts,
+		Sum:         d.req.digest(),
+		At:          d.f.Timer.Now(),
+		Consecutive: d.verdict.Crashes + d.cutAttempts,
 	})
 }
 
@@ -59,23 +59,23 @@
 // upstream may have crashed.
 type trackedStream struct {
 	io.ReadCloser
-	ctx   context.Context
-	t     *dispatch
-	ended bool
+	ctx      context.Context
+	dispatch *dispatch
+	ended    bool
 }
 
 // Read implements io.Reader.
-func (w *trackedStream) Read(p []byte) (int, error) {
-	n, err := w.ReadCloser.Read(p)
-	if err == nil || w.ended {
+func (s *trackedStream) Read(p []byte) (int, error) {
+	n, err := s.ReadCloser.Read(p)
+	if err == nil || s.ended {
 		return n, err
 	}
-	w.ended = true
+	s.ended = true
 	switch {
 	case errors.Is(err, io.EOF):
-		w.t.f.Suspects.RecordAnswer(w.t.req.digest)
-	case w.ctx.Err() == nil:
-		w.t.reportCut(w.t.winner)
+		s.dispatch.f.Suspects.RecordAnswer(s.dispatch.req.digest)
+	case s.ctx.Err() == nil:
+		s.dispatch.reportCut(s.dispatch.winner)
 	}
 	return n, err
 }
--- a/internal/route/forward/suspect_test.go
+++ b/internal/route/forward/suspect_test.go
@@ -145,7 +145,7 @@
 		w := &trackedStream{
 			ReadCloser: io.NopCloser(io.MultiReader(strings.NewReader("id: 1"), errorReader{err})),
 			ctx:        context.Background(),
-			t:          &dispatch{f: f, verdict: c.verdict, winner: &catalog.Upstream{Upstream: &upstream.Upstream{}}},
+			dispatch:   &dispatch{f: f, verdict: c.verdict, winner: &catalog.Upstream{Upstream: &upstream.Upstream{}}},
 		}
 		_, got := io.ReadAll(w)
 		is.True(got == nil || errors.Is(got, err))
--- a/internal/route/limit/deployment.go
+++ b/internal/route/limit/deployment.go
@@ -48,49 +48,49 @@
 	weight   atomic.Uint64
 }
 
-func (g *deploymentLimiter) currentLimit() float64  { return math.Float64frombits(g.limit.Load()) }
-func (g *deploymentLimiter) setLimit(limit float64) { g.limit.Store(math.Float64bits(limit)) }
+func (d *deploymentLimiter) currentLimit() float64  { return math.Float64frombits(d.limit.Load()) }
+func (d *deploymentLimiter) setLimit(limit float64) { d.limit.Store(math.Float64bits(limit)) }
 
 // initLimit sets the initial limit to the whole capacity: a single trainer session may
 // need all of it at once, and where many instances start at the same time, the first
 // refusals lower their limits within a second.
-func (g *deploymentLimiter) initLimit(capacity float64) {
-	if g.currentLimit() == 0 {
-		g.setLimit(max(minLimit, capacity))
+func (d *deploymentLimiter) initLimit(capacity float64) {
+	if d.currentLimit() == 0 {
+		d.setLimit(max(minLimit, capacity))
 	}
 }
 
 // increase raises the limit after a successful request, if at least half of it is in
 // use: by one per answer until the first decrease, and by about one per limit's worth
 // of answers after it.
-func (g *deploymentLimiter) increase(capacity float64) {
-	limit := g.currentLimit()
-	if float64(g.inFlight.Load()) < limit/2 {
+func (d *deploymentLimiter) increase(capacity float64) {
+	limit := d.currentLimit()
+	if float64(d.inFlight.Load()) < limit/2 {
 		return
 	}
 	step := 1.0
-	if g.decreased.Load() {
+	if d.decreased.Load() {
 		step = 1 / limit
 	}
-	g.setLimit(min(limit+step, max(minLimit, capacity)))
+	d.setLimit(min(limit+step, max(minLimit, capacity)))
 }
 
 // decrease lowers the limit after an upstream refused or timed out, at most once per
 // minDecreaseInterval.
-func (g *deploymentLimiter) decrease(now timer.Instant) {
-	last := g.lastDecrease.Load()
-	if now.Sub(timer.Instant(last)) < minDecreaseInterval || !g.lastDecrease.CompareAndSwap(last, int64(now)) {
+func (d *deploymentLimiter) decrease(now timer.Instant) {
+	last := d.lastDecrease.Load()
+	if now.Sub(timer.Instant(last)) < minDecreaseInterval || !d.lastDecrease.CompareAndSwap(last, int64(now)) {
 		return
 	}
-	g.decreased.Store(true)
-	g.setLimit(max(minLimit, g.currentLimit()*decreaseFactor))
+	d.decreased.Store(true)
+	d.setLimit(max(minLimit, d.currentLimit()*decreaseFactor))
 }
 
 // trackCaller returns the state of a caller and marks it as active.
-func (g *deploymentLimiter) trackCaller(name string, weight float64, now timer.Instant) *callerState {
-	v, known := g.callers.Load(name)
+func (d *deploymentLimiter) trackCaller(name string, weight float64, now timer.Instant) *callerState {
+	v, known := d.callers.Load(name)
 	if !known {
-		v, _ = g.callers.LoadOrStore(name, &callerState{})
+		v, _ = d.callers.LoadOrStore(name, &callerState{})
 	}
 	s := v.(*callerState)
 	s.lastSeen.Store(int64(now))
@@ -98,39 +98,39 @@
 	if !known {
 		// Force a sweep: until weightSum includes a new caller, its fair share is
 		// not enforced.
-		g.lastSweep.Store(0)
+		d.lastSweep.Store(0)
 	}
-	g.sweepCallers(now)
+	d.sweepCallers(now)
 	return s
 }
 
 // sweepCallers sums the weights of active callers and removes idle ones, at most
 // every half second.
-func (g *deploymentLimiter) sweepCallers(now timer.Instant) {
-	last := g.lastSweep.Load()
+func (d *deploymentLimiter) sweepCallers(now timer.Instant) {
+	last := d.lastSweep.Load()
 	if last != 0 && now.Sub(timer.Instant(last)) < callerIdleTimeout/4 {
 		return
 	}
-	if !g.lastSweep.CompareAndSwap(last, int64(now)) {
+	if !d.lastSweep.CompareAndSwap(last, int64(now)) {
 		return
 	}
 	sum := 0.0
-	g.callers.Range(func(key, v any) bool {
+	d.callers.Range(func(key, v any) bool {
 		s := v.(*callerState)
 		if s.inFlight.Load() == 0 && now.Sub(timer.Instant(s.lastSeen.Load())) > callerIdleTimeout {
-			g.callers.Delete(key)
+			d.callers.Delete(key)
 			return true
 		}
 		sum += math.Float64frombits(s.weight.Load())
 		return true
 	})
-	g.weightSum.Store(math.Float64bits(sum))
+	d.weightSum.Store(math.Float64bits(sum))
 }
 
 // reachedFairShare reports whether a caller's requests in flight have reached its
 // weighted part of the limit.
-func (g *deploymentLimiter) reachedFairShare(s *callerState, limit float64) bool {
-	sum := math.Float64frombits(g.weightSum.Load())
+func (d *deploymentLimiter) reachedFairShare(s *callerState, limit float64) bool {
+	sum := math.Float64frombits(d.weightSum.Load())
 	weight := math.Float64frombits(s.weight.Load())
 	if sum <= weight {
 		return false
--- a/internal/route/limit/limit_test.go
+++ b/internal/route/limit/limit_test.go
@@ -109,9 +109,9 @@
 		Timer: clock,
 	}
 	admitAt := func(class limit.Priority, used float64) error {
-		a := newRequest("a", class)
-		a.Usage = used
-		p, err := l.Admit(a)
+		req := newRequest("a", class)
+		req.Usage = used
+		p, err := l.Admit(req)
 		if err == nil {
 			p.Release(limit.Ignored)
 		}
@@ -128,10 +128,10 @@
 	l := &limit.Limiter{
 		Timer: timer.Real{},
 	}
-	a := newRequest("a", limit.Interactive)
+	req := newRequest("a", limit.Interactive)
 	b.ReportAllocs()
 	for b.Loop() {
-		p, err := l.Admit(a)
+		p, err := l.Admit(req)
 		if err == nil {
 			p.Release(limit.Ignored)
 		}
@@ -148,21 +148,21 @@
 	l := &limit.Limiter{
 		Timer: clock,
 	}
-	a := newRequest("cutting", limit.Training)
-	a.Slots = 16
-	a.ClaimedShare = 0.25
-	a.Usage = 1.5 // above the maximum usage of its class: others have filled the slots
+	req := newRequest("cutting", limit.Training)
+	req.Slots = 16
+	req.ClaimedShare = 0.25
+	req.Usage = 1.5 // above the maximum usage of its class: others have filled the slots
 	n := 0
 	for range 20 {
-		if _, err := l.Admit(a); err == nil {
+		if _, err := l.Admit(req); err == nil {
 			n++
 		}
 	}
 	is.Equal(n, 5) // a quarter of 1.25 times 16 slots
-	a.ClaimedShare = 1
-	_, err := l.Admit(a)
+	req.ClaimedShare = 1
+	_, err := l.Admit(req)
 	is.True(err != nil) // a caller that is alone has no claim above the maximum usage
-	a.Usage = 0.5
-	_, err = l.Admit(a)
+	req.Usage = 0.5
+	_, err = l.Admit(req)
 	is.NoErr(err) // and is not bounded below it
 }
--- a/internal/route/limit/limiter.go
+++ b/internal/route/limit/limiter.go
@@ -58,40 +58,40 @@
 }
 
 // Admit admits a request or refuses it at once with problem.Overloaded.
-func (l *Limiter) Admit(a Request) (*Permit, error) {
+func (l *Limiter) Admit(req Request) (*Permit, error) {
 	now := l.Timer.Now()
-	g := l.forDeployment(a.Deployment)
-	g.initLimit(a.Capacity)
-	s := g.trackCaller(a.Caller, a.Weight, now)
-	limit := g.currentLimit()
-	n := float64(g.inFlight.Add(1))
-	if reason := refusalReason(g, s, &a, limit, n); reason != "" {
-		g.inFlight.Add(-1)
-		return nil, problem.Overloaded.Withf("deployment %q: %s", a.Deployment, reason).
-			WithRetryAfter(retryDelay(n/limit, a.Usage))
+	d := l.forDeployment(req.Deployment)
+	d.initLimit(req.Capacity)
+	s := d.trackCaller(req.Caller, req.Weight, now)
+	limit := d.currentLimit()
+	n := float64(d.inFlight.Add(1))
+	if reason := refusalReason(d, s, &req, limit, n); reason != "" {
+		d.inFlight.Add(-1)
+		return nil, problem.Overloaded.Withf("deployment %q: %s", req.Deployment, reason).
+			WithRetryAfter(retryDelay(n/limit, req.Usage))
 	}
 	s.inFlight.Add(1)
 	return &Permit{
 		limiter:    l,
-		deployment: g,
+		deployment: d,
 		caller:     s,
-		capacity:   a.Capacity,
+		capacity:   req.Capacity,
 	}, nil
 }
 
 // refusalReason returns why a request is refused, or "" if it is admitted. n is the
 // number of requests in flight, including this one.
-func refusalReason(g *deploymentLimiter, s *callerState, a *Request, limit, n float64) string {
-	if n > math.Max(1, limit*a.Class.limitShare()) {
-		return "the concurrency limit is reached for priority " + a.Class.String()
+func refusalReason(d *deploymentLimiter, s *callerState, req *Request, limit, n float64) string {
+	if n > math.Max(1, limit*req.Class.limitShare()) {
+		return "the concurrency limit is reached for priority " + req.Class.String()
 	}
-	if a.reachedClaim(s) {
+	if req.reachedClaim(s) {
 		return "the caller's share of the slots is in use and other callers claim the rest"
 	}
-	if a.Usage > a.maxUsage() {
-		return "its upstreams are too busy for priority " + a.Class.String()
+	if req.Usage > req.maxUsage() {
+		return "its upstreams are too busy for priority " + req.Class.String()
 	}
-	if n > limit*fairShareThreshold && g.reachedFairShare(s, limit) {
+	if n > limit*fairShareThreshold && d.reachedFairShare(s, limit) {
 		return "the caller's fair share of the limit is in use"
 	}
 	return ""
@@ -103,23 +103,23 @@
 
 // contended reports whether the request claims a share of the slots and other callers
 // claim the rest.
-func (a *Request) contended() bool { return a.ClaimedShare > 0 && a.ClaimedShare < 1 }
+func (req *Request) contended() bool { return req.ClaimedShare > 0 && req.ClaimedShare < 1 }
 
 // reachedClaim reports whether the caller's requests in flight have reached the share
 // it claims. The share is taken of the usage that the class is allowed in total, so
 // that all claims together fill it. The current usage of others is not considered: it
 // is known late, and two callers that relied on it would each take what the other one
 // seems to leave free.
-func (a *Request) reachedClaim(s *callerState) bool {
-	return a.contended() && float64(s.inFlight.Load()) >= max(1, a.ClaimedShare*a.Slots*a.Class.maxUsage())
+func (req *Request) reachedClaim(s *callerState) bool {
+	return req.contended() && float64(s.inFlight.Load()) >= max(1, req.ClaimedShare*req.Slots*req.Class.maxUsage())
 }
 
 // maxUsage returns the usage of the deployment above which the request is refused.
-func (a *Request) maxUsage() float64 {
-	if a.contended() {
+func (req *Request) maxUsage() float64 {
+	if req.contended() {
 		return claimMaxUsage
 	}
-	return a.Class.maxUsage()
+	return req.Class.maxUsage()
 }
 
 // Release ends the request and adapts the limit to the result.
@@ -139,9 +139,9 @@
 func (l *Limiter) Load() float64 {
 	most := 0.0
 	l.deployments.Range(func(_, v any) bool {
-		g := v.(*deploymentLimiter)
-		if limit := g.currentLimit(); limit > 0 {
-			most = max(most, float64(g.inFlight.Load())/limit)
+		d := v.(*deploymentLimiter)
+		if limit := d.currentLimit(); limit > 0 {
+			most = max(most, float64(d.inFlight.Load())/limit)
 		}
 		return true
 	})
@@ -150,8 +150,8 @@
 
 // Limit returns the limit of a deployment and its requests in flight.
 func (l *Limiter) Limit(deployment string) (limit float64, inFlight int64) {
-	g := l.forDeployment(deployment)
-	return g.currentLimit(), g.inFlight.Load()
+	d := l.forDeployment(deployment)
+	return d.currentLimit(), d.inFlight.Load()
 }
 
 // forDeployment returns the limiter of a deployment, which it creates if needed.
--- a/internal/route/poison/evidence.go
+++ b/internal/route/poison/evidence.go
@@ -75,36 +75,36 @@
 func (b blame) countedCrashes() int { return min(b.total, b.consecutive) }
 
 // Empty reports whether no crash is known.
-func (e *Tracker) Empty() bool { return len(e.crashes) == 0 }
+func (t *Tracker) Empty() bool { return len(t.crashes) == 0 }
 
 // Len returns the number of known upstream crashes.
-func (e *Tracker) Len() int { return len(e.crashes) }
+func (t *Tracker) Len() int { return len(t.crashes) }
 
 // CrashCount returns the number of upstreams that crashed while running a request.
-func (e *Tracker) CrashCount(p fingerprint.Fingerprint) int {
-	e.updateBlame()
-	return e.blame[p].total
+func (t *Tracker) CrashCount(p fingerprint.Fingerprint) int {
+	t.updateBlame()
+	return t.blame[p].total
 }
 
 // Add records a crash and reports whether it was added. A crash is not added if it is known
 // already, in which case only its Consecutive may be raised, if the request was cleared
 // at or after it, or if the upstream crash has maxRequestsPerCrash requests.
-func (e *Tracker) Add(c Crash) bool {
-	if at, ok := e.cleared[c.Print]; ok && c.At <= at {
+func (t *Tracker) Add(c Crash) bool {
+	if at, ok := t.cleared[c.Print]; ok && c.At <= at {
 		return false
 	}
-	at := slices.IndexFunc(e.crashes, func(x *upstreamCrash) bool { return x.incarnation == c.Incarnation })
+	at := slices.IndexFunc(t.crashes, func(x *upstreamCrash) bool { return x.incarnation == c.Incarnation })
 	if at < 0 {
-		e.insert(&upstreamCrash{
+		t.insert(&upstreamCrash{
 			incarnation: c.Incarnation,
 			at:          c.At,
 			requests:    []Crash{c},
 		})
 		return true
 	}
-	x := e.crashes[at]
+	x := t.crashes[at]
 	if i := x.indexOf(c.Print); i >= 0 {
-		e.stale = e.stale || c.Consecutive > x.requests[i].Consecutive
+		t.stale = t.stale || c.Consecutive > x.requests[i].Consecutive
 		x.requests[i].Consecutive = max(x.requests[i].Consecutive, c.Consecutive)
 		return false
 	}
@@ -112,73 +112,73 @@
 		return false
 	}
 	x.requests = append(x.requests, c)
-	e.stale = true
+	t.stale = true
 	return true
 }
 
 // insert adds x at its position by time, and evicts another crash if there are more than
 // MaxCrashes.
-func (e *Tracker) insert(x *upstreamCrash) {
-	e.stale = true
-	at, _ := slices.BinarySearchFunc(e.crashes, x.at, func(a *upstreamCrash, t timer.Instant) int { return int(a.at - t) })
-	e.crashes = slices.Insert(e.crashes, at, x)
-	if len(e.crashes) > MaxCrashes {
-		e.evict()
+func (t *Tracker) insert(x *upstreamCrash) {
+	t.stale = true
+	at, _ := slices.BinarySearchFunc(t.crashes, x.at, func(a *upstreamCrash, when timer.Instant) int { return int(a.at - when) })
+	t.crashes = slices.Insert(t.crashes, at, x)
+	if len(t.crashes) > MaxCrashes {
+		t.evict()
 	}
 }
 
 // evict removes the oldest crash without a poison request, or the oldest one if all have one.
-func (e *Tracker) evict() {
-	e.updateBlame()
-	at := slices.IndexFunc(e.crashes, func(x *upstreamCrash) bool {
-		return !slices.ContainsFunc(x.requests, func(c Crash) bool { return e.blame[c.Print].isPoison() })
+func (t *Tracker) evict() {
+	t.updateBlame()
+	at := slices.IndexFunc(t.crashes, func(x *upstreamCrash) bool {
+		return !slices.ContainsFunc(x.requests, func(c Crash) bool { return t.blame[c.Print].isPoison() })
 	})
-	e.crashes = slices.Delete(e.crashes, max(0, at), max(0, at)+1)
-	e.stale = true
+	t.crashes = slices.Delete(t.crashes, max(0, at), max(0, at)+1)
+	t.stale = true
 }
 
 // Clear records that a request completed at the given time, removes it from earlier crashes,
 // and reports whether it was in any.
-func (e *Tracker) Clear(p fingerprint.Fingerprint, at timer.Instant) bool {
-	if e.cleared == nil {
-		e.cleared = make(map[fingerprint.Fingerprint]timer.Instant)
+func (t *Tracker) Clear(p fingerprint.Fingerprint, at timer.Instant) bool {
+	if t.cleared == nil {
+		t.cleared = make(map[fingerprint.Fingerprint]timer.Instant)
 	}
-	if len(e.cleared) >= maxCleared {
-		clear(e.cleared)
+	if len(t.cleared) >= maxCleared {
+		clear(t.cleared)
 	}
-	e.cleared[p] = max(at, e.cleared[p])
-	return e.remove(p, func(x *upstreamCrash) bool { return x.at <= at })
+	t.cleared[p] = max(at, t.cleared[p])
+	return t.remove(p, func(x *upstreamCrash) bool { return x.at <= at })
 }
 
 // remove deletes a request from the matching crashes, and reports whether it was in any.
-func (e *Tracker) remove(p fingerprint.Fingerprint, matches func(x *upstreamCrash) bool) bool {
+func (t *Tracker) remove(p fingerprint.Fingerprint, matches func(x *upstreamCrash) bool) bool {
 	removed := false
-	for _, x := range e.crashes {
+	for _, x := range t.crashes {
 		if at := x.indexOf(p); at >= 0 && matches(x) {
 			x.requests = slices.Delete(x.requests, at, at+1)
 			removed = true
 		}
 	}
 	if removed {
-		e.crashes = slices.DeleteFunc(e.crashes, func(x *upstreamCrash) bool { return len(x.requests) == 0 })
-		e.stale = true
+		t.crashes = slices.DeleteFunc(t.crashes, func(x *upstreamCrash) bool { return len(x.requests) == 0 })
+		t.stale = true
 	}
 	return removed
 }
 
 // Expire deletes expired cleared requests and expired crashes, and reports whether any crash
 // record was deleted.
-func (e *Tracker) Expire(now timer.Instant) bool {
-	for p, at := range e.cleared {
+func (t *Tracker) Expire(now timer.Instant) bool {
+	for p, at := range t.cleared {
 		if now.Sub(at) >= clearedTTL {
-			delete(e.cleared, p)
+			delete(t.cleared, p)
 		}
 	}
-	e.updateBlame()
+	t.updateBlame()
 	removed := false
-	for p, b := range e.blame {
+	for p, b := range t.blame {
 		if now >= b.expiry() {
-			removed = e.remove(p, func(*upstreamCrash) bool { return true }) || removed
+			removed = t.remove(p, func(*upstreamCrash) bool { return true }) || removed
 		}
 	}
 	return removed
@@ -191,15 +191,15 @@
 // updateBlame recomputes the blame if crashes changed. It weights each request by its number
 // of crashes at first, then repeatedly distributes the blame for each crash among the
 // requests in flight, in proportion to their blame for all crashes.
-func (e *Tracker) updateBlame() {
-	if !e.stale {
+func (t *Tracker) updateBlame() {
+	if !t.stale {
 		return
 	}
-	e.stale = false
+	t.stale = false
 	var d blameSolver
-	e.blame = make(map[fingerprint.Fingerprint]blame)
+	t.blame = make(map[fingerprint.Fingerprint]blame)
 	index := make(map[fingerprint.Fingerprint]int)
-	for _, x := range e.crashes {
+	for _, x := range t.crashes {
 		members := make([]int, len(x.requests))
 		for i, c := range x.requests {
 			p := c.Print
@@ -209,20 +209,20 @@
 			}
 			members[i] = index[p]
 			d.shares[index[p]]++
-			b := e.blame[p]
+			b := t.blame[p]
 			b.total++
 			b.consecutive = max(b.consecutive, c.Consecutive)
 			b.lastCrash = max(b.lastCrash, c.At)
-			e.blame[p] = b
+			t.blame[p] = b
 		}
 		d.crashes = append(d.crashes, members)
 	}
 	for range blameIterations {
 		d.redistribute()
 	}
-	for p, b := range e.blame {
+	for p, b := range t.blame {
 		b.share = d.shares[index[p]]
-		e.blame[p] = b
+		t.blame[p] = b
 	}
 }
 
--- a/internal/route/poison/suspect_test.go
+++ b/internal/route/poison/suspect_test.go
@@ -34,9 +34,9 @@
 
 // addPoisonRequest adds enough crashes to make a request a poison request, one second apart,
 // the last one at the given time.
-func addPoisonRequest(e *Tracker, print, firstIncarnation int, at timer.Instant) {
+func addPoisonRequest(tracker *Tracker, print, firstIncarnation int, at timer.Instant) {
 	for i := range poisonMinCrashes {
-		e.Add(newCrash(firstIncarnation+i, print, 1+i, at.Add(-time.Duration(poisonMinCrashes-1-i)*time.Second)))
+		tracker.Add(newCrash(firstIncarnation+i, print, 1+i, at.Add(-time.Duration(poisonMinCrashes-1-i)*time.Second)))
 	}
 }
 
@@ -44,83 +44,83 @@
 // and against serving it after a fourth.
 func TestFourthCrashQuarantinesRequest(t *testing.T) {
 	is := is.New(t)
-	var e Tracker
+	var tracker Tracker
 	at := timer.Instant(time.Hour)
 	for i := range 3 {
 		at = at.Add(time.Second)
-		is.True(e.Add(newCrash(i, 1, 1+i, at)))
-		is.True(!e.Add(newCrash(i, 1, 1+i, at))) // duplicate
+		is.True(tracker.Add(newCrash(i, 1, 1+i, at)))
+		is.True(!tracker.Add(newCrash(i, 1, 1+i, at))) // duplicate
 	}
-	v := e.Judge(printOf(1), at)
+	v := tracker.Judge(printOf(1), at)
 	is.True(!v.Quarantined())
 	is.True(!v.MayRetry(0, 0)) // one upstream only
 	at = at.Add(time.Second)
-	e.Add(newCrash(3, 1, 4, at))
-	v = e.Judge(printOf(1), at.Add(time.Second))
+	tracker.Add(newCrash(3, 1, 4, at))
+	v = tracker.Judge(printOf(1), at.Add(time.Second))
 	is.True(v.Quarantined())
 	is.Equal(v.RetryAfter, initialQuarantine-time.Second)
 	is.Equal(v.Crashes, 4)
-	is.Equal(e.PoisonCount(), 1)
+	is.Equal(tracker.PoisonCount(), 1)
 }
 
 // Guards against a quarantine that never ends, and against one that starts at its initial
 // length again with the request's next crash.
 func TestQuarantineEndsAndGrows(t *testing.T) {
 	is := is.New(t)
-	var e Tracker
+	var tracker Tracker
 	at := timer.Instant(time.Hour)
-	addPoisonRequest(&e, 1, 0, at)
+	addPoisonRequest(&tracker, 1, 0, at)
 	later := at.Add(initialQuarantine)
-	v := e.Judge(printOf(1), later)
+	v := tracker.Judge(printOf(1), later)
 	is.True(!v.Quarantined())
 	is.True(v.Trial)
 	is.True(!v.MayRetry(0, 0)) // at one upstream only
-	e.Add(newCrash(9, 1, 5, later))
-	is.Equal(e.Judge(printOf(1), later).RetryAfter, quarantineFactor*initialQuarantine)
-	is.True(e.Expire(later.Add(time.Hour)))
-	is.True(e.Empty())
-	is.Equal(e.Judge(printOf(1), later.Add(time.Hour)), Verdict{})
+	tracker.Add(newCrash(9, 1, 5, later))
+	is.Equal(tracker.Judge(printOf(1), later).RetryAfter, quarantineFactor*initialQuarantine)
+	is.True(tracker.Expire(later.Add(time.Hour)))
+	is.True(tracker.Empty())
+	is.Equal(tracker.Judge(printOf(1), later.Add(time.Hour)), Verdict{})
 }
 
 // Guards against quarantining a popular request that was in flight at several upstreams that
 // crashed at the same time.
 func TestConcurrentCrashesCountOnce(t *testing.T) {
 	is := is.New(t)
-	var e Tracker
+	var tracker Tracker
 	at := timer.Instant(time.Hour)
 	for i := range 20 {
-		e.Add(newCrash(i, 1, 1, at.Add(time.Duration(i)*time.Millisecond)))
+		tracker.Add(newCrash(i, 1, 1, at.Add(time.Duration(i)*time.Millisecond)))
 	}
-	v := e.Judge(printOf(1), at)
+	v := tracker.Judge(printOf(1), at)
 	is.Equal(v.Crashes, 1)
 	is.Equal(v.TotalCrashes, 20)
 	is.True(!v.Quarantined())
 	// Attempts that were cut off for another reason raise Consecutive, but not the count
 	// of crashes.
-	e.Add(newCrash(0, 2, 9, at))
-	is.Equal(e.Judge(printOf(2), at).Crashes, 1)
+	tracker.Add(newCrash(0, 2, 9, at))
+	is.Equal(tracker.Judge(printOf(2), at).Crashes, 1)
 }
 
 // Guards against blaming a bystander: it was in flight at as many crashes as each poison
 // request, but always together with one of them.
 func TestBystandersAreNotQuarantined(t *testing.T) {
 	is := is.New(t)
-	var e Tracker
+	var tracker Tracker
 	at := timer.Instant(time.Hour)
 	incarnation := 0
 	for _, poison := range []int{1, 2} {
 		for i := range 6 {
 			incarnation++
 			at = at.Add(time.Second)
-			e.Add(newCrash(incarnation, poison, 1+i, at))
+			tracker.Add(newCrash(incarnation, poison, 1+i, at))
 			if i < 3 {
-				e.Add(newCrash(incarnation, 3, incarnation, at))
+				tracker.Add(newCrash(incarnation, 3, incarnation, at))
 			}
 		}
 	}
-	is.True(e.Judge(printOf(1), at).Quarantined())
-	is.True(e.Judge(printOf(2), at).Quarantined())
-	bystander := e.Judge(printOf(3), at)
+	is.True(tracker.Judge(printOf(1), at).Quarantined())
+	is.True(tracker.Judge(printOf(2), at).Quarantined())
+	bystander := tracker.Judge(printOf(3), at)
 	is.Equal(bystander.Crashes, 6)
 	is.True(!bystander.Quarantined())
 }
@@ -129,33 +129,33 @@
 // upstream.
 func TestAnsweredRequestIsCleared(t *testing.T) {
 	is := is.New(t)
-	var e Tracker
+	var tracker Tracker
 	at := timer.Instant(time.Hour)
-	addPoisonRequest(&e, 1, 0, at)
-	is.True(e.Clear(printOf(1), at.Add(time.Second)))
-	is.True(e.Empty())
-	is.True(!e.Add(newCrash(9, 1, 1, at)))
-	is.True(e.Add(newCrash(9, 1, 1, at.Add(2*time.Second))))
+	addPoisonRequest(&tracker, 1, 0, at)
+	is.True(tracker.Clear(printOf(1), at.Add(time.Second)))
+	is.True(tracker.Empty())
+	is.True(!tracker.Add(newCrash(9, 1, 1, at)))
+	is.True(tracker.Add(newCrash(9, 1, 1, at.Add(2*time.Second))))
 }
 
 // Guards against memory use that grows with the number of requests that crash upstreams, and
 // against a flood of them that evicts a poison request.
 func TestMemoryIsBoundedAndKeepsPoisonRequests(t *testing.T) {
 	is := is.New(t)
-	var e Tracker
+	var tracker Tracker
 	at := timer.Instant(time.Hour)
-	addPoisonRequest(&e, 0, 1_000_000, at)
+	addPoisonRequest(&tracker, 0, 1_000_000, at)
 	for i := range 4 * MaxCrashes {
-		e.Add(newCrash(i, i+1, 1, at.Add(time.Duration(i))))
-		e.Clear(printOf(-i-1), at)
+		tracker.Add(newCrash(i, i+1, 1, at.Add(time.Duration(i))))
+		tracker.Clear(printOf(-i-1), at)
 	}
-	is.Equal(e.Len(), MaxCrashes)
-	is.True(len(e.cleared) <= maxCleared)
-	is.True(e.Judge(printOf(0), at).Quarantined())
+	is.Equal(tracker.Len(), MaxCrashes)
+	is.True(len(tracker.cleared) <= maxCleared)
+	is.True(tracker.Judge(printOf(0), at).Quarantined())
 	for i := range 2 * maxRequestsPerCrash {
-		e.Add(newCrash(1_000_000, 5_000+i, 1, at))
+		tracker.Add(newCrash(1_000_000, 5_000+i, 1, at))
 	}
-	for _, x := range e.crashes {
+	for _, x := range tracker.crashes {
 		is.True(len(x.requests) <= maxRequestsPerCrash)
 	}
 }
@@ -165,7 +165,7 @@
 // times, and that no innocent request is quarantined: neither one that was in flight beside a
 // poison request three times before it was answered, nor one that met three unrelated crashes.
 func checkRandomCrashes(t *rapid.T) {
-	var e Tracker
+	var tracker Tracker
 	now := timer.Instant(time.Hour)
 	poisonRuns, chanceCrashes := map[int]int{}, map[int]int{}
 	for incarnation := range rapid.IntRange(1, 120).Draw(t, "ends") {
@@ -176,23 +176,23 @@
 			first = 20
 		}
 		if culprit > 0 {
-			if e.Judge(printOf(culprit), now).Quarantined() {
+			if tracker.Judge(printOf(culprit), now).Quarantined() {
 				continue
 			}
 			poisonRuns[culprit]++
-			e.Add(newCrash(incarnation, culprit, 1+e.Judge(printOf(culprit), now).Crashes, now))
+			tracker.Add(newCrash(incarnation, culprit, 1+tracker.Judge(printOf(culprit), now).Crashes, now))
 		}
 		for _, p := range rapid.SliceOfNDistinct(rapid.IntRange(first, first+9), 0, 4, rapid.ID).Draw(t, "there") {
-			if v := e.Judge(printOf(p), now); v.Quarantined() {
+			if v := tracker.Judge(printOf(p), now); v.Quarantined() {
 				t.Fatalf("innocent request %d was refused: %+v", p, v)
 			}
 			if chanceCrashes[p] < 3 {
 				chanceCrashes[p]++
-				e.Add(newCrash(incarnation, p, 1+e.Judge(printOf(p), now).Crashes, now))
+				tracker.Add(newCrash(incarnation, p, 1+tracker.Judge(printOf(p), now).Crashes, now))
 			}
 			if rapid.Bool().Draw(t, "answered") {
 				chanceCrashes[p] = 0
-				e.Clear(printOf(p), now)
+				tracker.Clear(printOf(p), now)
 			}
 		}
 	}
@@ -210,18 +210,18 @@
 // BenchmarkJudge measures Judge with and without a change before it, with MaxCrashes crashes
 // of six requests each.
 func BenchmarkJudge(b *testing.B) {
-	var e Tracker
+	var tracker Tracker
 	at := timer.Instant(time.Hour)
 	for i := range MaxCrashes {
 		for j := range 6 {
-			e.Add(newCrash(i, i*3+j, 1, at))
+			tracker.Add(newCrash(i, i*3+j, 1, at))
 		}
 	}
 	for _, stale := range []bool{false, true} {
 		b.Run(fmt.Sprintf("changed=%t", stale), func(b *testing.B) {
 			for b.Loop() {
-				e.stale = stale
-				e.Judge(printOf(7), at)
+				tracker.stale = stale
+				tracker.Judge(printOf(7), at)
 			}
 		})
 	}
--- a/internal/route/poison/verdict.go
+++ b/internal/route/poison/verdict.go
@@ -53,9 +53,9 @@
 }
 
 // Judge returns the verdict on a request.
-func (e *Tracker) Judge(p fingerprint.Fingerprint, now timer.Instant) Verdict {
-	e.updateBlame()
-	b, ok := e.blame[p]
+func (t *Tracker) Judge(p fingerprint.Fingerprint, now timer.Instant) Verdict {
+	t.updateBlame()
+	b, ok := t.blame[p]
 	if !ok || now >= b.expiry() {
 		return Verdict{}
 	}
@@ -74,10 +74,10 @@
 }
 
 // PoisonCount returns the number of poison requests.
-func (e *Tracker) PoisonCount() int {
-	e.updateBlame()
+func (t *Tracker) PoisonCount() int {
+	t.updateBlame()
 	n := 0
-	for _, b := range e.blame {
+	for _, b := range t.blame {
 		if b.isPoison() {
 			n++
 		}
@@ -92,7 +92,7 @@
 func (v Verdict) Suspected() bool { return v.Crashes > 0 }
 
 // MayRetry reports whether the request may be sent to one more upstream, given the number
-// of its connections that were cut and the number of its attempts still in flight.
+// of its attempts that were cut off and the number of its attempts still in flight.
 func (v Verdict) MayRetry(cut, inFlight int) bool { return v.Crashes+cut+inFlight < singleAttemptFrom }
 
 // String returns the reason for the verdict, for callers and the log.
--- a/internal/route/router/router.go
+++ b/internal/route/router/router.go
@@ -215,20 +215,20 @@
 }
 
 // Attempts returns how many upstreams were chosen so far.
-func (t *Dispatch) Attempts() int { return t.attempts }
+func (d *Dispatch) Attempts() int { return d.attempts }
 
 // Exclude excludes the upstream with the given ID from the choice. It must be called
 // before NextUpstream. It is for a second attempt beside a slow one, which is of no use
 // at the same engine. Exclude does nothing if no other upstream would be left, or if
 // policy.MaxTried/2 upstreams are excluded already.
-func (t *Dispatch) Exclude(id string) {
-	if t.excluded >= policy.MaxTried/2 || len(t.Set.Upstreams) <= t.excluded+1 {
+func (d *Dispatch) Exclude(id string) {
+	if d.excluded >= policy.MaxTried/2 || len(d.Set.Upstreams) <= d.excluded+1 {
 		return
 	}
-	for _, u := range t.Set.Upstreams {
+	for _, u := range d.Set.Upstreams {
 		if u.ID == id {
-			t.tried[t.excluded] = u
-			t.excluded++
+			d.tried[d.excluded] = u
+			d.excluded++
 			return
 		}
 	}
@@ -236,61 +236,61 @@
 
 // NextUpstream chooses an upstream that was not tried yet and counts the request as in
 // flight there. It returns problem.NoUpstream if there is none or all attempts are used.
-func (t *Dispatch) NextUpstream() (*upstream.Upstream, error) {
-	if t.attempts >= t.Set.Deployment.Attempts || t.excluded+t.attempts >= policy.MaxTried {
-		return nil, problem.NoUpstream.Withf("all %d attempts of request %s have been used", t.attempts, t.Job.RequestID).
+func (d *Dispatch) NextUpstream() (*upstream.Upstream, error) {
+	if d.attempts >= d.Set.Deployment.Attempts || d.excluded+d.attempts >= policy.MaxTried {
+		return nil, problem.NoUpstream.Withf("all %d attempts of request %s have been used", d.attempts, d.Job.RequestID).
 			WithRetryAfter(time.Second)
 	}
-	choice := t.policy.Choose(t.Set, t.query(t.Job.VersionLead))
-	if choice.Upstream == nil && t.Job.VersionLead > 0 {
+	choice := d.policy.Choose(d.Set, d.query(d.Job.VersionLead))
+	if choice.Upstream == nil && d.Job.VersionLead > 0 {
 		// While new versions are being published, possibly no engine has a version
 		// that will still be recent enough on delivery. Fall back to one that is
 		// recent enough now.
-		choice = t.policy.Choose(t.Set, t.query(0))
+		choice = d.policy.Choose(d.Set, d.query(0))
 	}
-	t.router.logChoice(t, choice)
+	d.router.logChoice(d, choice)
 	if choice.Upstream == nil {
-		return nil, problem.NoUpstream.Withf("none of the %d upstreams of %q is usable", choice.Candidates, t.Job.Deployment).
+		return nil, problem.NoUpstream.Withf("none of the %d upstreams of %q is usable", choice.Candidates, d.Job.Deployment).
 			WithRetryAfter(time.Second)
 	}
-	t.tried[t.excluded+t.attempts] = choice.Upstream
-	t.attempts++
+	d.tried[d.excluded+d.attempts] = choice.Upstream
+	d.attempts++
 	choice.Upstream.Begin()
 	return choice.Upstream, nil
 }
 
 // query returns the policy query for the next attempt. It requires a weight version that
 // is still within the staleness bound after lead more versions.
-func (t *Dispatch) query(lead uint64) policy.Query {
+func (d *Dispatch) query(lead uint64) policy.Query {
 	q := policy.Query{
 		Random:     rand.Uint64(),
-		PrefixHash: t.Job.PrefixHash,
-		Now:        t.router.Timer.Now(),
-		Tried:      t.tried,
-		Choices:    choicesFor(t.Job.Class),
+		PrefixHash: d.Job.PrefixHash,
+		Now:        d.router.Timer.Now(),
+		Tried:      d.tried,
+		Choices:    choicesFor(d.Job.Class),
 	}
-	if !t.Job.BoundStaleness {
+	if !d.Job.BoundStaleness {
 		return q
 	}
-	newest, oldest, ok := t.VersionBounds(lead)
+	newest, oldest, ok := d.VersionBounds(lead)
 	if !ok {
 		return q
 	}
 	q.Newest = newest
 	q.Oldest = oldest
-	q.PreferNewest = t.Set.Deployment.Rounds.Weighting == configuration.WeightStaleness
+	q.PreferNewest = d.Set.Deployment.Rounds.Weighting == configuration.WeightStaleness
 	return q
 }
 
 // VersionBounds returns the newest published version and the oldest version whose
 // results are still within the staleness bound after lead more versions. ok is false if
 // the request has no staleness bound or no version is published.
-func (t *Dispatch) VersionBounds(lead uint64) (newest, oldest version.Version, ok bool) {
-	p, ok := t.router.Versions.Newest(t.Job.Deployment)
-	if !ok || !t.Job.BoundStaleness {
+func (d *Dispatch) VersionBounds(lead uint64) (newest, oldest version.Version, ok bool) {
+	p, ok := d.router.Versions.Newest(d.Job.Deployment)
+	if !ok || !d.Job.BoundStaleness {
 		return version.Version{}, version.Version{}, false
 	}
-	bound := t.Set.Deployment.Staleness.MaxVersions
+	bound := d.Set.Deployment.Staleness.MaxVersions
 	oldest = p.Version
 	oldest.Number -= min(bound-min(lead, bound), oldest.Number)
 	return p.Version, oldest, true
@@ -314,33 +314,33 @@
 // MayRetry reports whether another attempt is allowed by the deployment's maximum number
 // of attempts, the verdict on the request and the retry budget. If so, it takes the
 // retry from the budget.
-func (t *Dispatch) MayRetry() bool {
-	if t.attempts >= t.Set.Deployment.Attempts || t.cutAttempts > 0 && !t.verdict.MayRetry(t.cutAttempts, 0) {
+func (d *Dispatch) MayRetry() bool {
+	if d.attempts >= d.Set.Deployment.Attempts || d.cutAttempts > 0 && !d.verdict.MayRetry(d.cutAttempts, 0) {
 		return false
 	}
-	if !t.router.retryBudget(t.Job.Deployment).Withdraw() {
+	if !d.router.retryBudget(d.Job.Deployment).Withdraw() {
 		return false
 	}
-	if t.router.Metrics != nil {
-		t.router.Metrics.Retries.WithLabelValues(t.Job.Deployment).Inc()
+	if d.router.Metrics != nil {
+		d.router.Metrics.Retries.WithLabelValues(d.Job.Deployment).Inc()
 	}
 	return true
 }
 
 // Close ends the dispatch and releases its permit. A request that succeeded also adds to
 // the retry budget and is cleared of suspicion.
-func (t *Dispatch) Close(r limit.Result) {
+func (d *Dispatch) Close(r limit.Result) {
 	if r == limit.Succeeded {
-		t.router.retryBudget(t.Job.Deployment).Deposit(t.Set.Deployment.RetryShare)
-		t.clearSuspicion()
+		d.router.retryBudget(d.Job.Deployment).Deposit(d.Set.Deployment.RetryShare)
+		d.clearSuspicion()
 	}
-	t.permit.Release(r)
+	d.permit.Release(r)
 }
 
 // logChoice counts an attempt and logs the choice of its upstream.
-func (r *Router) logChoice(t *Dispatch, c policy.Choice) {
+func (r *Router) logChoice(d *Dispatch, c policy.Choice) {
 	if r.Metrics != nil {
-		r.Metrics.Attempts.WithLabelValues(t.Job.Deployment).Inc()
+		r.Metrics.Attempts.WithLabelValues(d.Job.Deployment).Inc()
 	}
 	if r.Journal == nil {
 		return
@@ -351,13 +351,13 @@
 		load = c.Upstream.Load(r.Timer.Now())
 	}
 	r.Journal.Decision("route", log.Fields{
-		"request_id": t.Job.RequestID,
-		"attempt":    t.attempts + 1,
-		"deployment": t.Job.Deployment,
-		"priority":   t.Job.Class.String(),
+		"request_id": d.Job.RequestID,
+		"attempt":    d.attempts + 1,
+		"deployment": d.Job.Deployment,
+		"priority":   d.Job.Class.String(),
 		"chosen":     chosen,
 		"candidates": c.Candidates,
-		"of":         t.Set.Total,
+		"of":         d.Set.Total,
 		"load":       strconv.FormatFloat(load, 'f', 2, 64),
 		"reason":     string(c.Reason),
 	})
--- a/internal/route/router/suspect.go
+++ b/internal/route/router/suspect.go
@@ -42,25 +42,25 @@
 
 // ReportCutOff records that the connection to an upstream was lost before the answer was
 // complete, and reports it as a possible crash of the upstream.
-func (t *Dispatch) ReportCutOff(u *upstream.Upstream) {
-	t.cutAttempts++
-	if t.router.Crashes == nil || t.Job.Digest == nil {
+func (d *Dispatch) ReportCutOff(u *upstream.Upstream) {
+	d.cutAttempts++
+	if d.router.Crashes == nil || d.Job.Digest == nil {
 		return
 	}
-	t.router.Crashes.ReportCutOff(crash.Cut{
-		RequestID:   t.Job.RequestID,
+	d.router.Crashes.ReportCutOff(crash.Cut{
+		RequestID:   d.Job.RequestID,
 		Incarnation: crash.IncarnationOf(u.ID, u.Incarnation),
 		Address:     u.Address,
-		Sum:         t.Job.Digest(),
-		At:          t.router.Timer.Now(),
-		Consecutive: t.verdict.Crashes + t.cutAttempts,
+		Sum:         d.Job.Digest(),
+		At:          d.router.Timer.Now(),
+		Consecutive: d.verdict.Crashes + d.cutAttempts,
 	})
 }
 
 // clearSuspicion records that the request was answered, which clears it if it was
 // suspected of crashing upstreams.
-func (t *Dispatch) clearSuspicion() {
-	if t.router.Suspects != nil && t.Job.Digest != nil {
-		t.router.Suspects.RecordAnswer(t.Job.Digest)
+func (d *Dispatch) clearSuspicion() {
+	if d.router.Suspects != nil && d.Job.Digest != nil {
+		d.router.Suspects.RecordAnswer(d.Job.Digest)
 	}
 }
