--- a/internal/entry/caller/server.go
+++ b/internal/entry/caller/server.go
@@ -92,40 +92,40 @@
 
 // readLimits reads the priority, the deadline and whether the request is idempotent. A
 // request may lower its priority below that of its organisation or caller, not raise it.
-func (e *requestMetadata) readLimits(r *http.Request, cfg *configuration.Configuration) error {
-	caller := cfg.Caller(e.caller)
-	e.weight = caller.Weight
+func (m *requestMetadata) readLimits(r *http.Request, cfg *configuration.Configuration) error {
+	caller := cfg.Caller(m.caller)
+	m.weight = caller.Weight
 	priority := caller.Priority
-	if org, ok := cfg.Organisation(e.identity.organisation); ok {
+	if org, ok := cfg.Organisation(m.identity.organisation); ok {
 		priority = org.Priority
 	}
 	highest, err := limit.ParsePriority(priority)
 	if err != nil {
 		return problem.BadRequest.With(err)
 	}
-	e.class = highest
+	m.class = highest
 	if name := r.Header.Get(relay.HeaderPriority); name != "" {
 		asked, err := limit.ParsePriority(name)
 		if err != nil {
 			return problem.BadRequest.Withf("%s: %w", relay.HeaderPriority, err)
 		}
-		e.class = max(asked, highest)
+		m.class = max(asked, highest)
 	}
-	e.deadline = time.Duration(e.deployment.TimeoutMS) * time.Millisecond
+	m.deadline = time.Duration(m.deployment.TimeoutMS) * time.Millisecond
 	if text := r.Header.Get(relay.HeaderDeadline); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || ms < 1 || ms > maxDeadlineMS {
 			return problem.BadRequest.Withf("%s: expected 1 to %d, got %q", relay.HeaderDeadline, maxDeadlineMS, text)
 		}
-		e.deadline = time.Duration(ms) * time.Millisecond
+		m.deadline = time.Duration(ms) * time.Millisecond
 	}
-	return e.readIdempotent(r)
+	return m.readIdempotent(r)
 }
 
 // readIdempotent reads whether the request may be repeated. GET and HEAD requests may,
 // unless the header says otherwise.
-func (e *requestMetadata) readIdempotent(r *http.Request) error {
-	e.idempotent = r.Method == http.MethodGet || r.Method == http.MethodHead
+func (m *requestMetadata) readIdempotent(r *http.Request) error {
+	m.idempotent = r.Method == http.MethodGet || r.Method == http.MethodHead
 	text := r.Header.Get(relay.HeaderIdempotent)
 	if text == "" {
 		return nil
@@ -134,13 +134,13 @@
 	if err != nil {
 		return problem.BadRequest.Withf("%s: expected true or false, got %q", relay.HeaderIdempotent, text)
 	}
-	e.idempotent = v
+	m.idempotent = v
 	return nil
 }
 
 // context returns a child of parent with the request's deadline.
-func (e *requestMetadata) context(parent context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(parent, e.deadline)
+func (m *requestMetadata) context(parent context.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(parent, m.deadline)
 }
 
 func newRequestID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
--- a/internal/entry/httpserver/limited.go
+++ b/internal/entry/httpserver/limited.go
@@ -39,10 +39,10 @@
 }
 
 // Serve accepts connections until Shutdown is called.
-func (d *Server) Serve(ln net.Listener) error {
-	d.mu.Lock()
-	d.ln = ln
-	d.mu.Unlock()
+func (s *Server) Serve(ln net.Listener) error {
+	s.mu.Lock()
+	s.ln = ln
+	s.mu.Unlock()
 	for {
 		c, err := ln.Accept()
 		switch {
@@ -52,37 +52,37 @@
 			// The process ran out of file descriptors. Some are soon free again.
 			timer.Wait(timer.Real{}, acceptRetryDelay, nil)
 		default:
-			d.dispatch(c)
+			s.dispatch(c)
 		}
 	}
 }
 
 // Shutdown stops accepting connections and waits for the requests in progress to finish.
-func (d *Server) Shutdown(ctx context.Context) error {
-	d.mu.Lock()
-	servers := d.servers
-	err := d.ln.Close()
-	d.mu.Unlock()
-	for _, s := range servers {
-		err = errors.Join(err, s.Shutdown(ctx))
+func (s *Server) Shutdown(ctx context.Context) error {
+	s.mu.Lock()
+	servers := s.servers
+	err := s.ln.Close()
+	s.mu.Unlock()
+	for _, server := range servers {
+		err = errors.Join(err, server.Shutdown(ctx))
 	}
 	return err
 }
 
 // dispatch passes a connection to a server with the limits in force. It starts a new
 // server if the limits have changed.
-func (d *Server) dispatch(c net.Conn) {
+func (s *Server) dispatch(c net.Conn) {
 	var limits catalog.Limits
-	if cfg := d.Config.Current(); cfg != nil {
+	if cfg := s.Config.Current(); cfg != nil {
 		limits = cfg.Limits
 	}
-	d.mu.Lock()
-	if d.current == nil || limits != d.limits {
-		d.limits = limits
-		d.current = d.startServer(limits)
+	s.mu.Lock()
+	if s.current == nil || limits != s.limits {
+		s.limits = limits
+		s.current = s.startServer(limits)
 	}
-	l := d.current
-	d.mu.Unlock()
+	l := s.current
+	s.mu.Unlock()
 	select {
 	case l.conns <- c:
 	case <-l.done:
@@ -90,10 +90,10 @@
 	}
 }
 
-// startServer starts a server with the given limits. d.mu must be held.
-func (d *Server) startServer(limits catalog.Limits) *connListener {
+// startServer starts a server with the given limits. s.mu must be held.
+func (s *Server) startServer(limits catalog.Limits) *connListener {
 	server := &http.Server{
-		Handler:           d.Handler,
+		Handler:           s.Handler,
 		MaxHeaderBytes:    limits.HeaderBytes,
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		IdleTimeout:       limits.IdleTimeout,
@@ -108,7 +108,7 @@
 		conns: make(chan net.Conn),
 		done:  make(chan struct{}),
 	}
-	d.servers = append(d.servers, server)
+	s.servers = append(s.servers, server)
 	go func() { _ = server.Serve(l) }() // it returns when Shutdown is called
 	return l
 }
@@ -121,20 +121,20 @@
 }
 
 // Accept implements net.Listener.
-func (h *connListener) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-h.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-h.done:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (h *connListener) Close() error {
-	h.closeOnce.Do(func() { close(h.done) })
+func (l *connListener) Close() error {
+	l.closeOnce.Do(func() { close(l.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (h *connListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *connListener) Addr() net.Addr { return &net.TCPAddr{} }
--- a/internal/entry/httpserver/limited_test.go
+++ b/internal/entry/httpserver/limited_test.go
@@ -22,14 +22,14 @@
 func TestLimitsFollowConfiguration(t *testing.T) {
 	is := is.New(t)
 	config := &catalog.Holder{}
-	d := &Server{
+	server := &Server{
 		Config:  config,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }),
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	serveErr := make(chan error, 1)
-	go func() { serveErr <- d.Serve(ln) }()
+	go func() { serveErr <- server.Serve(ln) }()
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", ln.Addr().String())
 		is.NoErr(err)
@@ -76,6 +76,6 @@
 	status, err = sendRequest(existing, 20_000)
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
-	is.NoErr(d.Shutdown(context.Background()))
+	is.NoErr(server.Shutdown(context.Background()))
 	is.True(errors.Is(<-serveErr, http.ErrServerClosed))
 }
--- a/internal/entry/identity/decision.go
+++ b/internal/entry/identity/decision.go
@@ -63,13 +63,13 @@
 // gatherEvidence returns the current evidence about a key. It reads the age before the
 // configuration, so that the configuration is at least as new as the one that was
 // confirmed.
-func (g *Authenticator) gatherEvidence(key string, keyErr error, public bool) (Evidence, organisation.Organisation) {
+func (a *Authenticator) gatherEvidence(key string, keyErr error, public bool) (Evidence, organisation.Organisation) {
 	e := Evidence{
 		KeyErr: keyErr,
-		Bound:  g.Bound,
+		Bound:  a.Bound,
 	}
-	e.Age, e.Confirmed = g.Record.Age(g.Timer.Now())
-	cfg := g.Config.Current()
+	e.Age, e.Confirmed = a.Record.Age(a.Timer.Now())
+	cfg := a.Config.Current()
 	if cfg == nil {
 		return e, organisation.Organisation{}
 	}
--- a/internal/entry/identity/gate.go
+++ b/internal/entry/identity/gate.go
@@ -48,49 +48,49 @@
 
 // NeedsConfirmation reports whether requests are accepted only while the configuration is
 // confirmed: there is a bound, and organisations are configured.
-func (g *Authenticator) NeedsConfirmation() bool { return g.Bound > 0 && g.HasOrganisations() }
+func (a *Authenticator) NeedsConfirmation() bool { return a.Bound > 0 && a.HasOrganisations() }
 
 // HasOrganisations reports whether organisations are configured, so that requests need keys.
-func (g *Authenticator) HasOrganisations() bool {
-	cfg := g.Config.Current()
+func (a *Authenticator) HasOrganisations() bool {
+	cfg := a.Config.Current()
 	return cfg != nil && !cfg.Organisations.Empty()
 }
 
 // EverConfirmed reports whether the configuration was confirmed at least once since this
 // instance started, or needs no confirmation.
-func (g *Authenticator) EverConfirmed() bool {
-	if !g.NeedsConfirmation() {
+func (a *Authenticator) EverConfirmed() bool {
+	if !a.NeedsConfirmation() {
 		return true
 	}
-	_, confirmed := g.Record.Age(g.Timer.Now())
+	_, confirmed := a.Record.Age(a.Timer.Now())
 	return confirmed
 }
 
 // Confirmed reports whether the configuration was confirmed within Bound, or needs no
 // confirmation.
-func (g *Authenticator) Confirmed() bool {
-	return !g.NeedsConfirmation() || g.Record.Within(g.Timer.Now(), g.Bound)
+func (a *Authenticator) Confirmed() bool {
+	return !a.NeedsConfirmation() || a.Record.Within(a.Timer.Now(), a.Bound)
 }
 
 // Identify returns the organisation on whose behalf a request is made. For a public
 // route, and while no organisations are configured, it returns the zero Organisation. If
 // it returns an error, the request must not run.
-func (g *Authenticator) Identify(ctx context.Context, c Call) (organisation.Organisation, error) {
+func (a *Authenticator) Identify(ctx context.Context, c Call) (organisation.Organisation, error) {
 	key, keyErr := organisation.KeyOf(c.Header)
-	e, org := g.gatherEvidence(key, keyErr, c.Public)
-	if !e.KeyOptional && keyErr == nil && !e.KeyKnown && g.Refresh != nil {
-		g.Refresh(ctx)
-		e, org = g.gatherEvidence(key, keyErr, c.Public)
+	e, org := a.gatherEvidence(key, keyErr, c.Public)
+	if !e.KeyOptional && keyErr == nil && !e.KeyKnown && a.Refresh != nil {
+		a.Refresh(ctx)
+		e, org = a.gatherEvidence(key, keyErr, c.Public)
 	}
 	verdict := Decide(e)
-	g.Metrics.countVerdict(verdict)
+	a.Metrics.countVerdict(verdict)
 	switch {
 	case verdict == Allowed && e.KeyOptional:
 		return organisation.Organisation{}, nil
 	case verdict == Allowed:
 		return org, nil
 	}
-	g.logRefusal(c, e, org, verdict)
+	a.logRefusal(c, e, org, verdict)
 	if verdict == UnknownKey {
 		return organisation.Organisation{}, problem.Unauthorized.With(errors.Join(errUnknownKey, keyErr))
 	}
@@ -99,7 +99,7 @@
 }
 
 // logRefusal logs the evidence on which a request was refused.
-func (g *Authenticator) logRefusal(c Call, e Evidence, org organisation.Organisation, verdict Verdict) {
+func (a *Authenticator) logRefusal(c Call, e Evidence, org organisation.Organisation, verdict Verdict) {
 	fields := log.Fields{
 		"request_id":   c.RequestID,
 		"organisation": org.Name,
@@ -112,5 +112,5 @@
 	if e.KeyErr != nil {
 		fields["error"] = e.KeyErr.Error()
 	}
-	g.Journal.Decision("identify", fields)
+	a.Journal.Decision("identify", fields)
 }
