--- a/internal/route/catalog/configuration.go
+++ b/internal/route/catalog/configuration.go
@@ -47,9 +47,9 @@
 	Resumable bool
 	// SingleVersion requires that each sample comes from one weight version alone.
 	SingleVersion bool
-	// ResultDeadline is when the results of a batch are due.
+	// ResultDeadline is the time within which the results of a batch are due.
 	ResultDeadline time.Duration
-	// GiveUpAfter is when an item of a batch may be given up.
+	// GiveUpAfter is the time after which an item of a batch may be given up.
 	GiveUpAfter time.Duration
 	// Public routes require no key.
 	Public bool
--- a/internal/route/catalog/upstreams.go
+++ b/internal/route/catalog/upstreams.go
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// Update adds or replaces the given entries, and removes the upstreams with the ids in gone.
+// Update adds or replaces the given entries, and removes the upstreams with the IDs in gone.
 func (b *Upstreams) Update(entries []Entry, gone []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/route/fingerprint/fingerprint.go
+++ b/internal/route/fingerprint/fingerprint.go
@@ -43,12 +43,12 @@
 	return sum
 }
 
-// printBytes is the length of a Fingerprint in bytes.
-const printBytes = 16
+// fingerprintBytes is the length of a Fingerprint in bytes.
+const fingerprintBytes = 16
 
 // Fingerprint is a truncated HMAC-SHA-256 of a Digest, keyed with a secret that all
 // instances share.
-type Fingerprint [printBytes]byte
+type Fingerprint [fingerprintBytes]byte
 
 // Keyed returns the fingerprint of s keyed with secret.
 func (s Digest) Keyed(secret []byte) Fingerprint {
@@ -71,8 +71,8 @@
 	if err != nil {
 		return fmt.Errorf("fingerprint %q: %w", text, err)
 	}
-	if len(b) != printBytes {
-		return fmt.Errorf("fingerprint %q has %d bytes instead of %d", text, len(b), printBytes)
+	if len(b) != fingerprintBytes {
+		return fmt.Errorf("fingerprint %q has %d bytes instead of %d", text, len(b), fingerprintBytes)
 	}
 	copy(p[:], b)
 	return nil
--- a/internal/route/fingerprint/fingerprint_test.go
+++ b/internal/route/fingerprint/fingerprint_test.go
@@ -34,7 +34,7 @@
 }
 
 // Guards against a fingerprint that can be reversed with a list of likely bodies.
-func TestPrintDependsOnTheSecret(t *testing.T) {
+func TestFingerprintDependsOnTheSecret(t *testing.T) {
 	is := is.New(t)
 	s := DigestOf(Parts{Body: []byte("one hide")})
 	is.Equal(s.Keyed([]byte("a")), s.Keyed([]byte("a")))
@@ -44,7 +44,7 @@
 
 func (p Fingerprint) bytes() []byte { return p[:] }
 
-func TestPrintTextRoundTrip(t *testing.T) {
+func TestFingerprintTextRoundTrip(t *testing.T) {
 	is := is.New(t)
 	p := DigestOf(Parts{Target: "/cuts/7"}).Keyed([]byte("secret"))
 	b, err := json.Marshal(p)
--- a/internal/route/forward/count_test.go
+++ b/internal/route/forward/count_test.go
@@ -44,7 +44,7 @@
 				Attempts: 3,
 			},
 		})
-		s.mu.Lock() // a second attempt may still be under way
+		s.mu.Lock() // a second attempt may still be in flight
 		defer s.mu.Unlock()
 		is.Equal(counted["saddlers"], min(1, s.runs))
 	})
--- a/internal/route/poison/evidence.go
+++ b/internal/route/poison/evidence.go
@@ -185,7 +185,7 @@
 }
 
 // blameIterations is the number of times that updateBlame redistributes the blame. Each
-// iteration moves a good part of a bystander's blame to the poison requests beside it.
+// iteration moves much of a bystander's blame to the poison requests beside it.
 const blameIterations = 12
 
 // updateBlame recomputes the blame if crashes changed. It weights each request by its number
--- a/internal/route/poison/suspect_test.go
+++ b/internal/route/poison/suspect_test.go
@@ -15,7 +15,7 @@
 	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
-func printOf(n int) (p fingerprint.Fingerprint) {
+func fingerprintOf(n int) (p fingerprint.Fingerprint) {
 	binary.LittleEndian.PutUint64(p[:], uint64(n))
 	return p
 }
@@ -26,7 +26,7 @@
 func newCrash(incarnation, print, consecutive int, at timer.Instant) Crash {
 	return Crash{
 		Incarnation: incarnationOf(incarnation),
-		Print:       printOf(print),
+		Print:       fingerprintOf(print),
 		At:          at,
 		Consecutive: consecutive,
 	}
@@ -51,12 +51,12 @@
 		is.True(tracker.Add(newCrash(i, 1, 1+i, at)))
 		is.True(!tracker.Add(newCrash(i, 1, 1+i, at))) // duplicate
 	}
-	v := tracker.Judge(printOf(1), at)
+	v := tracker.Judge(fingerprintOf(1), at)
 	is.True(!v.Quarantined())
 	is.True(!v.MayRetry(0, 0)) // one upstream only
 	at = at.Add(time.Second)
 	tracker.Add(newCrash(3, 1, 4, at))
-	v = tracker.Judge(printOf(1), at.Add(time.Second))
+	v = tracker.Judge(fingerprintOf(1), at.Add(time.Second))
 	is.True(v.Quarantined())
 	is.Equal(v.RetryAfter, initialQuarantine-time.Second)
 	is.Equal(v.Crashes, 4)
@@ -71,15 +71,15 @@
 	at := timer.Instant(time.Hour)
 	addPoisonRequest(&tracker, 1, 0, at)
 	later := at.Add(initialQuarantine)
-	v := tracker.Judge(printOf(1), later)
+	v := tracker.Judge(fingerprintOf(1), later)
 	is.True(!v.Quarantined())
 	is.True(v.Trial)
 	is.True(!v.MayRetry(0, 0)) // at one upstream only
 	tracker.Add(newCrash(9, 1, 5, later))
-	is.Equal(tracker.Judge(printOf(1), later).RetryAfter, quarantineFactor*initialQuarantine)
+	is.Equal(tracker.Judge(fingerprintOf(1), later).RetryAfter, quarantineFactor*initialQuarantine)
 	is.True(tracker.Expire(later.Add(time.Hour)))
 	is.True(tracker.Empty())
-	is.Equal(tracker.Judge(printOf(1), later.Add(time.Hour)), Verdict{})
+	is.Equal(tracker.Judge(fingerprintOf(1), later.Add(time.Hour)), Verdict{})
 }
 
 // Guards against quarantining a popular request that was in flight at several upstreams that
@@ -91,14 +91,14 @@
 	for i := range 20 {
 		tracker.Add(newCrash(i, 1, 1, at.Add(time.Duration(i)*time.Millisecond)))
 	}
-	v := tracker.Judge(printOf(1), at)
+	v := tracker.Judge(fingerprintOf(1), at)
 	is.Equal(v.Crashes, 1)
 	is.Equal(v.TotalCrashes, 20)
 	is.True(!v.Quarantined())
 	// Attempts that were cut off for another reason raise Consecutive, but not the count
 	// of crashes.
 	tracker.Add(newCrash(0, 2, 9, at))
-	is.Equal(tracker.Judge(printOf(2), at).Crashes, 1)
+	is.Equal(tracker.Judge(fingerprintOf(2), at).Crashes, 1)
 }
 
 // Guards against blaming a bystander: it was in flight at as many crashes as each poison
@@ -118,9 +118,9 @@
 			}
 		}
 	}
-	is.True(tracker.Judge(printOf(1), at).Quarantined())
-	is.True(tracker.Judge(printOf(2), at).Quarantined())
-	bystander := tracker.Judge(printOf(3), at)
+	is.True(tracker.Judge(fingerprintOf(1), at).Quarantined())
+	is.True(tracker.Judge(fingerprintOf(2), at).Quarantined())
+	bystander := tracker.Judge(fingerprintOf(3), at)
 	is.Equal(bystander.Crashes, 6)
 	is.True(!bystander.Quarantined())
 }
@@ -132,7 +132,7 @@
 	var tracker Tracker
 	at := timer.Instant(time.Hour)
 	addPoisonRequest(&tracker, 1, 0, at)
-	is.True(tracker.Clear(printOf(1), at.Add(time.Second)))
+	is.True(tracker.Clear(fingerprintOf(1), at.Add(time.Second)))
 	is.True(tracker.Empty())
 	is.True(!tracker.Add(newCrash(9, 1, 1, at)))
 	is.True(tracker.Add(newCrash(9, 1, 1, at.Add(2*time.Second))))
@@ -147,11 +147,11 @@
 	addPoisonRequest(&tracker, 0, 1_000_000, at)
 	for i := range 4 * MaxCrashes {
 		tracker.Add(newCrash(i, i+1, 1, at.Add(time.Duration(i))))
-		tracker.Clear(printOf(-i-1), at)
+		tracker.Clear(fingerprintOf(-i-1), at)
 	}
 	is.Equal(tracker.Len(), MaxCrashes)
 	is.True(len(tracker.cleared) <= maxCleared)
-	is.True(tracker.Judge(printOf(0), at).Quarantined())
+	is.True(tracker.Judge(fingerprintOf(0), at).Quarantined())
 	for i := range 2 * maxRequestsPerCrash {
 		tracker.Add(newCrash(1_000_000, 5_000+i, 1, at))
 	}
@@ -176,23 +176,23 @@
 			first = 20
 		}
 		if culprit > 0 {
-			if tracker.Judge(printOf(culprit), now).Quarantined() {
+			if tracker.Judge(fingerprintOf(culprit), now).Quarantined() {
 				continue
 			}
 			poisonRuns[culprit]++
-			tracker.Add(newCrash(incarnation, culprit, 1+tracker.Judge(printOf(culprit), now).Crashes, now))
+			tracker.Add(newCrash(incarnation, culprit, 1+tracker.Judge(fingerprintOf(culprit), now).Crashes, now))
 		}
 		for _, p := range rapid.SliceOfNDistinct(rapid.IntRange(first, first+9), 0, 4, rapid.ID).Draw(t, "there") {
-			if v := tracker.Judge(printOf(p), now); v.Quarantined() {
+			if v := tracker.Judge(fingerprintOf(p), now); v.Quarantined() {
 				t.Fatalf("innocent request %d was refused: %+v", p, v)
 			}
 			if chanceCrashes[p] < 3 {
 				chanceCrashes[p]++
-				tracker.Add(newCrash(incarnation, p, 1+tracker.Judge(printOf(p), now).Crashes, now))
+				tracker.Add(newCrash(incarnation, p, 1+tracker.Judge(fingerprintOf(p), now).Crashes, now))
 			}
 			if rapid.Bool().Draw(t, "answered") {
 				chanceCrashes[p] = 0
-				tracker.Clear(printOf(p), now)
+				tracker.Clear(fingerprintOf(p), now)
 			}
 		}
 	}
@@ -221,7 +221,7 @@
 		b.Run(fmt.Sprintf("changed=%t", stale), func(b *testing.B) {
 			for b.Loop() {
 				tracker.stale = stale
-				tracker.Judge(printOf(7), at)
+				tracker.Judge(fingerprintOf(7), at)
 			}
 		})
 	}
--- a/internal/route/ticket/book.go
+++ b/internal/route/ticket/book.go
@@ -35,7 +35,7 @@
 	runs     map[uint64]*Run
 	runOrder []uint64
 	// storedBytes is the total size of the kept answers, and answerOrder the ticket numbers of
-	// the runs with an answer in order of their end.
+	// the runs with an answer, in the order in which they ended.
 	storedBytes int
 	answerOrder []uint64
 }
--- a/internal/route/upstream/refresh.go
+++ b/internal/route/upstream/refresh.go
@@ -124,7 +124,7 @@
 				continue
 			}
 			next[u] = now.Add(jitter(period))
-			// Answers carry reports too, so an upstream in use is not asked.
+			// Answers carry reports too, so an upstream in use needs no request.
 			if _, age, ok := u.Report(now); !ok || age >= reportPeriod {
 				due = append(due, u)
 			}
