--- a/internal/entry/identity/proof_test.go
+++ b/internal/entry/identity/proof_test.go
@@ -140,7 +140,7 @@
 }
 
 // ChangesSince implements confirmation.Source. The response takes some time to arrive, and
-// operators may change the configuration meanwhile.
+// operators may change the configuration in the meantime.
 func (i *instance) ChangesSince(context.Context, string, uint64) ([]keyvalue.Change, uint64, error) {
 	if i.disconnected {
 		return nil, 0, keyvalue.ErrUnavailable
