--- a/internal/route/crash/doc.go
+++ b/internal/route/crash/doc.go
@@ -4,15 +4,15 @@
 //		Secret: secret,
 //		Timer:  clock,
 //	}
-//	reporter.Cut(crash.Cut{
+//	reporter.ReportCutOff(crash.Cut{
 //		RequestID:   "9c41d07be2a35f68",
 //		Incarnation: crash.IncarnationOf(u.ID, u.Incarnation),
 //		Address:     u.Address,
 //		Sum:         sum,
 //	})
 //
-// A connection that is cut before an answer is no proof of a crash: the network path may be
+// A connection that is cut off before an answer is no proof of a crash: the network path may be
 // down, or the upstream may have closed an idle connection. A Reporter therefore dials the
 // upstream, and takes it for crashed only if the port refuses the connection. It dials once
-// for all requests that were cut at an upstream.
+// for all requests that were cut off at an upstream.
 package crash
--- a/internal/route/router/router.go
+++ b/internal/route/router/router.go
@@ -31,8 +31,8 @@
 	Timer    timer.Service
 	Journal  *journal.Journal
 	Metrics  *Metrics
-	// Crashes finds out whether an upstream crashed when an attempt was cut off, Suspects
-	// tells which requests crash upstreams. Each may be nil, which disables it.
+	// Crashes checks whether an upstream crashed when an attempt was cut off, Suspects
+	// detects poison requests. Each may be nil, which disables it.
 	Crashes  CrashReporter
 	Suspects PoisonDetector
 
@@ -71,7 +71,8 @@
 	Class      limit.Priority
 	Weight     float64
 	Deployment string
-	// PrefixHash is the hash of the prompt's prefix, for prefix affinity; zero if there is none.
+	// PrefixHash is the hash of the prompt's prefix, for prefix affinity; zero if there is
+	// none.
 	PrefixHash uint64
 	// BoundStaleness enables the deployment's bound on the age of weight versions.
 	BoundStaleness bool
@@ -81,8 +82,8 @@
 	// ClaimedShare is the share of the deployment that the caller may claim while slots
 	// are scarce; zero means no particular share.
 	ClaimedShare float64
-	// Digest returns the digest that identifies the request when it is sent again. If it is
-	// nil, the request is never suspected of crashing upstreams.
+	// Digest returns the digest that identifies the request when it is sent again. If it
+	// is nil, the request is never suspected of crashing upstreams.
 	Digest func() fingerprint.Digest
 }
 
@@ -102,39 +103,39 @@
 // Admit admits a request. It returns problem.NotReady, problem.UnknownDeployment,
 // problem.NoUpstream, problem.Overloaded, problem.Quarantined or problem.Internal;
 // with any of them nothing has run.
-func (r *Router) Admit(job Request) (*Dispatch, error) {
+func (r *Router) Admit(req Request) (*Dispatch, error) {
 	if r.Holder.Current() == nil {
 		return nil, problem.NotReady.Withf("no configuration yet").WithRetryAfter(time.Second)
 	}
-	verdict, err := r.checkQuarantine(job)
+	verdict, err := r.checkQuarantine(req)
 	if err != nil {
-		return nil, r.recordRefusal(job, err)
+		return nil, r.recordRefusal(req, err)
 	}
-	set := r.Table.Set(job.Deployment)
+	set := r.Table.Set(req.Deployment)
 	if set == nil {
-		return nil, problem.UnknownDeployment.Withf("no deployment %q", job.Deployment)
+		return nil, problem.UnknownDeployment.Withf("no deployment %q", req.Deployment)
 	}
-	slots, others := r.capacity(job.Deployment, set)
+	slots, others := r.capacity(req.Deployment, set)
 	if slots == 0 {
-		return nil, r.recordRefusal(job, problem.NoUpstream.Withf("deployment %q has no usable upstream", job.Deployment).
+		return nil, r.recordRefusal(req, problem.NoUpstream.Withf("deployment %q has no usable upstream", req.Deployment).
 			WithRetryAfter(2*time.Second))
 	}
 	// The load of other instances may be slightly outdated, but this instance's own
 	// count is exact: with a cached count, every request of a burst would see the
 	// same free slots.
-	_, ownInFlight := r.Limiter.Limit(job.Deployment)
+	_, ownInFlight := r.Limiter.Limit(req.Deployment)
 	permit, err := r.Limiter.Admit(limit.Request{
-		Deployment:   job.Deployment,
-		Caller:       job.Caller,
-		Class:        job.Class,
-		Weight:       max(job.Weight, 0.01),
+		Deployment:   req.Deployment,
+		Caller:       req.Caller,
+		Class:        req.Class,
+		Weight:       max(req.Weight, 0.01),
 		Capacity:     slots * (1 + set.Deployment.QueueShare),
 		Usage:        (others + float64(ownInFlight)) / slots,
 		Slots:        slots,
-		ClaimedShare: job.ClaimedShare,
+		ClaimedShare: req.ClaimedShare,
 	})
 	if err != nil {
-		return nil, r.recordRefusal(job, err)
+		return nil, r.recordRefusal(req, err)
 	}
 	selected, err := policy.Find(set.Deployment.Policy)
 	if err != nil {
@@ -142,7 +143,7 @@
 		return nil, problem.Internal.With(err).WithOutcome(problem.NotRun)
 	}
 	return &Dispatch{
-		Job:     job,
+		Job:     req,
 		Set:     set,
 		router:  r,
 		permit:  permit,
@@ -152,14 +153,14 @@
 }
 
 // recordRefusal counts and logs a refused request and returns err.
-func (r *Router) recordRefusal(job Request, err error) error {
+func (r *Router) recordRefusal(req Request, err error) error {
 	if r.Metrics != nil {
-		r.Metrics.Refusals.WithLabelValues(job.Deployment, job.Class.String()).Inc()
+		r.Metrics.Refusals.WithLabelValues(req.Deployment, req.Class.String()).Inc()
 	}
 	r.Journal.Decision("refuse", log.Fields{
-		"request_id": job.RequestID,
-		"deployment": job.Deployment,
-		"priority":   job.Class.String(),
+		"request_id": req.RequestID,
+		"deployment": req.Deployment,
+		"priority":   req.Class.String(),
 		"reason":     err.Error(),
 	})
 	return err
@@ -208,88 +209,88 @@
 	attempts int
 	excluded int
 	// verdict tells whether the request is suspected of crashing upstreams.
-	// cutAttempts counts this trip's attempts that were cut off.
+	// cutAttempts counts this dispatch's attempts that were cut off.
 	verdict     poison.Verdict
 	cutAttempts int
 }
 
 // Attempts returns how many upstreams were chosen so far.
-func (t *Dispatch) Attempts() int { return t.attempts }
+func (d *Dispatch) Attempts() int { return d.attempts }
 
 // Exclude excludes the upstream with the given ID from the choice. It must be called
 // before NextUpstream. It is for a second attempt beside a slow one, which is of no use
 // at the same engine. Exclude does nothing if no other upstream would be left, or if
 // policy.MaxTried/2 upstreams are excluded already.
-func (t *Dispatch) Exclude(id string) {
-	if t.excluded >= policy.MaxTried/2 || len(t.Set.Upstreams) <= t.excluded+1 {
+func (d *Dispatch) Exclude(id string) {
+	if d.excluded >= policy.MaxTried/2 || len(d.Set.Upstreams) <= d.excluded+1 {
 		return
 	}
-	for _, u := range t.Set.Upstreams {
+	for _, u := range d.Set.Upstreams {
 		if u.ID == id {
-			t.tried[t.excluded] = u
-			t.excluded++
+			d.tried[d.excluded] = u
+			d.excluded++
 			return
 		}
 	}
 }
 
-// NextUpstream chooses an upstream that was not tried yet and counts the request as in flight
-// there. It returns problem.NoUpstream if there is none or all attempts are used.
-func (t *Dispatch) NextUpstream() (*upstream.Upstream, error) {
-	if t.attempts >= t.Set.Deployment.Attempts || t.excluded+t.attempts >= policy.MaxTried {
-		return nil, problem.NoUpstream.Withf("all %d attempts of request %s have been used", t.attempts, t.Job.RequestID).
+// NextUpstream chooses an upstream that was not tried yet and counts the request as in
+// flight there. It returns problem.NoUpstream if there is none or all attempts are used.
+func (d *Dispatch) NextUpstream() (*upstream.Upstream, error) {
+	if d.attempts >= d.Set.Deployment.Attempts || d.excluded+d.attempts >= policy.MaxTried {
+		return nil, problem.NoUpstream.Withf("all %d attempts of request %s have been used", d.attempts, d.Job.RequestID).
 			WithRetryAfter(time.Second)
 	}
-	choice := t.policy.Choose(t.Set, t.query(t.Job.VersionLead))
-	if choice.Upstream == nil && t.Job.VersionLead > 0 {
+	choice := d.policy.Choose(d.Set, d.query(d.Job.VersionLead))
+	if choice.Upstream == nil && d.Job.VersionLead > 0 {
 		// While new versions are being published, possibly no engine has a version
 		// that will still be recent enough on delivery. Fall back to one that is
 		// recent enough now.
-		choice = t.policy.Choose(t.Set, t.query(0))
+		choice = d.policy.Choose(d.Set, d.query(0))
 	}
-	t.router.logChoice(t, choice)
+	d.router.logChoice(d, choice)
 	if choice.Upstream == nil {
-		return nil, problem.NoUpstream.Withf("none of the %d upstreams of %q is usable", choice.Candidates, t.Job.Deployment).
+		return nil, problem.NoUpstream.Withf("none of the %d upstreams of %q is usable", choice.Candidates, d.Job.Deployment).
 			WithRetryAfter(time.Second)
 	}
-	t.tried[t.excluded+t.attempts] = choice.Upstream
-	t.attempts++
+	d.tried[d.excluded+d.attempts] = choice.Upstream
+	d.attempts++
 	choice.Upstream.Begin()
 	return choice.Upstream, nil
 }
 
 // query returns the policy query for the next attempt. It requires a weight version that
 // is still within the staleness bound after lead more versions.
-func (t *Dispatch) query(lead uint64) policy.Query {
+func (d *Dispatch) query(lead uint64) policy.Query {
 	q := policy.Query{
 		Random:     rand.Uint64(),
-		PrefixHash: t.Job.PrefixHash,
-		Now:        t.router.Timer.Now(),
-		Tried:      t.tried,
-		Choices:    choicesFor(t.Job.Class),
+		PrefixHash: d.Job.PrefixHash,
+		Now:        d.router.Timer.Now(),
+		Tried:      d.tried,
+		Choices:    choicesFor(d.Job.Class),
 	}
-	if !t.Job.BoundStaleness {
+	if !d.Job.BoundStaleness {
 		return q
 	}
-	newest, oldest, ok := t.VersionBounds(lead)
+	newest, oldest, ok := d.VersionBounds(lead)
 	if !ok {
 		return q
 	}
 	q.Newest = newest
 	q.Oldest = oldest
-	q.PreferNewest = t.Set.Deployment.Rounds.Weighting == configuration.WeightStaleness
+	q.PreferNewest = d.Set.Deployment.Rounds.Weighting == configuration.WeightStaleness
 	return q
 }
 
-// VersionBounds returns the newest published version and the oldest version whose results
-// are still within the staleness bound after lead more versions. ok is false if the
-// job has no staleness bound or no version is published.
-func (t *Dispatch) VersionBounds(lead uint64) (newest, oldest version.Version, ok bool) {
-	p, ok := t.router.Versions.Newest(t.Job.Deployment)
-	if !ok || !t.Job.BoundStaleness {
+// VersionBounds returns the newest published version and the oldest version whose
+// results are still within the staleness bound after lead more versions. ok is false if
+// the request has no staleness bound or no version is published.
+func (d *Dispatch) VersionBounds(lead uint64) (newest, oldest version.Version, ok bool) {
+	p, ok := d.router.Versions.Newest(d.Job.Deployment)
+	if !ok || !d.Job.BoundStaleness {
 		return version.Version{}, version.Version{}, false
 	}
-	bound := t.Set.Deployment.Staleness.MaxVersions
+	bound := d.Set.Deployment.Staleness.MaxVersions
 	oldest = p.Version
 	oldest.Number -= min(bound-min(lead, bound), oldest.Number)
 	return p.Version, oldest, true
@@ -313,33 +314,33 @@
 // MayRetry reports whether another attempt is allowed by the deployment's maximum number
 // of attempts, the verdict on the request and the retry budget. If so, it takes the
 // retry from the budget.
-func (t *Dispatch) MayRetry() bool {
-	if t.attempts >= t.Set.Deployment.Attempts || t.cutAttempts > 0 && !t.verdict.MayRetry(t.cutAttempts, 0) {
+func (d *Dispatch) MayRetry() bool {
+	if d.attempts >= d.Set.Deployment.Attempts || d.cutAttempts > 0 && !d.verdict.MayRetry(d.cutAttempts, 0) {
 		return false
 	}
-	if !t.router.retryBudget(t.Job.Deployment).Withdraw() {
+	if !d.router.retryBudget(d.Job.Deployment).Withdraw() {
 		return false
 	}
-	if t.router.Metrics != nil {
-		t.router.Metrics.Retries.WithLabelValues(t.Job.Deployment).Inc()
+	if d.router.Metrics != nil {
+		d.router.Metrics.Retries.WithLabelValues(d.Job.Deployment).Inc()
 	}
 	return true
 }
 
-// Close ends the trip and releases its admission. A good result also earns retry
-// budget and clears the request of suspicion.
-func (t *Dispatch) Close(r limit.Result) {
+// Close ends the dispatch and releases its permit. A request that succeeded also adds to
+// the retry budget and is cleared of suspicion.
+func (d *Dispatch) Close(r limit.Result) {
 	if r == limit.Succeeded {
-		t.router.retryBudget(t.Job.Deployment).Deposit(t.Set.Deployment.RetryShare)
-		t.clearSuspicion()
+		d.router.retryBudget(d.Job.Deployment).Deposit(d.Set.Deployment.RetryShare)
+		d.clearSuspicion()
 	}
-	t.permit.Release(r)
+	d.permit.Release(r)
 }
 
 // logChoice counts an attempt and logs the choice of its upstream.
-func (r *Router) logChoice(t *Dispatch, c policy.Choice) {
+func (r *Router) logChoice(d *Dispatch, c policy.Choice) {
 	if r.Metrics != nil {
-		r.Metrics.Attempts.WithLabelValues(t.Job.Deployment).Inc()
+		r.Metrics.Attempts.WithLabelValues(d.Job.Deployment).Inc()
 	}
 	if r.Journal == nil {
 		return
@@ -350,13 +351,13 @@
 		load = c.Upstream.Load(r.Timer.Now())
 	}
 	r.Journal.Decision("route", log.Fields{
-		"request_id": t.Job.RequestID,
-		"attempt":    t.attempts + 1,
-		"deployment": t.Job.Deployment,
-		"priority":   t.Job.Class.String(),
+		"request_id": d.Job.RequestID,
+		"attempt":    d.attempts + 1,
+		"deployment": d.Job.Deployment,
+		"priority":   d.Job.Class.String(),
 		"chosen":     chosen,
 		"candidates": c.Candidates,
-		"of":         t.Set.Total,
+		"of":         d.Set.Total,
 		"load":       strconv.FormatFloat(load, 'f', 2, 64),
 		"reason":     string(c.Reason),
 	})
