--- a/internal/fleet/capacity/decision.go
+++ b/internal/fleet/capacity/decision.go
@@ -15,7 +15,7 @@
 type Group struct {
 	// Slots is the number of items that one engine runs at once.
 	Slots int
-	// MaxPerDomain is the maximum number of engines, lasting and reclaimable, in a failure domain.
+	// MaxPerDomain is the maximum number of engines of both kinds in a failure domain.
 	MaxPerDomain int
 	// Items is the number of items that may have to run at once.
 	Items   int
@@ -25,7 +25,7 @@
 // Domain describes the engines of a group in one failure domain.
 type Domain struct {
 	Name string
-	// Price is the price of a lasting engine, relative to other domains.
+	// Price is the price of an on-demand engine, relative to other domains.
 	Price float64
 	// OnDemand and Reclaimable are the numbers of engines of each kind, without
 	// those that are leaving.
--- a/internal/fleet/capacity/decision_test.go
+++ b/internal/fleet/capacity/decision_test.go
@@ -14,7 +14,7 @@
 	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
-// fourDomains returns a group with twelve lasting engines in each of four failure domains.
+// fourDomains returns a group with twelve on-demand engines in each of four failure domains.
 func fourDomains(work int) Group {
 	g := Group{
 		Slots:        8,
--- a/internal/fleet/capacity/demand.go
+++ b/internal/fleet/capacity/demand.go
@@ -47,7 +47,7 @@
 func (d *Demand) Items(models []string, now timer.Instant) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	work := 0
+	items := 0
 	for _, m := range models {
 		steps := d.steps[m]
 		for len(steps) > 0 && now.Sub(steps[0].at) > stepLifetime {
@@ -55,8 +55,8 @@
 		}
 		if len(steps) > 0 {
 			d.steps[m] = steps
-			work += steps[0].items
+			items += steps[0].items
 		}
 	}
-	return work
+	return items
 }
--- a/internal/fleet/capacity/doc.go
+++ b/internal/fleet/capacity/doc.go
@@ -19,7 +19,7 @@
 // that waits for a slot starts late, so there should be slots for all items of the steps
 // that trainers request repeatedly.
 //
-// Engines are of two kinds. Lasting engines are added and removed by operators.
+// Engines are of two kinds. On-demand engines are added and removed by operators.
 // Reclaimable engines (spot capacity) are ordered by this package: they are cheap, but
 // the platform takes them back at short notice, a whole failure domain at a time. They
 // are therefore spread over all domains.
--- a/internal/fleet/capacity/orderer.go
+++ b/internal/fleet/capacity/orderer.go
@@ -46,7 +46,7 @@
 	Order(ctx context.Context, fence uint64, o Order) error
 }
 
-// Holder tells whether this instance holds the duty to give orders.
+// Holder reports whether this instance holds the duty to give orders.
 type Holder interface {
 	// FencingToken returns the fencing token and whether orders may be given now.
 	FencingToken() (uint64, bool)
--- a/internal/fleet/configuration/holder.go
+++ b/internal/fleet/configuration/holder.go
@@ -34,7 +34,7 @@
 
 // Update puts d in force and reports true, unless the same or a newer revision is
 // already in force. After an outage the key-value service may answer with an older
-// revision; applying it would undo a change that an operator was told is accepted.
+// revision; applying it would undo a change that was reported to an operator as accepted.
 func (h *Holder) Update(d *Document) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/fleet/configuration/proof_test.go
+++ b/internal/fleet/configuration/proof_test.go
@@ -106,7 +106,7 @@
 const holders = 3
 
 // simulation runs a few instances and concurrent operators against one store, and
-// records what the operators were told in order to check it against the store.
+// records the outcomes reported to the operators to check them against the store.
 type simulation struct {
 	t           *rapid.T
 	mutated     mutations
--- a/internal/fleet/confirmation/doc.go
+++ b/internal/fleet/confirmation/doc.go
@@ -11,5 +11,5 @@
 // The instant of a confirmation is the start of the call that gave it, on a clock that
 // includes suspended time. A Confirmer confirms by a call to the key-value service, or
 // accepts the confirmation of another instance, which states how long before the
-// question it was confirmed.
+// query it was confirmed.
 package confirmation
--- a/internal/fleet/confirmation/keeper_test.go
+++ b/internal/fleet/confirmation/keeper_test.go
@@ -13,13 +13,13 @@
 	"github.com/egretbend/egretbend/internal/standin/memorystore"
 )
 
-// spaceSource is a Source on a memorystore.Store. It does not wait for changes.
-type spaceSource struct {
+// storeSource is a Source on a memorystore.Store. It does not wait for changes.
+type storeSource struct {
 	*memorystore.Store
 }
 
 // ChangesSince implements Source.
-func (a spaceSource) ChangesSince(ctx context.Context, prefix string, after uint64) ([]keyvalue.Change, uint64, error) {
+func (a storeSource) ChangesSince(ctx context.Context, prefix string, after uint64) ([]keyvalue.Change, uint64, error) {
 	return a.Watch(ctx, prefix, after, 0)
 }
 
@@ -46,7 +46,7 @@
 	}
 	d.Confirmer = Confirmer{
 		Record:       &Record{},
-		Source:       spaceSource{d.store},
+		Source:       storeSource{d.store},
 		Key:          key,
 		HeldRevision: func() uint64 { return d.heldRevision },
 		Apply:        func(changes []keyvalue.Change) { d.heldRevision = changes[len(changes)-1].Revision },
@@ -66,7 +66,7 @@
 	return rev
 }
 
-// A confirmation that finds a newer configuration applies it and counts for it.
+// A confirmation that finds a newer configuration applies it and confirms that one.
 func TestConfirmAppliesNewerConfiguration(t *testing.T) {
 	is := is.New(t)
 	d := newFixture(t)
@@ -135,10 +135,12 @@
 	}
 	is.Equal(asked, 5) // after 0, 1, 3, 7 and 11 seconds
 	is.Equal(b.next(nil, 0, false), backoff{})
-	is.Equal(backoff{}.next(errNotApplied, 9, true).until, timer.Instant(0)) // a relay does not pause: other instances depend on it
+	// A relay does not pause: other instances depend on it.
+	is.Equal(backoff{}.next(errNotApplied, 9, true).until, timer.Instant(0))
 }
 
-// Guards against requests with keys that are refused long after all instances started.
+// Guards against requests with keys that are still refused long after all instances
+// started.
 func TestFirstConfirmationIsPrompt(t *testing.T) {
 	is := is.New(t)
 	d := newFixture(t)
--- a/internal/fleet/crashnotice/board.go
+++ b/internal/fleet/crashnotice/board.go
@@ -31,8 +31,8 @@
 	Renew(ctx context.Context) error
 }
 
-// Board holds the crashes that all instances have seen, and publishes those that this
-// instance has seen.
+// Board holds the crashes that any instance observed, and publishes those that this
+// instance observed.
 type Board struct {
 	Secret Secret
 	Poster Publisher
@@ -40,15 +40,15 @@
 	Key string
 	// InstanceCount returns the number of instances.
 	InstanceCount func() int
-	// RunsTrial reports whether this instance runs the trials of a convicted request. Nil
+	// RunsTrial reports whether this instance runs the trials of a quarantined request. Nil
 	// means never.
 	RunsTrial func(p fingerprint.Fingerprint) bool
 	Timer     timer.Service
 	Journal   *journal.Journal
 	Metrics   *Metrics
 
-	// hasEvidence is set while there is evidence. Otherwise a request costs no more than
-	// this check.
+	// hasEvidence is set while there is evidence. While it is false, judging a request
+	// only reads this flag.
 	hasEvidence atomic.Bool
 	wake        wake.Signal
 
@@ -58,14 +58,15 @@
 	own []notice
 	// keyOutdated is set when the published value holds notices that own no longer has.
 	keyOutdated bool
-	// trials holds the start of the last trial of each convicted request at this instance.
+	// trials holds the start of the last trial of each quarantined request at this
+	// instance.
 	trials map[fingerprint.Fingerprint]timer.Instant
 	// limiter bounds the rate of writes.
 	limiter writeLimiter
 }
 
-// Judge returns the verdict on a request. sum is called only if there is evidence.
-func (b *Board) Judge(sum func() fingerprint.Digest) poison.Verdict {
+// Judge returns the verdict on a request. digest is called only if there is evidence.
+func (b *Board) Judge(digest func() fingerprint.Digest) poison.Verdict {
 	if !b.hasEvidence.Load() {
 		return poison.Verdict{}
 	}
@@ -73,7 +74,7 @@
 	if secret == nil {
 		return poison.Verdict{}
 	}
-	print := sum().Keyed(secret)
+	print := digest().Keyed(secret)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Timer.Now()
@@ -85,15 +86,16 @@
 }
 
 const (
-	// trialInterval is the time between the starts of two trials of a convicted request.
+	// trialInterval is the time between the starts of two trials of a quarantined
+	// request.
 	trialInterval = 5 * time.Second
 	// trialRetryAfter is when callers may retry a request that is due for a trial, if
 	// another instance runs the trials or this one ran one within trialInterval.
 	trialRetryAfter = 10 * time.Second
 )
 
-// allowTrial reports whether this instance may run a convicted request once, to see whether
-// upstreams still crash, and records the trial. b.mu must be held.
+// allowTrial reports whether this instance may run a quarantined request once, to see
+// whether upstreams still crash, and records the trial. b.mu must be held.
 func (b *Board) allowTrial(p fingerprint.Fingerprint, now timer.Instant) bool {
 	if at, ok := b.trials[p]; ok && now.Sub(at) < trialInterval || b.RunsTrial == nil || !b.RunsTrial(p) {
 		return false
@@ -105,8 +107,8 @@
 	return true
 }
 
-// RecordCrash records that an upstream ended while it ran a request, and returns the new
-// verdict on the request.
+// RecordCrash records that an upstream crashed while it ran a request, and returns the
+// new verdict on the request.
 func (b *Board) RecordCrash(c poison.Crash) poison.Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -124,9 +126,9 @@
 	return b.evidence.Judge(c.Print, now)
 }
 
-// RecordAnswer records that a request was answered, which clears it. sum is called only if
-// there is evidence.
-func (b *Board) RecordAnswer(sum func() fingerprint.Digest) {
+// RecordAnswer records that a request was answered, which clears it. digest is called only
+// if there is evidence.
+func (b *Board) RecordAnswer(digest func() fingerprint.Digest) {
 	if !b.hasEvidence.Load() {
 		return
 	}
@@ -134,7 +136,7 @@
 	if secret == nil {
 		return
 	}
-	print := sum().Keyed(secret)
+	print := digest().Keyed(secret)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Timer.Now()
@@ -190,7 +192,7 @@
 		}
 		notices, err := decode(c.Value, now)
 		if err != nil {
-			b.Journal.Warn("cannot decode notices of crashes", err, log.Fields{
+			b.Journal.Warn("cannot decode crash notices", err, log.Fields{
 				"key": c.Key,
 			})
 			continue
--- a/internal/fleet/crashnotice/board_test.go
+++ b/internal/fleet/crashnotice/board_test.go
@@ -50,18 +50,18 @@
 	}
 }
 
-func sumOf(body string) fingerprint.Digest {
+func digestOf(body string) fingerprint.Digest {
 	return fingerprint.DigestOf(fingerprint.Parts{Body: []byte(body)})
 }
 
-// crashUpstreams records that n upstreams ended while they ran a request, one after the
+// crashUpstreams records that n upstreams crashed while they ran a request, one after the
 // other. Their incarnations are numbered starting with from.
 func (d *boardFixture) crashUpstreams(b *Board, body string, from, n int) {
 	for i := range n {
 		d.clock.Advance(time.Millisecond)
 		b.RecordCrash(poison.Crash{
 			Incarnation: crash.IncarnationOf("u", uint64(from+i)),
-			Print:       sumOf(body).Keyed(fixedSecret{}.Value()),
+			Print:       digestOf(body).Keyed(fixedSecret{}.Value()),
 			At:          d.clock.Now(),
 			Consecutive: judge(b, body).Crashes + 1,
 		})
@@ -69,11 +69,13 @@
 }
 
 // answer records that a request was answered.
-func answer(b *Board, body string) { b.RecordAnswer(func() fingerprint.Digest { return sumOf(body) }) }
+func answer(b *Board, body string) {
+	b.RecordAnswer(func() fingerprint.Digest { return digestOf(body) })
+}
 
 // judge returns the verdict of a board on a request.
 func judge(b *Board, body string) poison.Verdict {
-	return b.Judge(func() fingerprint.Digest { return sumOf(body) })
+	return b.Judge(func() fingerprint.Digest { return digestOf(body) })
 }
 
 // deliver passes the published notices of one board to another one.
@@ -83,16 +85,16 @@
 	to.Apply([]keyvalue.Change{{Item: item}})
 }
 
-// Guards against instances that count only the crashes that they have seen themselves.
+// Guards against instances that count only the crashes that they observed themselves.
 func TestCrashesAddUpOverInstances(t *testing.T) {
 	is := is.New(t)
 	d := newBoardFixture()
 	a, b, c := d.board("a"), d.board("b"), d.board("c")
 	d.crashUpstreams(a, "deadly", 0, 2)
-	is.NoErr(a.post(context.Background()))
+	is.NoErr(a.publishNow(context.Background()))
 	d.deliver(is, a, b)
 	d.crashUpstreams(b, "deadly", 2, 2)
-	is.NoErr(b.post(context.Background()))
+	is.NoErr(b.publishNow(context.Background()))
 	is.True(!judge(c, "deadly").Quarantined())
 	d.deliver(is, a, c)
 	d.deliver(is, b, c)
@@ -102,7 +104,7 @@
 	is.Equal(judge(c, "deadly").Crashes, 4)
 }
 
-// Guards against a write to the service for each request whose upstream ended, even if
+// Guards against a write to the service for each request whose upstream crashed, even if
 // another upstream answered it at once, and against an answered request that stays
 // suspected at other instances.
 func TestAnswersArePublishedOnlyAfterCrashes(t *testing.T) {
@@ -116,13 +118,13 @@
 
 	d.clock.Advance(time.Second)
 	d.crashUpstreams(a, "plain", 1, 3)
-	is.NoErr(a.post(context.Background()))
+	is.NoErr(a.publishNow(context.Background()))
 	d.deliver(is, a, b)
 	is.Equal(judge(b, "plain").Crashes, 3)
 	d.clock.Advance(time.Second)
 	answer(b, "plain")
 	is.True(b.hasUnpublished())
-	is.NoErr(b.post(context.Background()))
+	is.NoErr(b.publishNow(context.Background()))
 	d.deliver(is, b, a)
 	is.True(!judge(a, "plain").Suspected())
 	d.deliver(is, a, b) // the old notice is ignored
@@ -136,7 +138,7 @@
 	d := newBoardFixture()
 	a, b := d.board("a"), d.board("b")
 	d.crashUpstreams(a, "deadly", 0, 4)
-	is.NoErr(a.post(context.Background()))
+	is.NoErr(a.publishNow(context.Background()))
 	d.deliver(is, a, b)
 	gone := keyvalue.Change{Item: keyvalue.Item{Key: "a"}, Removed: true}
 	b.Apply([]keyvalue.Change{gone})
@@ -145,36 +147,37 @@
 	d.store.ExpireLease(a.Poster.(*KeyPublisher).lease)
 	a.Apply([]keyvalue.Change{gone})
 	is.True(a.hasUnpublished())
-	is.True(a.post(context.Background()) != nil) // fails because the lease has expired
-	is.NoErr(a.post(context.Background()))
+	is.True(a.publishNow(context.Background()) != nil) // fails because the lease has expired
+	is.NoErr(a.publishNow(context.Background()))
 	_, err := d.store.Get(context.Background(), "a")
 	is.NoErr(err)
 }
 
 // Guards against an instance that starts and takes a published crash as new although the
-// request was answered elsewhere since: it would refuse for minutes what all others serve.
+// request was answered elsewhere since: for minutes it would refuse a request that all
+// others serve.
 func TestStartingInstancesGetNoClearedCrashes(t *testing.T) {
 	is := is.New(t)
 	d := newBoardFixture()
 	a, b := d.board("a"), d.board("b")
 	d.crashUpstreams(a, "popular", 0, 4)
-	is.NoErr(a.post(context.Background()))
+	is.NoErr(a.publishNow(context.Background()))
 	d.deliver(is, a, b)
 	d.clock.Advance(time.Second)
 	answer(b, "popular")
-	is.NoErr(b.post(context.Background()))
+	is.NoErr(b.publishNow(context.Background()))
 	d.deliver(is, b, a)
 	a.expire(context.Background())
 	is.True(a.hasUnpublished())
-	is.NoErr(a.post(context.Background()))
+	is.NoErr(a.publishNow(context.Background()))
 	is.True(!a.hasUnpublished())
 	started := d.board("c")
 	d.deliver(is, a, started)
 	is.True(!judge(started, "popular").Suspected())
 }
 
-// Guards against a flood of different requests that crash upstreams and fill the memory,
-// the key or the allowed rate of calls to the service.
+// Guards against a flood of different poison requests that fills the memory or the key, or
+// uses up the allowed rate of calls to the service.
 func TestFloodOfDifferentRequestsIsBounded(t *testing.T) {
 	is := is.New(t)
 	d := newBoardFixture()
@@ -186,7 +189,7 @@
 		limiter := a.limiter
 		if limiter.reserve(d.clock.Now(), 20) == 0 {
 			a.limiter = limiter
-			is.NoErr(a.post(context.Background()))
+			is.NoErr(a.publishNow(context.Background()))
 			calls++
 		}
 	}
@@ -206,7 +209,7 @@
 	is.Equal(len(a.own), 0)
 }
 
-// Guards against trials of a convicted request at all instances at the same time, or at
+// Guards against trials of a quarantined request at all instances at the same time, or at
 // the chosen instance without a pause.
 func TestOnlyChosenInstanceRunsTrial(t *testing.T) {
 	is := is.New(t)
@@ -230,12 +233,12 @@
 func TestNoDigestWithoutEvidence(t *testing.T) {
 	d := newBoardFixture()
 	a := d.board("a")
-	sum := func() fingerprint.Digest {
+	digest := func() fingerprint.Digest {
 		t.Fatal("a digest was computed without evidence")
 		return fingerprint.Digest{}
 	}
-	a.Judge(sum)
-	a.RecordAnswer(sum)
+	a.Judge(digest)
+	a.RecordAnswer(digest)
 }
 
 // Guards against data races between requests, changes from other instances and the
--- a/internal/fleet/crashnotice/doc.go
+++ b/internal/fleet/crashnotice/doc.go
@@ -1,5 +1,5 @@
-// Package crashnotice shares between all instances which requests crash upstreams, so
-// that every instance can refuse them.
+// Package crashnotice shares between all instances which requests crash upstreams
+// (poison requests), so that every instance can refuse them.
 //
 //	board := &crashnotice.Board{
 //		Secret: secret,
@@ -12,13 +12,13 @@
 //		Timer: clock,
 //	}
 //	t.Go(func() error { return board.Run(t) })
-//	verdict := board.Judge(sum)
+//	verdict := board.Judge(digest)
 //
-// A Board judges requests by the crashes that all instances have seen. It publishes
-// what this instance has seen as a list of notices under one key for each incarnation
-// of the instance, through a Publisher: KeyPublisher writes them to the key-value
-// service, GossipPublisher sends them to other instances directly. The others receive the
-// notices by Board.Apply. A key expires some minutes after its last change, so that its
-// notices outlive the instance. A crash is not published if another upstream answers the
-// request soon after.
+// A Board judges requests by the crashes that any instance observed. It publishes those
+// that this instance observed as a list of notices under one key for each incarnation of
+// the instance, through a Publisher: KeyPublisher writes them to the key-value service,
+// GossipPublisher sends them to other instances directly. The others receive the notices
+// by Board.Apply. A key expires some minutes after its last change, so that its notices
+// outlive the instance. A crash is not published if another upstream answers the request
+// soon after.
 package crashnotice
--- a/internal/fleet/crashnotice/fleet_test.go
+++ b/internal/fleet/crashnotice/fleet_test.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Guards against a request that crashes upstreams and is refused only by the instance
-// that saw it, while all others still send it on. Links are cut and instances restart
+// Guards against a poison request that is refused only by the instance that observed its
+// crashes, while all others still send it on. Links are cut and instances restart
 // meanwhile.
 func TestFleetRefusesCrashingRequests(t *testing.T) {
 	for _, n := range []int{20, 100, 300} {
 		for seed := range uint64(3) {
 			p := fleetPlan{
-				seed:      seed,
-				instances: n,
-				upstreams: 11,
-				crashing:  4,
-				interval:  400 * time.Millisecond,
-				plain:     60,
-				duration:  40 * time.Second,
-				restarts:  0.5,
-				cuts:      0.5,
-				crashes:   0.3,
+				seed:        seed,
+				instances:   n,
+				upstreams:   11,
+				poisonCount: 4,
+				interval:    400 * time.Millisecond,
+				plain:       60,
+				duration:    40 * time.Second,
+				restarts:    0.5,
+				cuts:        0.5,
+				crashes:     0.3,
 			}
 			f := newSimFleet(p)
 			f.run()
 			t.Logf("%d instances, seed %d: crashes %v, late sends %v, plain %d served %d refused %d, writes %d, crashes known %d",
 				n, seed, f.crashCount, f.lateSends, f.plainCount, f.served, f.refused, f.writes, f.maxKnown)
-			for crashing, lateSends := range f.lateSends {
+			for poisonID, lateSends := range f.lateSends {
 				if lateSends > 3 {
-					t.Errorf("%d instances, seed %d: crashing request %d was sent late %d times", n, seed, crashing, lateSends)
+					t.Errorf("%d instances, seed %d: poison request %d was sent late %d times", n, seed, poisonID, lateSends)
 				}
 			}
 			if f.refused > 0 {
@@ -62,20 +62,20 @@
 }
 
 // Guards against a simulation that proves nothing: without notices from each other,
-// instances must send a crashing request on.
+// instances must send a poison request on.
 func TestIsolatedInstancesDoNotRefuse(t *testing.T) {
 	f := newSimFleet(fleetPlan{
-		instances: 20,
-		upstreams: 11,
-		crashing:  1,
-		interval:  400 * time.Millisecond,
-		plain:     20,
-		duration:  30 * time.Second,
-		isolated:  true,
+		instances:   20,
+		upstreams:   11,
+		poisonCount: 1,
+		interval:    400 * time.Millisecond,
+		plain:       20,
+		duration:    30 * time.Second,
+		isolated:    true,
 	})
 	f.run()
 	t.Logf("crashes %v, late sends %v", f.crashCount, f.lateSends)
 	if f.lateSends[1] <= 3 {
-		t.Errorf("crashing request 1 was sent late %d times only", f.lateSends[1])
+		t.Errorf("poison request 1 was sent late %d times only", f.lateSends[1])
 	}
 }
--- a/internal/fleet/crashnotice/gossip_test.go
+++ b/internal/fleet/crashnotice/gossip_test.go
@@ -21,13 +21,13 @@
 	b.Poster = &GossipPublisher{State: &state, Key: "b"}
 	listener := Listener{State: &state, Board: b}
 	d.crashUpstreams(a, "deadly", 0, 4)
-	is.NoErr(a.post(context.Background()))
+	is.NoErr(a.publishNow(context.Background()))
 	changes := listener.newEntries()
 	is.Equal(len(changes), 1)
 	b.Apply(changes)
 	is.True(judge(b, "deadly").Quarantined())
 	d.crashUpstreams(b, "other", 10, 1)
-	is.NoErr(b.post(context.Background()))
+	is.NoErr(b.publishNow(context.Background()))
 	is.Equal(len(listener.newEntries()), 0) // only its own entry changed
 	is.NoErr(a.Poster.Renew(context.Background()))
 	is.Equal(len(listener.newEntries()), 0) // too early for a new version
--- a/internal/fleet/crashnotice/metrics.go
+++ b/internal/fleet/crashnotice/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics counts the crashes that a board knows and the writes of its notices. A nil
+// Metrics counts the crashes that a board knows of and the writes of its notices. A nil
 // Metrics counts nothing.
 type Metrics struct {
 	crashes     prometheus.Gauge
--- a/internal/fleet/crashnotice/notice.go
+++ b/internal/fleet/crashnotice/notice.go
@@ -13,13 +13,13 @@
 // maxNotices bounds the notices that one instance publishes.
 const maxNotices = 48
 
-// notice is what an instance publishes: that an upstream ended while it ran a request,
+// notice is what an instance publishes: that an upstream crashed while it ran a request,
 // or that a request was answered.
 type notice struct {
 	Print fingerprint.Fingerprint `json:"print"`
-	// Upstream is the incarnation that ended; empty if the request was answered.
+	// Upstream is the incarnation that crashed; empty if the request was answered.
 	Upstream crash.Incarnation `json:"upstream,omitempty"`
-	// Row is the field Consecutive of the poison.Crash.
+	// Row is the number of consecutive crashes, see poison.Crash.Consecutive.
 	Row int `json:"row,omitempty"`
 	// AgeMS is the age of the notice in milliseconds when it was published.
 	AgeMS int64 `json:"age_ms"`
--- a/internal/fleet/crashnotice/part.go
+++ b/internal/fleet/crashnotice/part.go
@@ -23,8 +23,8 @@
 	})
 }
 
-// bulletinPart runs a Board and its Listener as a part of the process.
-type bulletinPart struct {
+// crashNoticePart is the part that runs a Board and its Listener.
+type crashNoticePart struct {
 	board    *Board
 	listener Listener
 }
@@ -32,13 +32,13 @@
 func makePart(h *part.Host) (part.Part, error) {
 	state := part.MustGet[*gossip.State](h)
 	members := part.MustGet[*member.Table](h)
-	keeper := &secret.GossipSecret{
+	fleetSecret := &secret.GossipSecret{
 		State: state,
 	}
 	self := members.Self()
 	key := fmt.Sprintf("%s/%d", self.ID, self.Incarnation)
 	board := &Board{
-		Secret: keeper,
+		Secret: fleetSecret,
 		Key:    key,
 		Poster: &GossipPublisher{
 			State: state,
@@ -55,13 +55,13 @@
 	}
 	part.Provide(h, board)
 	part.Provide(h, &crash.Reporter{
-		Secret:  keeper,
+		Secret:  fleetSecret,
 		Timer:   h.Timer,
 		Journal: h.Journal,
 		Metrics: crash.NewMetrics(h.Metrics),
 		OnCrash: board.ReportCrash,
 	})
-	return &bulletinPart{
+	return &crashNoticePart{
 		board: board,
 		listener: Listener{
 			State: state,
@@ -71,14 +71,14 @@
 }
 
 // Start implements part.Part.
-func (p *bulletinPart) Start(t *tomb.Tomb) error {
+func (p *crashNoticePart) Start(t *tomb.Tomb) error {
 	t.Go(func() error { return p.board.Run(t) })
 	t.Go(func() error { return p.listener.Run(t) })
 	return nil
 }
 
 // Stop implements part.Part.
-func (p *bulletinPart) Stop() {}
+func (p *crashNoticePart) Stop() {}
 
 // ReportCrash records a crash that a crash.Reporter found, and returns the log fields for it.
 func (b *Board) ReportCrash(c crash.Cut, print fingerprint.Fingerprint) log.Fields {
--- a/internal/fleet/crashnotice/publish.go
+++ b/internal/fleet/crashnotice/publish.go
@@ -13,9 +13,9 @@
 
 // Timing of writes and of expiry.
 const (
-	// coalesceDelay is how long to wait before a write. Most requests whose upstream ended
-	// are answered by another upstream in this time, and their crashes need not be
-	// published.
+	// coalesceDelay is how long to wait before a write. Most requests whose upstream
+	// crashed are answered by another upstream in this time, and their crashes need not
+	// be published.
 	coalesceDelay = 150 * time.Millisecond
 	// expireInterval is the time between two removals of expired notices.
 	expireInterval = 10 * time.Second
@@ -63,7 +63,7 @@
 	for {
 		select {
 		case <-b.wake.C():
-			b.publish(ctx, t)
+			b.publishAfterDelay(ctx, t)
 		case <-ticks.C:
 			b.expire(ctx)
 		case <-t.Dying():
@@ -72,8 +72,8 @@
 	}
 }
 
-// publish posts the notices after a delay, unless all are published by then.
-func (b *Board) publish(ctx context.Context, t *tomb.Tomb) {
+// publishAfterDelay publishes the notices after a delay, unless all are published by then.
+func (b *Board) publishAfterDelay(ctx context.Context, t *tomb.Tomb) {
 	timer.Wait(b.Timer, coalesceDelay, t.Dying())
 	if !b.hasUnpublished() {
 		return
@@ -82,7 +82,7 @@
 	if !t.Alive() {
 		return
 	}
-	if err := b.post(ctx); err != nil && t.Alive() {
+	if err := b.publishNow(ctx); err != nil && t.Alive() {
 		b.Metrics.countWrite("failed")
 		b.Journal.Warn("notices of crashes not told", err, log.Fields{})
 		timer.Wait(b.Timer, retryPause, t.Dying())
@@ -100,8 +100,8 @@
 	return b.keyOutdated || slices.ContainsFunc(b.own, func(n notice) bool { return !n.published })
 }
 
-// post publishes all notices of this instance.
-func (b *Board) post(ctx context.Context) error {
+// publishNow publishes all notices of this instance now.
+func (b *Board) publishNow(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	b.mu.Lock()
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// same reports whether two notices tell of the same event.
+// same reports whether two notices report the same event.
 func (n notice) same(o notice) bool {
 	return n.Print == o.Print && n.Upstream == o.Upstream && n.at == o.at
 }
@@ -165,6 +165,6 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := b.Poster.Renew(ctx); err != nil {
-		b.Journal.Warn("cannot renew notices of crashes", err, log.Fields{})
+		b.Journal.Warn("cannot renew crash notices", err, log.Fields{})
 	}
 }
--- a/internal/fleet/crashnotice/simulation_test.go
+++ b/internal/fleet/crashnotice/simulation_test.go
@@ -33,21 +33,21 @@
 	seed      uint64
 	instances int
 	upstreams int
-	// crashing is the number of different requests that crash every upstream.
-	crashing int
-	// interval is the mean time between two arrivals of each crashing request.
+	// poisonCount is the number of different poison requests, which crash every upstream.
+	poisonCount int
+	// interval is the mean time between two arrivals of each poison request.
 	interval time.Duration
 	// plain is the number of requests per second that crash nothing, each with another
 	// body.
 	plain    int
 	duration time.Duration
 	// restarts is the number of instances that restart per second, cuts is the number of
-	// instances that begin a time without notices per second, and crashes is the number of
-	// upstreams per second that end for another reason than a request.
+	// instances cut off from notices per second, and crashes is the number of upstreams per
+	// second that crash for another reason than a request.
 	restarts, cuts, crashes float64
 	// popular is the number of plain requests per second with the same body.
 	popular int
-	// outages is how many times per second half or all of the upstreams end together.
+	// outages is how many times per second half or all of the upstreams crash together.
 	outages float64
 	// isolated keeps all notices from the other instances.
 	isolated bool
@@ -81,12 +81,12 @@
 
 // simRequest is a request that an instance handles.
 type simRequest struct {
-	crashing int // number of the crashing request; 0 for a plain one
-	sum      fingerprint.Digest
+	poisonID int // number of the poison request; 0 for a plain one
+	digest   fingerprint.Digest
 	instance *simInstance
 	verdict  poison.Verdict
 	tried    []int
-	// crashes counts the upstreams that ended while they ran the request, retried the
+	// crashes counts the upstreams that crashed while they ran the request, retried the
 	// retries by the client.
 	crashes int
 	retried int
@@ -107,7 +107,7 @@
 	// retries holds the requests that clients retry, by the time of the retry.
 	retries map[timer.Instant][]*simRequest
 
-	// crashCount counts the upstreams that each crashing request has ended, thirdCrash
+	// crashCount counts the upstreams that each poison request crashed, thirdCrash
 	// holds the time of the third one, and lateSends counts the sends that simContactTime
 	// does not allow.
 	crashCount map[int]int
@@ -119,7 +119,7 @@
 	served       int
 	refused      int
 	writes       int
-	// maxKnown is the largest number of ends of upstreams that an instance knew of.
+	// maxKnown is the largest number of upstream crashes that an instance knew of.
 	maxKnown int
 }
 
@@ -232,7 +232,7 @@
 	if !in.board.hasUnpublished() {
 		return
 	}
-	if err := in.board.post(context.Background()); err != nil {
+	if err := in.board.publishNow(context.Background()); err != nil {
 		panic(err)
 	}
 	f.writes++
@@ -248,7 +248,7 @@
 // run runs the simulation.
 func (f *simFleet) run() {
 	end := f.clock.Now().Add(f.duration)
-	next := make([]timer.Instant, f.crashing)
+	next := make([]timer.Instant, f.poisonCount)
 	for i := range next {
 		next[i] = f.clock.Now().Add(time.Duration(f.rng.Int64N(int64(2 * time.Second))))
 	}
@@ -295,23 +295,23 @@
 		}
 		f.finish(now)
 		for _, q := range f.retries[now] {
-			f.arrive(0, string(q.sum[:]), q.retried)
+			f.arrive(0, string(q.digest[:]), q.retried)
 		}
 		delete(f.retries, now)
 	}
 }
 
 // arrive lets a request arrive at a random instance.
-func (f *simFleet) arrive(crashing int, body string, retried int) {
+func (f *simFleet) arrive(poisonID int, body string, retried int) {
 	q := &simRequest{
-		crashing: crashing,
+		poisonID: poisonID,
 		instance: f.instances[f.rng.IntN(len(f.instances))],
 		retried:  retried,
 	}
-	copy(q.sum[:], body)
-	q.verdict = q.instance.board.Judge(func() fingerprint.Digest { return q.sum })
+	copy(q.digest[:], body)
+	q.verdict = q.instance.board.Judge(func() fingerprint.Digest { return q.digest })
 	if q.verdict.Quarantined() {
-		if crashing == 0 {
+		if poisonID == 0 {
 			f.refused++
 		}
 		return
@@ -338,32 +338,32 @@
 	q.endsAt = now.Add(simRunTime)
 	f.upstreams[q.upstream].runs = append(f.upstreams[q.upstream].runs, q)
 	f.running = append(f.running, q)
-	if q.crashing == 0 {
+	if q.poisonID == 0 {
 		return
 	}
-	if at, ok := f.thirdCrash[q.crashing]; ok && now.Sub(at) > simContactTime && now.Sub(q.instance.disturbedAt) > simContactTime {
-		f.lateSends[q.crashing]++
+	if at, ok := f.thirdCrash[q.poisonID]; ok && now.Sub(at) > simContactTime && now.Sub(q.instance.disturbedAt) > simContactTime {
+		f.lateSends[q.poisonID]++
 	}
 }
 
-// finish ends the runs whose time is over: a crashing request takes its upstream along,
-// any other one is answered.
+// finish ends the runs whose time is over: a poison request crashes its upstream, any
+// other one is answered.
 func (f *simFleet) finish(now timer.Instant) {
 	for _, q := range slices.Clone(f.running) {
 		if now < q.endsAt || !slices.Contains(f.running, q) {
 			continue
 		}
-		if q.crashing > 0 {
-			f.crashCount[q.crashing]++
-			if f.crashCount[q.crashing] == 3 {
-				f.thirdCrash[q.crashing] = now
+		if q.poisonID > 0 {
+			f.crashCount[q.poisonID]++
+			if f.crashCount[q.poisonID] == 3 {
+				f.thirdCrash[q.poisonID] = now
 			}
 			f.crashUpstream(q.upstream)
 			continue
 		}
 		f.drop(q)
 		f.served++
-		q.instance.board.RecordAnswer(func() fingerprint.Digest { return q.sum })
+		q.instance.board.RecordAnswer(func() fingerprint.Digest { return q.digest })
 	}
 }
 
@@ -374,8 +374,8 @@
 	f.running = slices.DeleteFunc(f.running, func(x *simRequest) bool { return x == q })
 }
 
-// crashUpstream ends an upstream and all requests that it runs. These are sent to another
-// upstream if the verdict allows it.
+// crashUpstream crashes an upstream. The requests that it ran are sent to another upstream
+// if the verdict allows it.
 func (f *simFleet) crashUpstream(index int) {
 	u := f.upstreams[index]
 	now := f.clock.Now()
@@ -390,7 +390,7 @@
 		q.crashes++
 		q.instance.board.RecordCrash(poison.Crash{
 			Incarnation: incarnation,
-			Print:       q.sum.Keyed(fixedSecret{}.Value()),
+			Print:       q.digest.Keyed(fixedSecret{}.Value()),
 			At:          now,
 			Consecutive: q.verdict.Crashes + q.crashes,
 		})
@@ -404,7 +404,7 @@
 
 // retryLater schedules the one retry that the client of a plain request makes.
 func (f *simFleet) retryLater(q *simRequest) {
-	if q.crashing == 0 && q.retried == 0 {
+	if q.poisonID == 0 && q.retried == 0 {
 		q.retried++
 		at := f.clock.Now().Add(20 * simStep)
 		f.retries[at] = append(f.retries[at], q)
--- a/internal/fleet/duty/holder.go
+++ b/internal/fleet/duty/holder.go
@@ -16,8 +16,8 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// DutyName is the name, in the registry, of the duty to make the calls that only one instance
-// may make at a time.
+// DutyName is the registry name of the duty to make the calls that only one instance may
+// make at a time.
 const DutyName = "orders"
 
 // Intervals and timeouts of the election.
@@ -166,8 +166,7 @@
 
 // shouldAcquire reports whether this instance should try to acquire the duty: it held
 // the duty before, or it is next in line and there is no holder or the holder has been
-// missing for takeoverDelay. Other instances don't try, since each try is a call that
-// is charged for.
+// missing for takeoverDelay. Other instances don't try, since each try is a billed call.
 func (h *Holder) shouldAcquire(ctx context.Context) (bool, error) {
 	holder, _ := ParseValue(h.Presence.DutyValue(DutyName))
 	if holder == h.Name || h.fence != 0 {
--- a/internal/fleet/duty/holder_test.go
+++ b/internal/fleet/duty/holder_test.go
@@ -88,9 +88,9 @@
 	is.True(second > first) // engines that check fencing tokens accept it
 }
 
-// simulateHolders drives two instances through pauses, expired leases and revoked leases. Each
-// gives an order whenever it may; an order less than three seconds after one of the other
-// instance fails the test. skipWait disables the wait of a new holder.
+// simulateHolders drives two instances through pauses, expired leases and revoked leases.
+// Each gives an order whenever it may; an order less than three seconds after one of the
+// other instance fails the test. skipWait disables the wait of a new holder.
 func simulateHolders(t *rapid.T, skipWait bool) {
 	ctx := context.Background()
 	clock := &timer.Manual{}
@@ -226,7 +226,7 @@
 			return
 		}
 	}
-	t.Fatal("b gave no orders within a lease duration, TurnWait and two checks")
+	t.Fatal("b gave no orders within a lease duration, HandoverWait and two checks")
 }
 
 // Guards against a new holder that counts its wait from an absence after which the
--- a/internal/fleet/kvfallback/call.go
+++ b/internal/fleet/kvfallback/call.go
@@ -195,20 +195,20 @@
 
 // Server makes calls to the service for other instances.
 type Server struct {
-	space *Store
+	store *Store
 }
 
 // Register lets other instances call the service through this one, which uses its
 // direct path only.
 func (s *Store) Register(server *peer.Server) error {
 	return server.Register(receiver, &Server{
-		space: s,
+		store: s,
 	})
 }
 
 // Call makes one call. It fails at once while the direct path is known to be broken.
 func (s *Server) Call(c *Call, a *Reply) error {
-	if !s.space.TriesDirectFirst() {
+	if !s.store.TriesDirectFirst() {
 		a.Failure = FailureDown
 		return nil
 	}
@@ -218,9 +218,9 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	*a = c.MakeAt(ctx, s.space.Direct)
+	*a = c.MakeAt(ctx, s.store.Direct)
 	if c.Kind != KindWatch {
-		s.space.recordDirect(a.Err())
+		s.store.recordDirect(a.Err())
 	}
 	return nil
 }
--- a/internal/fleet/kvfallback/space.go
+++ b/internal/fleet/kvfallback/space.go
@@ -28,10 +28,11 @@
 	// first.
 	directRetryInterval = time.Second
 	// peerBytesPerSecond is the assumed bandwidth to another instance: a tenth of the
-	// link of an able instance, which carries other traffic as well.
+	// link of an instance that is eligible for batches, which carries other traffic as
+	// well.
 	peerBytesPerSecond = 2 << 20
 	// maxPeersTried is how many other instances are tried for one call. The service
-	// may reject the calls of a third of them; those say so at once.
+	// may reject the calls of a third of them; these report it at once.
 	maxPeersTried = 4
 	// watchSlack is how much longer than asked a direct watch may take.
 	watchSlack = 3 * time.Second
--- a/internal/fleet/kvfallback/space_test.go
+++ b/internal/fleet/kvfallback/space_test.go
@@ -16,7 +16,7 @@
 
 // peersStub implements Peers: it makes all calls to one service, or fails them.
 type peersStub struct {
-	space keyvalue.TransactionalStore
+	store keyvalue.TransactionalStore
 	calls int
 	fail  error
 }
@@ -27,7 +27,7 @@
 	if l.fail != nil {
 		return Reply{}, l.fail
 	}
-	return c.MakeAt(ctx, l.space), nil
+	return c.MakeAt(ctx, l.store), nil
 }
 
 // newDownStore returns a service that is down for all calls.
@@ -38,11 +38,11 @@
 	}
 }
 
-// newSpace returns a Store with one service on the direct path and another one behind
-// its peers.
-func newSpace(clock timer.Service, direct, elsewhere *memorystore.Store) (*Store, *peersStub) {
+// newTestStore returns a Store with one service on the direct path and another one
+// behind its peers.
+func newTestStore(clock timer.Service, direct, elsewhere *memorystore.Store) (*Store, *peersStub) {
 	peers := &peersStub{
-		space: elsewhere,
+		store: elsewhere,
 	}
 	return &Store{
 		Direct:        direct,
@@ -63,7 +63,7 @@
 		Timer: clock,
 	}
 	down := newDownStore(clock)
-	s, peers := newSpace(clock, down, store)
+	s, peers := newTestStore(clock, down, store)
 	rev, err := s.Commit(ctx, keyvalue.Transaction{
 		Writes: []keyvalue.Write{
 			{Key: "k", Value: []byte("v")},
@@ -74,7 +74,8 @@
 	is.NoErr(err)
 	is.Equal(item.Revision, rev)
 	is.Equal(peers.calls, 2)
-	is.Equal(down.CallCount(memorystore.Commit)+down.CallCount(memorystore.Get), 1) // the failed path is not tried again at once
+	// The failed path is not tried again at once.
+	is.Equal(down.CallCount(memorystore.Commit)+down.CallCount(memorystore.Get), 1)
 	clock.Advance(directRetryInterval)
 	down.Fault = nil
 	_, err = s.Get(ctx, "other")
@@ -83,14 +84,14 @@
 }
 
 // The service is down for all instances. Every call is billed, even one that is not
-// answered. Guards against instances that keep calling: that would cost more than a
-// day's work.
+// answered. Guards against instances that keep calling: that would cost more than all
+// calls of a normal day.
 func TestCallsPauseWhenAllPathsFail(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	clock := &timer.Manual{}
 	down := newDownStore(clock)
-	s, peers := newSpace(clock, down, down)
+	s, peers := newTestStore(clock, down, down)
 	for range 50 {
 		_, err := s.Get(ctx, "k")
 		is.True(errors.Is(err, keyvalue.ErrUnavailable))
@@ -109,7 +110,7 @@
 		Timer: clock,
 		Fault: func(memorystore.Operation) memorystore.Fault { return memorystore.LostAfter },
 	}
-	s, peers := newSpace(clock, lossy, lossy)
+	s, peers := newTestStore(clock, lossy, lossy)
 	peers.fail = keyvalue.ErrUnavailable
 	_, err := s.Commit(context.Background(), keyvalue.Transaction{
 		Writes: []keyvalue.Write{
@@ -129,7 +130,7 @@
 		Timer: clock,
 	}
 	down := newDownStore(clock)
-	s, _ := newSpace(clock, down, store)
+	s, _ := newTestStore(clock, down, store)
 	tx := keyvalue.Transaction{
 		Expects: []keyvalue.Condition{
 			{Key: "k"},
@@ -162,7 +163,7 @@
 			return memorystore.None
 		},
 	}
-	s, peers := newSpace(clock, store, store)
+	s, peers := newTestStore(clock, store, store)
 	peers.fail = keyvalue.ErrUnavailable
 	ended := make(chan error, 1)
 	go func() {
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -47,7 +47,7 @@
 	// fencingNumber is the revision of the write of Key under the lease.
 	fencingNumber uint64
 	validUntil    timer.Instant
-	// lastNumber is the last fencing number held, also after the lease ended.
+	// lastNumber is the last fencing number held, also after the lease was lost.
 	lastNumber uint64
 }
 
@@ -104,7 +104,7 @@
 	h.acquire(ctx)
 }
 
-// renew extends the lease, or gives it up if it has ended.
+// renew extends the lease, or gives it up if it is gone.
 func (h *Holder) renew(ctx context.Context, leaseID uint64) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -177,7 +177,7 @@
 	return item.Revision, nil
 }
 
-// recordLoss gives up the lease after the service reported that it has ended.
+// recordLoss gives up the lease after the service reported that it is gone.
 func (h *Holder) recordLoss() {
 	h.mu.Lock()
 	fencingNumber := h.fencingNumber
--- a/internal/fleet/listing/doc.go
+++ b/internal/fleet/listing/doc.go
@@ -6,7 +6,7 @@
 // separate gossip entries: any source may set one, and it stays for that incarnation of
 // the upstream.
 //
-//	book := &listing.Table{State: state}
-//	book.MarkLeaving("sampler-3", incarnation)
-//	for _, in := range book.List() { ... }
+//	table := &listing.Table{State: state}
+//	table.MarkLeaving("sampler-3", incarnation)
+//	for _, in := range table.List() { ... }
 package listing
--- a/internal/fleet/listing/part.go
+++ b/internal/fleet/listing/part.go
@@ -22,13 +22,13 @@
 }
 
 func makePart(h *part.Host) (part.Part, error) {
-	book := &Table{
+	table := &Table{
 		State: part.MustGet[*gossip.State](h),
 	}
-	part.Provide(h, book)
+	part.Provide(h, table)
 	return &listingPart{
 		reader: &Reader{
-			Book:    book,
+			Book:    table,
 			Source:  part.MustGet[roster.Source](h),
 			Table:   part.MustGet[*member.Table](h),
 			Timer:   h.Timer,
--- a/internal/fleet/listing/reader.go
+++ b/internal/fleet/listing/reader.go
@@ -87,7 +87,7 @@
 }
 
 // countMisses counts the known upstreams that are not present, and records those as
-// gone that enough lists in a row lacked.
+// gone that missesUntilGone lists in a row lacked.
 func (r *Reader) countMisses(present map[string]bool) {
 	known := r.Book.List()
 	var missing []roster.Instance
--- a/internal/fleet/member/part.go
+++ b/internal/fleet/member/part.go
@@ -51,7 +51,7 @@
 		State: state,
 		Timer: h.Timer,
 	}
-	gauge := &LoadSource{}
+	loadSource := &LoadSource{}
 	table.Join(Member{
 		ID:            h.Settings.Name,
 		Incarnation:   uint64(time.Now().UnixMilli()),
@@ -62,7 +62,7 @@
 	})
 	part.Provide(h, state)
 	part.Provide(h, table)
-	part.Provide(h, gauge)
+	part.Provide(h, loadSource)
 	h.Metrics.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "egretbend_members_alive",
 		Help: "Instances that this one believes to be alive.",
@@ -70,7 +70,7 @@
 	server := part.MustGet[*peer.Server](h)
 	err := server.Register("Gossip", &Receiver{
 		Table:    table,
-		SelfLoad: gauge.Load,
+		SelfLoad: loadSource.Load,
 	})
 	return &memberPart{
 		table: table,
@@ -81,7 +81,7 @@
 			Journal:  h.Journal,
 			Rand:     rand.New(rand.NewPCG(h.Settings.Seed, 1)),
 			Seeds:    h.Settings.Peers,
-			SelfLoad: gauge.Load,
+			SelfLoad: loadSource.Load,
 		},
 	}, err
 }
--- a/internal/fleet/mirror/doc.go
+++ b/internal/fleet/mirror/doc.go
@@ -2,8 +2,8 @@
 // changes.
 //
 //	m := &mirror.Mirror{
-//		Store:  space,
-//		Prefix: "upstreams/",
+//		Store:    store,
+//		Prefix:   "upstreams/",
 //		OnChange: func(changes []keyvalue.Change) { ... },
 //	}
 //	t.Go(func() error { return m.Run(t) })
--- a/internal/fleet/mirror/mirror.go
+++ b/internal/fleet/mirror/mirror.go
@@ -72,8 +72,8 @@
 	revision     uint64
 	relist       bool
 	outage       bool
-	// lostAt is when the last outage began, regainedAt when the last one ended that
-	// lasted for minLapseOutage.
+	// lostAt is when the last outage began, regainedAt when the last outage of at least
+	// minLapseOutage ended.
 	lostAt     timer.Instant
 	regainedAt timer.Instant
 	// removeAt holds the keys whose removal is delayed, and when they are removed.
@@ -162,7 +162,8 @@
 	return nil
 }
 
-// noteAnswer records that the service answered, and when a long outage ended with it.
+// noteAnswer records that the service answered. If that ends a long outage, it records
+// the time.
 func (m *Mirror) noteAnswer() {
 	now := m.Timer.Now()
 	if m.outage && now.Sub(m.lostAt) >= minLapseOutage {
@@ -170,7 +171,7 @@
 	}
 }
 
-// list lists the whole prefix, and takes known keys that are missing from it as
+// list lists the whole prefix, and treats known keys that are missing from it as
 // removed.
 func (m *Mirror) list(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
--- a/internal/fleet/mirror/mirror_test.go
+++ b/internal/fleet/mirror/mirror_test.go
@@ -26,14 +26,14 @@
 	mu       sync.Mutex
 	values   map[string]string
 	suspects []string
-	taken    chan struct{}
+	changed  chan struct{}
 }
 
-func newFixture(t *testing.T, settle time.Duration) *fixture {
+func newFixture(t *testing.T, removalDelay time.Duration) *fixture {
 	b := &fixture{
-		clock:  &timer.Manual{},
-		values: make(map[string]string),
-		taken:  make(chan struct{}, 100),
+		clock:   &timer.Manual{},
+		values:  make(map[string]string),
+		changed: make(chan struct{}, 100),
 	}
 	b.store = &memorystore.Store{
 		Timer: b.clock,
@@ -47,9 +47,9 @@
 	m := &mirror.Mirror{
 		Store:        b.store,
 		Prefix:       "p/",
-		OnChange:     b.take,
+		OnChange:     b.recordChanges,
 		Timer:        b.clock,
-		RemovalDelay: settle,
+		RemovalDelay: removalDelay,
 		OnRemovalDelayed: func(keys []string) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
@@ -64,7 +64,7 @@
 	return b
 }
 
-func (b *fixture) take(changes []keyvalue.Change) {
+func (b *fixture) recordChanges(changes []keyvalue.Change) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, c := range changes {
@@ -74,7 +74,7 @@
 		}
 		b.values[c.Key] = string(c.Value)
 	}
-	b.taken <- struct{}{}
+	b.changed <- struct{}{}
 }
 
 func (b *fixture) put(key, value string, lease uint64) error {
@@ -96,7 +96,7 @@
 		if got == want {
 			return true
 		}
-		if timer.Wait(timer.Real{}, time.Millisecond, b.taken) {
+		if timer.Wait(timer.Real{}, time.Millisecond, b.changed) {
 			b.clock.Advance(10 * time.Millisecond)
 		}
 	}
@@ -156,6 +156,7 @@
 		suspects = b.suspects
 		return len(suspects) > 0
 	})
-	is.Equal(suspects, []string{"p/a"}) // lets the caller ask the owner without waiting for RemovalDelay
-	is.True(b.waitForValue("p/a", ""))  // removed after RemovalDelay
+	// The caller can ask the owner without waiting for RemovalDelay.
+	is.Equal(suspects, []string{"p/a"})
+	is.True(b.waitForValue("p/a", "")) // removed after RemovalDelay
 }
--- a/internal/fleet/peer/tls_test.go
+++ b/internal/fleet/peer/tls_test.go
@@ -83,7 +83,8 @@
 	}
 	writePEM(t, pair.PrivateKey, "EC PRIVATE KEY", raw)
 	writePEM(t, pair.Certificate, "CERTIFICATE", der)
-	is.NoErr(os.Chtimes(pair.Certificate, until, until)) // a renewed file has another modification time
+	// A renewed file has another modification time.
+	is.NoErr(os.Chtimes(pair.Certificate, until, until))
 	return pair
 }
 
@@ -133,6 +134,7 @@
 	is.True(call(&tls.Config{InsecureSkipVerify: true}) != nil)    // no certificate
 	other := newAuthority(t, filepath.Join(t.TempDir(), "ca.pem")) // another fleet
 	foreign := other.issue(t, "client", time.Now().Add(time.Hour))
-	is.True(call(certificate.PeerTLS(foreign, ca.file)) != nil)                                             // the server refuses it
-	is.True(call(certificate.PeerTLS(ca.issue(t, "client", time.Now().Add(time.Hour)), other.file)) != nil) // it refuses the server
+	is.True(call(certificate.PeerTLS(foreign, ca.file)) != nil) // the server refuses the client
+	// The client refuses the server.
+	is.True(call(certificate.PeerTLS(ca.issue(t, "client", time.Now().Add(time.Hour)), other.file)) != nil)
 }
--- a/internal/fleet/placement/orderer.go
+++ b/internal/fleet/placement/orderer.go
@@ -25,8 +25,8 @@
 
 // Periods, timeouts and limits of orders.
 const (
-	// orderPeriod is the time between two rounds in which nothing was published
-	// and no order ended.
+	// orderPeriod is the time between two rounds while nothing is published and no
+	// order completes.
 	orderPeriod = 500 * time.Millisecond
 	// reportsPerSecond is the rate at which the holder of a shard requests
 	// reports from engines that have the wanted version. These reports only serve
@@ -77,7 +77,7 @@
 	lastAnswer timer.Instant
 	lastCheck  timer.Instant
 	storeDown  bool
-	// orderDone receives a value after an order ended.
+	// orderDone receives a value after an order completed.
 	orderDone chan struct{}
 }
 
@@ -110,7 +110,7 @@
 }
 
 // Run gives orders until t dies. It runs a round at once after a version was
-// published or an order ended, and otherwise each orderPeriod, for engines that
+// published or an order completed, and otherwise each orderPeriod, for engines that
 // restarted.
 func (o *Orderer) Run(t *tomb.Tomb) error {
 	tick := o.Timer.Every(orderPeriod)
--- a/internal/fleet/placement/plan_test.go
+++ b/internal/fleet/placement/plan_test.go
@@ -26,7 +26,7 @@
 	})
 }
 
-// carryOut ends an order. An outcome of "lost" means that the engine did not
+// carryOut completes an order. An outcome of "lost" means that the engine did not
 // carry it out.
 func (w *simulation) carryOut(o placement.Order, outcome string) {
 	delete(w.inFlight, o.Engine.ID)
--- a/internal/fleet/questionnaire/answers.go
+++ b/internal/fleet/questionnaire/answers.go
@@ -125,5 +125,6 @@
 	return faults
 }
 
-// maxStalenessVersions is the largest OldestVersions allowed if staleness matters more.
+// maxStalenessVersions is the largest OldestVersions allowed if staleness takes
+// precedence.
 const maxStalenessVersions = 8
--- a/internal/fleet/questionnaire/generate.go
+++ b/internal/fleet/questionnaire/generate.go
@@ -70,8 +70,8 @@
 }
 
 // keepTimeShare is the share of Answers.ReplaceSeconds for which callers may keep
-// addresses. The rest is for the news that an instance is leaving to spread, and for
-// requests in flight.
+// addresses. The rest is for the leaving mark of an instance to spread, and for requests
+// in flight.
 const keepTimeShare = 0.4
 
 // maxKeepMS is the longest time that a caller may keep addresses, in milliseconds.
@@ -83,9 +83,9 @@
 	count := min(3, a.EntryInstances)
 	return configuration.Addresses{
 		TTLMS: withReason(g, "addresses.keep_ms", keep, "replace_seconds",
-			"a leaving instance waits until all answers that name it have run out"),
+			"a leaving instance waits until all address lists that name it have expired"),
 		Count: withReason(g, "addresses.count", count, "entry_instances",
-			"a caller needs others to turn to when one is gone"),
+			"a caller needs other addresses when one instance is gone"),
 	}
 }
 
@@ -120,18 +120,18 @@
 	path := fmt.Sprintf("deployments[%d]", index)
 	answerPath := fmt.Sprintf("services[%d].", answerIndex)
 	d := defaultDeployment(s.Name, s.Group, configuration.KindService)
-	d.Policy = withReason(g, path+".policy", "two_choices", answerPath+"name", "a plain service keeps nothing that a caller would be sent back for")
-	d.Slots = withReason(g, path+".slots", s.AtOnce, answerPath+"at_once", "more would only wait there")
-	d.TimeoutMS = withReason(g, path+".timeout_ms", int64(s.LongestSeconds)*1000, answerPath+"longest_seconds", "nobody waits longer")
+	d.Policy = withReason(g, path+".policy", "two_choices", answerPath+"name", "a plain service caches nothing that would make one upstream better for a caller")
+	d.Slots = withReason(g, path+".slots", s.AtOnce, answerPath+"at_once", "more requests would only wait at the upstream")
+	d.TimeoutMS = withReason(g, path+".timeout_ms", int64(s.LongestSeconds)*1000, answerPath+"longest_seconds", "no answer takes longer")
 	d.EchoesAttempt = withReason(g, path+".echoes_attempt", s.EchoesAttempt, answerPath+"echoes_attempt",
 		"without the echo each connection carries one request, so that answers can't be mixed up")
-	d.MaxAnswerBytes = withReason(g, path+".max_answer_bytes", s.LargestAnswerKB<<10, answerPath+"largest_answer_kb", "a larger answer is not its own")
+	d.MaxAnswerBytes = withReason(g, path+".max_answer_bytes", s.LargestAnswerKB<<10, answerPath+"largest_answer_kb", "a larger answer cannot come from the service")
 	attempts := 3
 	if s.RepeatHarms {
 		attempts = 2
 	}
 	d.Attempts = withReason(g, path+".attempts", attempts, answerPath+"repeat_harms",
-		"a request that may not be repeated is tried again only while no byte of it can have left")
+		"a request that may not be repeated is retried only if no byte of it can have been sent")
 	return d
 }
 
@@ -139,7 +139,7 @@
 const enginesPerShard = 160
 
 // Second attempts of late samples allowed, as a share of a step's samples, by the
-// measure that matters more.
+// measure that takes precedence.
 const (
 	secondAttemptsIdleTime  = 0.15
 	secondAttemptsStaleness = 0.08
@@ -155,10 +155,10 @@
 	if m.SharedPrompts {
 		policy = "prefix_affinity"
 	}
-	d.Policy = withReason(g, path+".policy", policy, answerPath+"shared_prompts", "prompts that begin alike go where their beginning is cached")
-	d.Slots = withReason(g, path+".slots", m.AtOnce, answerPath+"at_once", "more would only wait there")
-	d.TimeoutMS = withReason(g, path+".timeout_ms", int64(m.LongestSeconds)*1000, answerPath+"longest_seconds", "a longer stream is given up")
-	d.ChecksFencing = withReason(g, path+".checks_fencing", m.ChecksOrders, answerPath+"checks_orders", "engines that don't check are read back and set right")
+	d.Policy = withReason(g, path+".policy", policy, answerPath+"shared_prompts", "prompts with the same prefix go to an engine that has it cached")
+	d.Slots = withReason(g, path+".slots", m.AtOnce, answerPath+"at_once", "more requests would only wait at the upstream")
+	d.TimeoutMS = withReason(g, path+".timeout_ms", int64(m.LongestSeconds)*1000, answerPath+"longest_seconds", "a stream that takes longer is cancelled")
+	d.ChecksFencing = withReason(g, path+".checks_fencing", m.ChecksOrders, answerPath+"checks_orders", "engines that don't check fencing numbers are read back and corrected")
 	d.Shards = withReason(g, path+".shards", max(1, (m.Engines+enginesPerShard-1)/enginesPerShard), answerPath+"engines",
 		fmt.Sprintf("one holder orders about %d engines", enginesPerShard))
 	d.MaxConcurrentFetches = withReason(g, path+".fetches_at_once", max(m.FetchesAtOnce, d.Shards), answerPath+"fetches_at_once", "the weight store is rate-limited")
@@ -174,10 +174,10 @@
 	if m.Precedence == "staleness" {
 		weighting, secondAttempts = configuration.WeightStaleness, secondAttemptsStaleness
 	}
-	d.Rounds.Weighting = withReason(g, path+".weighting", weighting, answerPath+"matters_more", "engines with the newest weights are preferred only where staleness goes first")
+	d.Rounds.Weighting = withReason(g, path+".weighting", weighting, answerPath+"matters_more", "engines with the newest weights are preferred only if staleness takes precedence")
 	d.Rounds.SecondAttempts = withReason(g, path+".second_attempts", secondAttempts, answerPath+"matters_more", "second attempts shorten the wait for the last samples at some cost")
 	d.Rounds.DropAfterMS = withReason(g, path+".drop_after_ms", m.LateAfterSeconds*1000, answerPath+"late_after_seconds", "a step that falls behind is dropped, not forced")
-	d.Rounds.MaxConcurrentSamples = withReason(g, path+".at_once", max(16, 2*m.SamplesPerStep), answerPath+"samples_per_step", "two steps may run side by side")
+	d.Rounds.MaxConcurrentSamples = withReason(g, path+".at_once", max(16, 2*m.SamplesPerStep), answerPath+"samples_per_step", "two steps may run at the same time")
 }
 
 func (g *generator) trainer(index, modelIndex, answerIndex int, t Trainer) configuration.Trainer {
@@ -198,7 +198,7 @@
 		priority = "background"
 	}
 	return withReason(g, path+".priority", priority, path+".who_waits",
-		"what a person waits for goes first; what nobody waits for gives way")
+		"requests that a person waits for take precedence; requests that nobody waits for yield")
 }
 
 func (g *generator) organisation(i int, o Organisation) configuration.Organisation {
@@ -206,7 +206,7 @@
 	return configuration.Organisation{
 		Name: o.Name,
 		KeyDigests: withReason(g, path+".key_digests", o.KeyDigests, path+".key_digests",
-			"a configuration holds no keys, only what tells them"),
+			"a configuration holds only digests of keys, not the keys"),
 		Priority: g.priority(path, o.WhoWaits),
 	}
 }
--- a/internal/fleet/questionnaire/interview.go
+++ b/internal/fleet/questionnaire/interview.go
@@ -49,8 +49,8 @@
 	answeredPaths []string
 }
 
-// Run asks until the answers are complete and valid. It returns ErrInputEnded if the input
-// ends before.
+// Run asks until the answers are complete and valid. It returns ErrInputEnded if the
+// input ends before.
 func (v *Interview) Run() (*Answers, error) {
 	v.values = make(map[string]any)
 	v.set("format", json.Number(strconv.Itoa(Format)))
--- a/internal/fleet/registry/doc.go
+++ b/internal/fleet/registry/doc.go
@@ -5,7 +5,7 @@
 // entries of the other instances:
 //
 //	r := &registry.Registry{
-//		Store: space,
+//		Store: store,
 //		Self:  self,
 //		Timer: clock,
 //	}
--- a/internal/fleet/registry/eligible_test.go
+++ b/internal/fleet/registry/eligible_test.go
@@ -22,6 +22,6 @@
 		names = append(names, m.Name)
 	}
 	is.Equal(names, []string{"large", "fair"})
-	is.Equal(len(Eligible(members[:1])), 1)                 // the only one there is
-	is.Equal(len(Eligible([]Member{{Name: "unknown"}})), 1) // one that does not report its cores
+	is.Equal(len(Eligible(members[:1])), 1)                 // the only instance
+	is.Equal(len(Eligible([]Member{{Name: "unknown"}})), 1) // reports no cores
 }
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -25,9 +25,9 @@
 const Prefix = "egretbend/fleet/"
 
 const (
-	instancePrefix = Prefix + "instance/"
-	dutyPrefix     = Prefix + "duty/"
-	boardPrefix    = Prefix + "board/"
+	instancePrefix  = Prefix + "instance/"
+	dutyPrefix      = Prefix + "duty/"
+	broadcastPrefix = Prefix + "board/"
 )
 
 // Durations of leases and of the calls for them.
@@ -45,7 +45,7 @@
 	smallInstanceTTL         = 12 * time.Second
 	smallInstanceRenewPeriod = 4 * time.Second
 	// ViewTimeout is how long an instance waits for the view before it writes its
-	// entry. The view tells whether it is one of the small instances.
+	// entry. The view shows whether it is one of the small instances.
 	ViewTimeout = 500 * time.Millisecond
 	// callTimeout bounds the calls of one renewal.
 	callTimeout = 900 * time.Millisecond
@@ -63,7 +63,7 @@
 
 // BroadcastKey returns the key of a value that is delivered to all instances together
 // with the view.
-func BroadcastKey(name string) string { return boardPrefix + name }
+func BroadcastKey(name string) string { return broadcastPrefix + name }
 
 // Registry maintains the entry of this instance and a view of all instances.
 type Registry struct {
@@ -107,7 +107,7 @@
 	members map[string]Member
 	// suspects holds the members whose entries are missing after an outage.
 	suspects map[string]bool
-	// duties holds the name of the holder of each duty.
+	// duties holds the last value of the key of each duty.
 	duties     map[string]string
 	view       atomic.Pointer[[]Member]
 	viewMirror atomic.Pointer[mirror.Mirror]
@@ -153,7 +153,7 @@
 	return slices.ContainsFunc(Eligible(r.Members()), func(m Member) bool { return m.Name == name })
 }
 
-// DutyValue returns the name of the instance that holds a duty, or an empty string.
+// DutyValue returns the last value read from the key of a duty, or an empty string.
 func (r *Registry) DutyValue(duty string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -270,10 +270,10 @@
 		r.members = make(map[string]Member)
 		r.duties = make(map[string]string)
 	}
-	var posted []keyvalue.Change
+	var broadcasts []keyvalue.Change
 	for _, c := range changes {
-		if strings.HasPrefix(c.Key, boardPrefix) {
-			posted = append(posted, c)
+		if strings.HasPrefix(c.Key, broadcastPrefix) {
+			broadcasts = append(broadcasts, c)
 			continue
 		}
 		if duty, ok := strings.CutPrefix(c.Key, dutyPrefix); ok {
@@ -297,10 +297,10 @@
 		r.members[name] = m
 	}
 	r.mu.Unlock()
-	if len(posted) > 0 && r.OnBroadcast != nil {
-		r.OnBroadcast(posted)
+	if len(broadcasts) > 0 && r.OnBroadcast != nil {
+		r.OnBroadcast(broadcasts)
 	}
-	if len(posted) == len(changes) && len(gone) == 0 {
+	if len(broadcasts) == len(changes) && len(gone) == 0 {
 		return
 	}
 	r.updateView()
--- a/internal/fleet/secret/doc.go
+++ b/internal/fleet/secret/doc.go
@@ -1,12 +1,12 @@
 // Package secret shares one random secret among all instances of a fleet.
 //
-//	keeper := &secret.StoredSecret{
-//		Store: space,
+//	stored := &secret.StoredSecret{
+//		Store: store,
 //		Key:   registry.BroadcastKey("secret"),
 //	}
-//	value, err := keeper.Get(ctx)
+//	value, err := stored.Get(ctx)
 //
-// The first instance that needs the secret creates it. A StoredSecret stores it only in the
-// key-value service, which decides which instance was first. A GossipSecret shares it
+// The first instance that needs the secret creates it. A StoredSecret stores it only in
+// the key-value service, which decides which instance was first. A GossipSecret shares it
 // between instances directly. The secret is never logged.
 package secret
--- a/internal/fleet/secret/keeper_test.go
+++ b/internal/fleet/secret/keeper_test.go
@@ -11,8 +11,8 @@
 	"github.com/egretbend/egretbend/internal/standin/memorystore"
 )
 
-// Guards against instances with different secrets, none of which recognises what
-// another one has seen, also if the answer to the write is lost.
+// Guards against instances with different secrets, also if the answer to the write is
+// lost: none of them would recognise the fingerprints that another one made.
 func TestAllShareOneSecret(t *testing.T) {
 	is := is.New(t)
 	for _, fault := range []memorystore.Fault{memorystore.None, memorystore.LostAfter} {
--- a/internal/fleet/timeofday/clock_test.go
+++ b/internal/fleet/timeofday/clock_test.go
@@ -49,14 +49,14 @@
 func TestAdoptNeedsEnoughClocks(t *testing.T) {
 	is := is.New(t)
 	c, svc := newClock(-4 * time.Second)
-	reading := Estimate{
+	estimate := Estimate{
 		UnixMicro: trueNow(svc).UnixMicro(),
 		Clocks:    minClocks - 1,
 	}
-	c.Adopt(reading, svc.Now())
+	c.Adopt(estimate, svc.Now())
 	is.Equal(c.Now(), trueNow(svc).Add(-4*time.Second)) // too few clocks to adopt
-	reading.Clocks = minClocks
-	c.Adopt(reading, svc.Now())
+	estimate.Clocks = minClocks
+	c.Adopt(estimate, svc.Now())
 	is.Equal(c.Now(), trueNow(svc))
 	svc.Advance(time.Minute)
 	is.Equal(c.Now(), trueNow(svc))
--- a/internal/fleet/usage/doc.go
+++ b/internal/fleet/usage/doc.go
@@ -10,8 +10,8 @@
 //	undo := meter.RequestStarted("saddlers")
 //	undo() // the upstream did not run the request
 //
-// A Sender sends the counts to two Collectors in the failure domain of the instance, each
-// time all recent ones. So the counts survive the loss of an instance, and the one instance
+// A Sender sends all recent counts each time, to two Collectors in the failure domain of
+// the instance. So the counts survive the loss of an instance, and the one instance
 // that reports, the holder of the duty, asks only the collectors. Its Reporter stores a
 // report before it sends it, so an instance that takes over either sends exactly the same
 // report again or continues with the next window.
--- a/internal/fleet/usage/meter.go
+++ b/internal/fleet/usage/meter.go
@@ -25,8 +25,8 @@
 	windows  map[Window]Counts
 }
 
-// RequestStarted counts a request that is being sent to an upstream. The caller calls undo if the
-// upstream did not run the request.
+// RequestStarted counts a request that is being sent to an upstream. The caller calls undo
+// if the upstream did not run the request.
 func (m *Meter) RequestStarted(organisation string) (undo func()) {
 	w := WindowAt(m.Now(), m.WindowLength)
 	m.add(organisation, w, 1)
--- a/internal/fleet/usage/proof_test.go
+++ b/internal/fleet/usage/proof_test.go
@@ -21,8 +21,8 @@
 	reporters = 3
 )
 
-// mechanisms selects the safeguards that a property test disables.
-type mechanisms struct {
+// safeguards names the safeguards that a property test disables.
+type safeguards struct {
 	store bool // reports are sent without being stored
 	fence bool // reports are stored without a check of the fencing token
 }
@@ -31,7 +31,7 @@
 // and a receiver that remembers the reports it accepted.
 type simulation struct {
 	t        *rapid.T
-	off      mechanisms
+	off      safeguards
 	clock    timer.Manual
 	now      time.Time
 	store    *memorystore.Store
@@ -82,7 +82,7 @@
 // uncheckedStore is a store on which some safeguards are disabled.
 type uncheckedStore struct {
 	keyvalue.TransactionalStore
-	off mechanisms
+	off safeguards
 }
 
 // Commit implements keyvalue.TransactionalStore.
@@ -96,7 +96,7 @@
 	return c.TransactionalStore.Commit(ctx, tx)
 }
 
-func newSimulation(t *rapid.T, off mechanisms) *simulation {
+func newSimulation(t *rapid.T, off safeguards) *simulation {
 	w := &simulation{
 		t:        t,
 		off:      off,
@@ -161,7 +161,7 @@
 
 // simulate returns a property that runs random histories of faults, pauses, takeovers and
 // lost collectors.
-func simulate(off mechanisms) func(*rapid.T) {
+func simulate(off safeguards) func(*rapid.T) {
 	return func(t *rapid.T) {
 		w := newSimulation(t, off)
 		anyNode := func() *node { return w.nodes[rapid.IntRange(0, reporters-1).Draw(t, "instance")] }
@@ -193,16 +193,16 @@
 
 // Guards against two different reports of one window after a suspension, lost answers or a
 // takeover.
-func TestEachWindowIsReportedOnce(t *testing.T) { property.Check(t, simulate(mechanisms{})) }
+func TestEachWindowIsReportedOnce(t *testing.T) { property.Check(t, simulate(safeguards{})) }
 
 // Shows that without the stored report, an instance that takes over reports a window again
 // with the counts that it knows.
 func TestReportsDifferWithoutStoredReport(t *testing.T) {
-	property.CheckFails(t, simulate(mechanisms{store: true}))
+	property.CheckFails(t, simulate(safeguards{store: true}))
 }
 
 // Shows that without the fencing token, an instance that lost the duty overwrites the report
 // of its successor.
 func TestReportsDifferWithoutFencing(t *testing.T) {
-	property.CheckFails(t, simulate(mechanisms{fence: true}))
+	property.CheckFails(t, simulate(safeguards{fence: true}))
 }
--- a/internal/fleet/usage/reporter.go
+++ b/internal/fleet/usage/reporter.go
@@ -19,8 +19,8 @@
 const (
 	// reportInterval is the time between two checks whether a report is due.
 	reportInterval = 500 * time.Millisecond
-	// collectDelay is how long after the end of a window all of its counts should have reached
-	// the collectors.
+	// collectDelay is how long after the end of a window all of its counts should have
+	// reached the collectors.
 	collectDelay = 1500 * time.Millisecond
 	// missingDomainWait is how long after the end of a window its report waits for a
 	// failure domain none of whose collectors answers.
@@ -45,7 +45,7 @@
 	Report(ctx context.Context, fence uint64, r Report) error
 }
 
-// Holder tells whether this instance holds the duty to report.
+// Holder reports whether this instance holds the duty to report.
 type Holder interface {
 	// FencingToken returns the fencing token, which is the revision of the duty's key, and
 	// whether calls may be made now.
--- a/internal/fleet/usage/window.go
+++ b/internal/fleet/usage/window.go
@@ -21,8 +21,8 @@
 	return time.UnixMilli((int64(w) + 1) * length.Milliseconds())
 }
 
-// Record holds the recent counts of one incarnation of an instance, which is the time
-// between a start of its process and the end of it.
+// Record holds the recent counts of one incarnation of an instance, that is, of one run
+// of its process.
 type Record struct {
 	Instance    string
 	Incarnation string
--- a/internal/fleet/version/doc.go
+++ b/internal/fleet/version/doc.go
@@ -1,12 +1,12 @@
 // Package version identifies the versions of model weights and holds the newest
 // published one of each deployment.
 //
-//	board := &version.Table{State: state}
-//	err := board.Publish("cutting-plan", version.Published{
+//	table := &version.Table{State: state}
+//	err := table.Publish("cutting-plan", version.Published{
 //		Version: version.Version{Epoch: 1, Number: 7},
 //		Source:  source,
 //	})
-//	newest, ok := board.Newest("cutting-plan")
+//	newest, ok := table.Newest("cutting-plan")
 //
 // The newest version of a deployment only rises. A trainer that returns to older
 // weights starts a new epoch.
--- a/internal/fleet/watchrelay/poller.go
+++ b/internal/fleet/watchrelay/poller.go
@@ -144,9 +144,9 @@
 		f.pollDone = make(chan struct{})
 		f.running = f.hasWaiter && err == nil
 		f.hasWaiter = false
-		going := f.running
+		running := f.running
 		f.mu.Unlock()
-		if !going {
+		if !running {
 			return
 		}
 		if len(r.News) > 0 {
--- a/internal/fleet/watchrelay/server.go
+++ b/internal/fleet/watchrelay/server.go
@@ -13,13 +13,13 @@
 
 // Server answers the queries of other instances.
 type Server struct {
-	space *Relay
+	relay *Relay
 }
 
 // Register makes the copies available to other instances.
 func (s *Relay) Register(server *peer.Server) error {
 	return server.Register(receiver, &Server{
-		space: s,
+		relay: s,
 	})
 }
 
@@ -29,32 +29,32 @@
 
 // Poll answers a query, at the latest after its wait.
 func (s *Server) Poll(q *Query, r *Reply) error {
-	arrived := s.space.Timer.Now()
-	if s.space.Clock != nil {
-		r.Time = s.space.Clock.Estimate()
+	arrived := s.relay.Timer.Now()
+	if s.relay.Clock != nil {
+		r.Time = s.relay.Clock.Estimate()
 	}
-	if !s.space.canAnswer() {
+	if !s.relay.canAnswer() {
 		r.Stale = true
 		return nil
 	}
-	news, signals := s.space.changesFor(q)
+	news, signals := s.relay.changesFor(q)
 	if len(news) == 0 && q.WaitMS > 0 {
-		s.space.waitForChange(time.Duration(q.WaitMS)*time.Millisecond, signals)
-		if !s.space.Connected() {
+		s.relay.waitForChange(time.Duration(q.WaitMS)*time.Millisecond, signals)
+		if !s.relay.Connected() {
 			r.Stale = true
 			return nil
 		}
-		news, _ = s.space.changesFor(q)
+		news, _ = s.relay.changesFor(q)
 	}
 	r.News = news
-	r.Current = s.space.freshness(q, arrived)
+	r.Current = s.relay.confirmationsFor(q, arrived)
 	return nil
 }
 
 // List answers with the listing of a prefix.
 func (s *Server) List(prefix *string, w *ListReply) error {
-	c := s.space.copies[*prefix]
-	if c == nil || !s.space.canAnswer() {
+	c := s.relay.copies[*prefix]
+	if c == nil || !s.relay.canAnswer() {
 		w.Stale = true
 		return nil
 	}
@@ -64,9 +64,9 @@
 	return nil
 }
 
-// freshness returns the last confirmations of the copies that a query asks for.
+// confirmationsFor returns the last confirmations of the copies that a query asks for.
 // arrived is the instant at which the query arrived.
-func (s *Relay) freshness(q *Query, arrived timer.Instant) map[string]Confirmation {
+func (s *Relay) confirmationsFor(q *Query, arrived timer.Instant) map[string]Confirmation {
 	var current map[string]Confirmation
 	for prefix := range q.After {
 		c := s.copies[prefix]
--- a/internal/fleet/watchrelay/space.go
+++ b/internal/fleet/watchrelay/space.go
@@ -21,7 +21,7 @@
 	// a large instance. Each further watcher costs one call of the service for
 	// each change of the list of upstreams.
 	followersPerWatcher = 24
-	// spareWatchers is the number of additional watchers, so that the death of one
+	// spareWatchers is the number of additional watchers, so that the loss of one
 	// leaves enough of them.
 	spareWatchers = 1
 	// maxWatchersAsked is the number of watchers that a follower asks before it
@@ -159,8 +159,9 @@
 
 // Watchers returns those of the given instances that watch the service. They are
 // chosen by a rendezvous hash, so that instances with slightly different views
-// agree on nearly all of them, and from the able instances only: these renew their
-// registration more often and have the processor and the link for many followers.
+// agree on nearly all of them, and only from the instances eligible for batches: these
+// renew their registration more often and have the processor and the link for many
+// followers.
 func Watchers(members []registry.Member) []registry.Member {
 	staying := 0
 	for _, m := range members {
@@ -168,9 +169,9 @@
 			staying++
 		}
 	}
-	able := registry.Eligible(members)
+	eligible := registry.Eligible(members)
 	n := (staying+followersPerWatcher-1)/followersPerWatcher + spareWatchers
-	return rank(able, "watch")[:min(n, len(able))]
+	return rank(eligible, "watch")[:min(n, len(eligible))]
 }
 
 // rank orders members by their rendezvous hash for a key.
--- a/internal/fleet/watchrelay/space_test.go
+++ b/internal/fleet/watchrelay/space_test.go
@@ -47,7 +47,7 @@
 		return Reply{}, errors.New("no answer")
 	}
 	var r Reply
-	err := (&Server{space: s}).Poll(&q, &r)
+	err := (&Server{relay: s}).Poll(&q, &r)
 	return r, errors.Join(err, ctx.Err())
 }
 
@@ -60,7 +60,7 @@
 		return ListReply{}, errors.New("no answer")
 	}
 	var w ListReply
-	err := (&Server{space: s}).List(&prefix, &w)
+	err := (&Server{relay: s}).List(&prefix, &w)
 	return w, errors.Join(err, ctx.Err())
 }
 
@@ -253,7 +253,7 @@
 		_, _, err := follower.Watch(context.Background(), "p/", 1, time.Minute)
 		is.NoErr(err)
 	}
-	is.True(clock.Now().Sub(began) >= 2*pollWait) // the connected watcher lets the poll wait
+	is.True(clock.Now().Sub(began) >= 2*pollWait) // the connected watcher answers only after the wait
 	is.Equal(store.CallCount(memorystore.Watch)+store.CallCount(memorystore.Range), 0)
 }
 
--- a/internal/fleet/weights/assignment.go
+++ b/internal/fleet/weights/assignment.go
@@ -18,7 +18,7 @@
 // cachedAssignment is the assignment of the engines of one service to models.
 type cachedAssignment struct {
 	computedAt timer.Instant
-	// complete is the argument of Sets.
+	// complete is the argument of ModelsByEngine.
 	complete bool
 	// modelOf holds the model of each engine, by engine ID.
 	modelOf map[string]string
@@ -35,10 +35,10 @@
 	o.stepRequestedAt[model] = o.Timer.Now()
 }
 
-// ModelsByEngine returns the model to which each engine of a service is assigned, by engine ID,
-// while several models are active. While at most one model is active it returns nil,
-// and all engines serve all models. The assignment depends only on the list of engines
-// and the requested steps, so all instances compute nearly the same one without
+// ModelsByEngine returns the model to which each engine of a service is assigned, by
+// engine ID, while several models are active. While at most one model is active it
+// returns nil, and all engines serve all models. The assignment depends only on the list
+// of engines and the requested steps, so all instances compute nearly the same one without
 // communication. complete says that all requested steps are known by now; if it is
 // false, all configured models count as active, because steps of several trainers may
 // begin at the same moment.
--- a/internal/fleet/weights/orderer.go
+++ b/internal/fleet/weights/orderer.go
@@ -34,7 +34,7 @@
 	// engine carries out only one of them.
 	noAnswerTimeout = 1500 * time.Millisecond
 	// placementTime is how long after a version was published the items of its step
-	// are being placed on engines. Running streams continue while their engine loads.
+	// are still being placed on engines. Running streams continue while their engine loads.
 	placementTime = 500 * time.Millisecond
 	// refusalBackoff is how long an engine gets no order after it refused one.
 	refusalBackoff = 500 * time.Millisecond
@@ -43,7 +43,7 @@
 // StreamMode says what happens to the running streams of an engine that loads a version.
 type StreamMode int
 
-// The modes of a switch.
+// The stream modes.
 const (
 	// Continue continues the streams with the new version.
 	Continue StreamMode = iota
@@ -57,8 +57,8 @@
 	StreamMode StreamMode
 	Holder     string
 	Fence      uint64
-	// ExpectedOrders is the number of orders that the engine should have accepted before. An
-	// engine with another count refuses the order.
+	// ExpectedOrders is the number of orders that the engine should have accepted
+	// before. An engine with another count refuses the order.
 	ExpectedOrders uint64
 }
 
@@ -90,7 +90,7 @@
 	State(ctx context.Context, u *catalog.Upstream) (State, error)
 }
 
-// Holder tells whether this instance holds the duty to give orders.
+// Holder reports whether this instance holds the duty to give orders.
 type Holder interface {
 	// FencingToken returns the fencing token and whether orders may be given now.
 	FencingToken() (uint64, bool)
@@ -204,15 +204,15 @@
 	}
 	for name, service := range cfg.Services {
 		if service.Engine != nil {
-			o.reconcileService(ctx, fence, name, service.Engine.Models, switchFor(cfg, name))
+			o.reconcileService(ctx, fence, name, service.Engine.Models, streamModeFor(cfg, name))
 		}
 	}
 }
 
-// switchFor returns the StreamMode for the engines of a service. If a route to the
+// streamModeFor returns the StreamMode for the engines of a service. If a route to the
 // service requires that each sample comes from a single version, the streams end
 // first. Otherwise they continue, so that no sample is lost to a load.
-func switchFor(cfg *catalog.Configuration, service string) StreamMode {
+func streamModeFor(cfg *catalog.Configuration, service string) StreamMode {
 	for _, r := range cfg.Routes {
 		if !r.SingleVersion {
 			continue
@@ -263,8 +263,8 @@
 	o.mu.Unlock()
 }
 
-// orderState returns the state of the orders to an engine, which it creates if the engine is
-// new. The caller holds o.mu.
+// orderState returns the state of the orders to an engine, which it creates if the engine
+// is new. The caller holds o.mu.
 func (o *Orderer) orderState(u *catalog.Upstream) *orderState {
 	s := o.orderStates[u.ID]
 	if s == nil || s.upstream != u {
--- a/internal/fleet/weights/plan.go
+++ b/internal/fleet/weights/plan.go
@@ -91,7 +91,7 @@
 	return a.Engine < b.Engine
 }
 
-// Plan returns the orders to give now, at most maxLoads less the loads under way.
+// Plan returns the orders to give now, at most maxLoads minus the loads in progress.
 //
 // latest holds the latest published version of each model, assignment the model of each
 // engine. Engines whose weights are too old for the newest step go first, then the ones
--- a/internal/fleet/weights/plan_test.go
+++ b/internal/fleet/weights/plan_test.go
@@ -77,7 +77,8 @@
 		}
 		return sizes
 	}
-	is.Equal(count(Assign(engines, models, latest, Demand{"m0": 1})), map[string]int{"m0": 16, "m1": 16, "m2": 16}) // the work of some models is unknown
+	// The work of some models is unknown.
+	is.Equal(count(Assign(engines, models, latest, Demand{"m0": 1})), map[string]int{"m0": 16, "m1": 16, "m2": 16})
 	assignment := Assign(engines, models, latest, demand)
 	is.Equal(count(assignment), map[string]int{"m0": 13, "m1": 18, "m2": 17})
 	for i, e := range engines {
@@ -107,7 +108,7 @@
 	is.Equal(afterPlacing[0].Engine, "old")
 	is.Equal(afterPlacing[1].Engine, "idle")
 	engines[1].Loading = "m"
-	is.Equal(len(Plan(engines, latest, nil, assignment, 1)), 0) // the one allowed load is under way
+	is.Equal(len(Plan(engines, latest, nil, assignment, 1)), 0) // the one allowed load is in progress
 }
 
 // Guards against a step that stalls because the engines of its model load last. The
@@ -129,7 +130,8 @@
 	orders := Plan(engines, latest, nil, assignment, 3)
 	is.Equal(len(orders), 3)
 	is.Equal(orders[0].Engine, "d") // no engine can serve the newest step of m1
-	is.Equal(orders[1].Engine, "c") // one engine of m1 has an order, two can serve the newest step of m0
+	// One engine of m1 has an order by now, and two can serve the newest step of m0.
+	is.Equal(orders[1].Engine, "c")
 	is.Equal(orders[2].Engine, "a")
 	// When engines can serve the newest steps of all models, the model with the
 	// fewest engines for the step after goes first.
