--- a/internal/fleet/capacity/decision_test.go
+++ b/internal/fleet/capacity/decision_test.go
@@ -15,11 +15,11 @@
 )
 
 // fourDomains returns a group with twelve on-demand engines in each of four failure domains.
-func fourDomains(work int) Group {
+func fourDomains(items int) Group {
 	g := Group{
 		Slots:        8,
 		MaxPerDomain: 24,
-		Items:        work,
+		Items:        items,
 	}
 	for i, price := range []float64{1, 0.8, 1.25, 0.9} {
 		g.Domains = append(g.Domains, Domain{
@@ -70,11 +70,11 @@
 			Items:        rapid.IntRange(0, 3000).Draw(t, "work"),
 		}
 		for range rapid.IntRange(1, 6).Draw(t, "domains") {
-			lasting := rapid.IntRange(0, g.MaxPerDomain).Draw(t, "lasting")
+			onDemand := rapid.IntRange(0, g.MaxPerDomain).Draw(t, "lasting")
 			g.Domains = append(g.Domains, Domain{
 				Price:         rapid.Float64Range(0.1, 2).Draw(t, "price"),
-				OnDemand:      lasting,
-				Reclaimable:   rapid.IntRange(0, g.MaxPerDomain-lasting).Draw(t, "reclaimable"),
+				OnDemand:      onDemand,
+				Reclaimable:   rapid.IntRange(0, g.MaxPerDomain-onDemand).Draw(t, "reclaimable"),
 				OutOfCapacity: rapid.Bool().Draw(t, "dry"),
 			})
 		}
--- a/internal/fleet/configuration/configuration.go
+++ b/internal/fleet/configuration/configuration.go
@@ -98,7 +98,7 @@
 	Weight float64 `json:"weight" default:"1" min:"0.01" max:"1000" doc:"share relative to other trainers of the same engines"`
 }
 
-// Addresses configures the addresses of instances that callers get to connect to.
+// Addresses configures how many instance addresses callers get, and for how long.
 type Addresses struct {
 	Count int   `json:"count" default:"3" min:"1" max:"16" doc:"addresses in one answer"`
 	TTLMS int64 `json:"keep_ms" default:"10000" min:"100" max:"600000" doc:"how long a caller may keep an answer, in milliseconds"`
--- a/internal/fleet/crashnotice/board_test.go
+++ b/internal/fleet/crashnotice/board_test.go
@@ -193,8 +193,8 @@
 			calls++
 		}
 	}
-	each := 20 * writePausePerInstance // at twenty instances
-	is.True(calls <= int(d.clock.Now().Sub(begun)/each)+writeBurst+1)
+	pause := 20 * writePausePerInstance // at twenty instances
+	is.True(calls <= int(d.clock.Now().Sub(begun)/pause)+writeBurst+1)
 	is.True(len(a.own) <= maxNotices)
 	is.True(a.evidence.Len() <= poison.MaxCrashes)
 	item, err := d.store.Get(context.Background(), "a")
--- a/internal/fleet/crashnotice/publish.go
+++ b/internal/fleet/crashnotice/publish.go
@@ -48,11 +48,11 @@
 // reserve takes a token for the next write and returns how long the caller must wait
 // before it. instances is the number of instances that share the service.
 func (p *writeLimiter) reserve(now timer.Instant, instances int) time.Duration {
-	each := max(minWritePause, time.Duration(instances)*writePausePerInstance)
-	p.spent = max(0, p.spent-float64(now.Sub(p.at))/float64(each))
+	pause := max(minWritePause, time.Duration(instances)*writePausePerInstance)
+	p.spent = max(0, p.spent-float64(now.Sub(p.at))/float64(pause))
 	p.at = now
 	p.spent++
-	return time.Duration(max(0, p.spent-writeBurst) * float64(each))
+	return time.Duration(max(0, p.spent-writeBurst) * float64(pause))
 }
 
 // Run publishes the notices of this instance and removes expired ones until t dies.
--- a/internal/fleet/placement/orderer.go
+++ b/internal/fleet/placement/orderer.go
@@ -261,8 +261,9 @@
 }
 
 // pollEngines returns the engines of a shard with the versions that they report.
-// Each engine is asked for its current state before it gets an order, except
-// that one that recently reported the wanted version is not asked again yet.
+// Each engine is asked for its current state before it gets an order. An engine
+// that reported the wanted version within pollInterval needs no order and is not
+// asked again yet.
 func (o *Orderer) pollEngines(t *tomb.Tomb, d configuration.Deployment, s *shard, wanted version.Version) []Engine {
 	now := o.Timer.Now()
 	var owned []roster.Instance
--- a/internal/fleet/questionnaire/generate.go
+++ b/internal/fleet/questionnaire/generate.go
@@ -69,20 +69,20 @@
 	return append(data, '\n'), g.reasons, nil
 }
 
-// keepTimeShare is the share of Answers.ReplaceSeconds for which callers may keep
+// addressTTLShare is the share of Answers.ReplaceSeconds for which callers may keep
 // addresses. The rest is for the leaving mark of an instance to spread, and for requests
 // in flight.
-const keepTimeShare = 0.4
+const addressTTLShare = 0.4
 
-// maxKeepMS is the longest time that a caller may keep addresses, in milliseconds.
-const maxKeepMS = 30_000
+// maxAddressTTLMS is the longest time that a caller may keep addresses, in milliseconds.
+const maxAddressTTLMS = 30_000
 
 // addresses returns how many addresses callers get, and how long they may keep them.
 func (g *generator) addresses(a *Answers) configuration.Addresses {
-	keep := min(int64(float64(a.ReplaceSeconds)*keepTimeShare*1000), maxKeepMS)
+	ttlMS := min(int64(float64(a.ReplaceSeconds)*addressTTLShare*1000), maxAddressTTLMS)
 	count := min(3, a.EntryInstances)
 	return configuration.Addresses{
-		TTLMS: withReason(g, "addresses.keep_ms", keep, "replace_seconds",
+		TTLMS: withReason(g, "addresses.keep_ms", ttlMS, "replace_seconds",
 			"a leaving instance waits until all address lists that name it have expired"),
 		Count: withReason(g, "addresses.count", count, "entry_instances",
 			"a caller needs other addresses when one instance is gone"),
--- a/internal/fleet/watchrelay/server.go
+++ b/internal/fleet/watchrelay/server.go
@@ -37,16 +37,16 @@
 		r.Stale = true
 		return nil
 	}
-	news, signals := s.relay.changesFor(q)
-	if len(news) == 0 && q.WaitMS > 0 {
+	changes, signals := s.relay.changesFor(q)
+	if len(changes) == 0 && q.WaitMS > 0 {
 		s.relay.waitForChange(time.Duration(q.WaitMS)*time.Millisecond, signals)
 		if !s.relay.Connected() {
 			r.Stale = true
 			return nil
 		}
-		news, _ = s.relay.changesFor(q)
+		changes, _ = s.relay.changesFor(q)
 	}
-	r.News = news
+	r.News = changes
 	r.Current = s.relay.confirmationsFor(q, arrived)
 	return nil
 }
@@ -91,12 +91,12 @@
 // changesFor returns the changes that a query asks for, by prefix, and channels that
 // are closed at the next changes.
 func (s *Relay) changesFor(q *Query) (map[string]PrefixChanges, []<-chan struct{}) {
-	news := make(map[string]PrefixChanges)
+	changesByPrefix := make(map[string]PrefixChanges)
 	var signals []<-chan struct{}
 	for prefix, after := range q.After {
 		c := s.copies[prefix]
 		if c == nil {
-			news[prefix] = PrefixChanges{
+			changesByPrefix[prefix] = PrefixChanges{
 				Behind: true,
 			}
 			continue
@@ -104,14 +104,14 @@
 		changes, revision, next, ok := c.changesAfter(after)
 		signals = append(signals, next)
 		if !ok || len(changes) > 0 {
-			news[prefix] = PrefixChanges{
+			changesByPrefix[prefix] = PrefixChanges{
 				Behind:   !ok,
 				Changes:  changes,
 				Revision: revision,
 			}
 		}
 	}
-	return news, signals
+	return changesByPrefix, signals
 }
 
 // waitForChange waits until one of the signals is closed or a duration has passed. It
--- a/internal/fleet/watchrelay/space.go
+++ b/internal/fleet/watchrelay/space.go
@@ -216,14 +216,14 @@
 		}
 		return changes, revision, err
 	}
-	news, err := s.poller.next(ctx, s, prefix, after)
+	polled, err := s.poller.next(ctx, s, prefix, after)
 	if errors.Is(err, errNoWatcher) {
 		return s.TransactionalStore.Watch(ctx, prefix, after, min(wait, pollWait))
 	}
-	if err == nil && news.Behind {
+	if err == nil && polled.Behind {
 		err = keyvalue.ErrCompacted
 	}
-	return news.Changes, news.Revision, err
+	return polled.Changes, polled.Revision, err
 }
 
 // Range implements keyvalue.TransactionalStore.
