--- a/cmd/egretload/main.go
+++ b/cmd/egretload/main.go
@@ -66,11 +66,11 @@
 	if err := setting.ReadFile(filepath.Join(filepath.Dir(path), s.Configuration), &cfg); err != nil {
 		return fmt.Errorf("%s:\n%w", s.Configuration, err)
 	}
-	x := &experiment.Experiment{
+	x := &experiment.Runner{
 		Scenario:      s,
 		Configuration: cfg,
-		Binaries:      binaries,
-		Folder:        folder,
+		BinaryDir:     binaries,
+		WorkDir:       folder,
 		Timer:         timer.Real{},
 	}
 	variants := s.Variants
@@ -89,7 +89,7 @@
 		if err := printLine(report); err != nil {
 			return err
 		}
-		violations = append(violations, report.Wrong()...)
+		violations = append(violations, report.Violations()...)
 	}
 	if len(violations) > 0 {
 		return fmt.Errorf("%w: %s", errViolated, strings.Join(violations, ", "))
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -160,7 +160,7 @@
 				Settings:     file.Details,
 				MaxStaleness: file.MaxVersions,
 				Timer:        timer.Real{},
-				Addresses: &addresses.Book{
+				Addresses: &addresses.Cache{
 					Caller: file.Details.Name,
 					Seeds:  file.Instances,
 					Timer:  timer.Real{},
--- a/internal/load/addresses/book.go
+++ b/internal/load/addresses/cache.go
@@ -17,9 +17,9 @@
 // refreshTimeout limits the request to one instance.
 const refreshTimeout = 2 * time.Second
 
-// Book caches the addresses that a caller should use, for as long as the instance
+// Cache caches the addresses that a caller should use, for as long as the instance
 // that returned them allows. It needs Seeds and a Timer.
-type Book struct {
+type Cache struct {
 	Caller        string
 	FailureDomain string
 	Seeds         []string
@@ -31,10 +31,10 @@
 	next      int
 }
 
-// Pick returns the next address in turn. It asks for new addresses when it has
+// Next returns the next address in turn. It asks for new addresses when it has
 // none or when they have expired, and keeps using expired ones if no instance
 // answers.
-func (b *Book) Pick(ctx context.Context) (string, error) {
+func (b *Cache) Next(ctx context.Context) (string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.addresses) == 0 || b.Timer.Now() >= b.expires {
@@ -46,8 +46,8 @@
 	return b.addresses[b.next%len(b.addresses)], nil
 }
 
-// Failed removes an address until the addresses are refreshed.
-func (b *Book) Failed(address string) {
+// MarkFailed removes an address until the addresses are refreshed.
+func (b *Cache) MarkFailed(address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i, a := range b.addresses {
@@ -60,7 +60,7 @@
 
 // refresh asks the known addresses, and then the seeds in random order, until one
 // of them answers.
-func (b *Book) refresh(ctx context.Context) error {
+func (b *Cache) refresh(ctx context.Context) error {
 	candidates := append([]string(nil), b.addresses...)
 	for _, i := range rand.Perm(len(b.Seeds)) {
 		candidates = append(candidates, b.Seeds[i])
@@ -76,7 +76,7 @@
 }
 
 // refreshFrom replaces the addresses by the answer of the instance at address.
-func (b *Book) refreshFrom(ctx context.Context, address string) error {
+func (b *Cache) refreshFrom(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	var answer caller.AddressesResponse
--- a/internal/load/experiment/configuration_test.go
+++ b/internal/load/experiment/configuration_test.go
@@ -16,7 +16,7 @@
 	"github.com/egretbend/egretbend/internal/entry/client"
 	"github.com/egretbend/egretbend/internal/entry/operator"
 	"github.com/egretbend/egretbend/internal/kernel/timer"
-	"github.com/egretbend/egretbend/internal/load/fleet"
+	"github.com/egretbend/egretbend/internal/load/localfleet"
 	faults "github.com/egretbend/egretbend/internal/standin/fault"
 )
 
@@ -39,13 +39,13 @@
 
 // startFleet starts a fleet without load and stops it at the end of the test. It
 // marks the test as parallel and waits for one of fleetSlots.
-func startFleet(t *testing.T, name string) *fleet.Fleet {
+func startFleet(t *testing.T, name string) *localfleet.Fleet {
 	t.Helper()
 	t.Parallel()
 	fleetSlots <- struct{}{}
-	f := &fleet.Fleet{
-		Binaries:      binaries,
-		Folder:        filepath.Join(t.TempDir(), name),
+	f := &localfleet.Fleet{
+		BinaryDir:     binaries,
+		WorkDir:       filepath.Join(t.TempDir(), name),
 		Scenario:      smallScenario(name),
 		Configuration: testConfiguration(t),
 		Timer:         timer.Real{},
@@ -62,7 +62,7 @@
 
 // configurationRevision returns the revision that p has in force, or 0 if p does
 // not answer.
-func configurationRevision(p *fleet.Process) uint64 {
+func configurationRevision(p *localfleet.Process) uint64 {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	var c operator.Configuration
@@ -74,7 +74,7 @@
 
 // putConfiguration submits the configuration of f to p as a change of revision
 // from, and returns the new revision.
-func putConfiguration(f *fleet.Fleet, p *fleet.Process, id string, from uint64) (uint64, error) {
+func putConfiguration(f *localfleet.Fleet, p *localfleet.Process, id string, from uint64) (uint64, error) {
 	data, err := json.Marshal(f.Configuration)
 	if err != nil {
 		return 0, err
@@ -92,7 +92,7 @@
 }
 
 // setFault replaces the faults of a stand-in by those in the JSON body.
-func setFault(t *testing.T, p *fleet.Process, body string) {
+func setFault(t *testing.T, p *localfleet.Process, body string) {
 	t.Helper()
 	res, err := http.Post("http://"+p.Address+faults.Path, "application/json", bytes.NewReader([]byte(body)))
 	if err != nil {
--- a/internal/load/experiment/experiment.go
+++ b/internal/load/experiment/experiment.go
@@ -14,8 +14,8 @@
 	"github.com/egretbend/egretbend/internal/fleet/configuration"
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/load/addresses"
-	"github.com/egretbend/egretbend/internal/load/fleet"
-	"github.com/egretbend/egretbend/internal/load/orders"
+	"github.com/egretbend/egretbend/internal/load/loadgen"
+	"github.com/egretbend/egretbend/internal/load/localfleet"
 	"github.com/egretbend/egretbend/internal/load/scenario"
 	"github.com/egretbend/egretbend/internal/standin/engine"
 	"github.com/egretbend/egretbend/internal/standin/keyvalue"
@@ -23,27 +23,27 @@
 	"github.com/egretbend/egretbend/internal/standin/trainer"
 )
 
-// Experiment holds a scenario and what is needed to run it.
-type Experiment struct {
+// Runner holds a scenario and what is needed to run it.
+type Runner struct {
 	Scenario scenario.Scenario
 	// Configuration is the service configuration before the scenario's and the
 	// variant's changes.
 	Configuration configuration.Configuration
-	// Binaries is the directory with the built programs.
-	Binaries string
-	// Folder is the directory for settings files and logs. Each run replaces the
+	// BinaryDir is the directory with the built programs.
+	BinaryDir string
+	// WorkDir is the directory for settings files and logs. Each run replaces the
 	// contents of the subdirectory for its scenario and variant.
-	Folder string
-	Timer  timer.Service
+	WorkDir string
+	Timer   timer.Service
 }
 
 // Run runs one variant of the scenario and stops every process it started.
-func (x *Experiment) Run(ctx context.Context, v scenario.Variant) (*Report, error) {
-	f := &fleet.Fleet{
-		Binaries:      x.Binaries,
-		Folder:        filepath.Join(x.Folder, x.Scenario.Name, v.Name),
+func (x *Runner) Run(ctx context.Context, v scenario.Variant) (*Report, error) {
+	f := &localfleet.Fleet{
+		BinaryDir:     x.BinaryDir,
+		WorkDir:       filepath.Join(x.WorkDir, x.Scenario.Name, v.Name),
 		Scenario:      x.Scenario,
-		Configuration: scenario.Apply(scenario.Apply(x.Configuration, x.Scenario.Change), v.Change),
+		Configuration: scenario.ApplyOverrides(scenario.ApplyOverrides(x.Configuration, x.Scenario.Overrides), v.Overrides),
 		Timer:         x.Timer,
 	}
 	defer f.Stop()
@@ -58,7 +58,7 @@
 	before := readStats[keyvalue.Stats](f.Find("keyvalue"))
 	metrics, started := readAllMetrics(f), x.Timer.Now()
 	x.runLoad(ctx, f, v, report)
-	report.Cost = computeCost(metrics, readAllMetrics(f), x.Timer.Now().Sub(started).Seconds())
+	report.ResourceUsage = computeCost(metrics, readAllMetrics(f), x.Timer.Now().Sub(started).Seconds())
 	report.addKeyValue(before, readStats[keyvalue.Stats](f.Find("keyvalue")))
 	x.addEngines(f, report)
 	for _, err := range f.Drain() {
@@ -69,7 +69,7 @@
 
 // runLoad runs callers, trainers and events for the duration of the scenario
 // and adds their results to report.
-func (x *Experiment) runLoad(ctx context.Context, f *fleet.Fleet, v scenario.Variant, report *Report) {
+func (x *Runner) runLoad(ctx context.Context, f *localfleet.Fleet, v scenario.Variant, report *Report) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(x.Scenario.Seconds)*time.Second)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -84,10 +84,10 @@
 		wg.Go(func() { tracker.pollUntilDone(ctx, f) })
 	}
 	var mu sync.Mutex
-	loads := make([]*orders.Load, len(x.Scenario.Orders))
-	results := make([]orders.Result, len(x.Scenario.Orders))
+	loads := make([]*loadgen.Generator, len(x.Scenario.Orders))
+	results := make([]loadgen.Result, len(x.Scenario.Orders))
 	for i, s := range x.Scenario.Orders {
-		loads[i] = &orders.Load{
+		loads[i] = &loadgen.Generator{
 			Settings:  s,
 			Addresses: x.newAddressBook(f, s.Caller, s.FailureDomain),
 			Timer:     x.Timer,
@@ -109,13 +109,13 @@
 	report.SwapP50, report.SwapMax = tracker.medianAndLongest()
 	runs := x.countRuns(f)
 	for i, l := range loads {
-		report.addOrders(results[i], l.Check(runs))
+		report.addOrders(results[i], l.CompareRuns(runs))
 	}
 }
 
 // newTrainer returns a trainer that checks samples against the staleness bound
 // of its deployment.
-func (x *Experiment) newTrainer(f *fleet.Fleet, s trainer.Settings, v scenario.Variant) *trainer.Trainer {
+func (x *Runner) newTrainer(f *localfleet.Fleet, s trainer.Settings, v scenario.Variant) *trainer.Trainer {
 	if v.RunAhead != nil {
 		s.RunAhead = int(*v.RunAhead)
 	}
@@ -131,8 +131,8 @@
 	}
 }
 
-func (x *Experiment) newAddressBook(f *fleet.Fleet, caller, domain string) *addresses.Book {
-	return &addresses.Book{
+func (x *Runner) newAddressBook(f *localfleet.Fleet, caller, domain string) *addresses.Cache {
+	return &addresses.Cache{
 		Caller:        caller,
 		FailureDomain: domain,
 		Seeds:         f.Addresses(),
@@ -141,7 +141,7 @@
 }
 
 // serviceAddresses returns the addresses of all plain services of the fleet.
-func serviceAddresses(f *fleet.Fleet) []string {
+func serviceAddresses(f *localfleet.Fleet) []string {
 	var list []string
 	for _, p := range f.Upstreams {
 		if p.Kind == "service" {
@@ -153,10 +153,10 @@
 
 // countRuns returns how often each order ran, by order ID. It reads the logs of
 // the services, so runs of processes that have ended are included.
-func (x *Experiment) countRuns(f *fleet.Fleet) map[string]int {
+func (x *Runner) countRuns(f *localfleet.Fleet) map[string]int {
 	sum := make(map[string]int)
 	for _, p := range f.Upstreams {
-		data, err := os.ReadFile(p.Log())
+		data, err := os.ReadFile(p.LogPath())
 		if err != nil {
 			continue
 		}
@@ -170,11 +170,11 @@
 }
 
 // addEngines adds the token and cache counters of all engines to report.
-func (x *Experiment) addEngines(f *fleet.Fleet, report *Report) {
+func (x *Runner) addEngines(f *localfleet.Fleet, report *Report) {
 	var prefills, hits int64
 	for _, p := range f.Upstreams {
 		s := readStats[engine.Stats](p)
-		report.TokensMade += s.Tokens
+		report.TokensGenerated += s.Tokens
 		prefills += s.Prefills
 		hits += s.Hits
 	}
@@ -185,7 +185,7 @@
 
 // readStats returns the statistics of a stand-in, or the zero value if it can't
 // be read.
-func readStats[T any](p *fleet.Process) T {
+func readStats[T any](p *localfleet.Process) T {
 	var stats T
 	_ = getJSON(p.Address, "/stats", &stats)
 	return stats
--- a/internal/load/experiment/proof_test.go
+++ b/internal/load/experiment/proof_test.go
@@ -13,7 +13,7 @@
 	"github.com/egretbend/egretbend/internal/fleet/configuration"
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 	"github.com/egretbend/egretbend/internal/load/experiment"
-	"github.com/egretbend/egretbend/internal/load/orders"
+	"github.com/egretbend/egretbend/internal/load/loadgen"
 	"github.com/egretbend/egretbend/internal/load/scenario"
 	"github.com/egretbend/egretbend/internal/standin/engine"
 	"github.com/egretbend/egretbend/internal/standin/service"
@@ -52,11 +52,11 @@
 		FailureDomains: []string{"mechelen-a", "antwerpen-a", "gent-a"},
 		Instances:      6,
 		LogLevel:       "info",
-		Weights: scenario.Weights{
-			PerSecond: 50,
-			TookMS:    50,
+		Weights: scenario.WeightStore{
+			FetchesPerSecond: 50,
+			FetchMS:          50,
 		},
-		Engines: []scenario.Upstreams{{
+		Engines: []scenario.UpstreamGroup{{
 			Count: 4,
 			Engine: &engine.Settings{
 				Group:         "sampler",
@@ -69,7 +69,7 @@
 				ChecksFencing: true,
 			},
 		}},
-		Services: []scenario.Upstreams{{
+		Services: []scenario.UpstreamGroup{{
 			Count: 4,
 			Service: &service.Settings{
 				Group:  "desk",
@@ -78,7 +78,7 @@
 				WorkMS: 15,
 			},
 		}},
-		Orders: []orders.Settings{
+		Orders: []loadgen.Settings{
 			orderStream("saddlers", false),
 			orderStream("stock", true),
 		},
@@ -98,8 +98,8 @@
 }
 
 // orderStream returns a stream of requests to the order-desk service.
-func orderStream(caller string, idempotent bool) orders.Settings {
-	return orders.Settings{
+func orderStream(caller string, idempotent bool) loadgen.Settings {
+	return loadgen.Settings{
 		Caller:      caller,
 		Deployment:  "order-desk",
 		Kind:        "service",
@@ -141,11 +141,11 @@
 	fleetSlots <- struct{}{}
 	defer func() { <-fleetSlots }()
 	is := is.New(t)
-	x := &experiment.Experiment{
+	x := &experiment.Runner{
 		Scenario:      s,
 		Configuration: testConfiguration(t),
-		Binaries:      binaries,
-		Folder:        filepath.Join(t.TempDir(), "run"),
+		BinaryDir:     binaries,
+		WorkDir:       filepath.Join(t.TempDir(), "run"),
 		Timer:         timer.Real{},
 	}
 	report, err := x.Run(context.Background(), scenario.Variant{
@@ -158,11 +158,11 @@
 	for _, r := range report.Trainers {
 		t.Logf("%+v", r)
 	}
-	is.Equal(report.Wrong(), nil)          // no guarantee is violated
+	is.Equal(report.Violations(), nil)     // no guarantee is violated
 	is.True(report.StepsFinished > 0)      // the trainer finishes steps
-	is.True(report.AnsweredWhole > 0)      // callers get answers
-	is.True(report.SamplesHanded > 0)      // samples reach the trainer
-	is.Equal(report.SamplesDoubled, 0)     // each sample is delivered once
+	is.True(report.Answered > 0)           // callers get answers
+	is.True(report.SamplesDelivered > 0)   // samples reach the trainer
+	is.Equal(report.SamplesDuplicated, 0)  // each sample is delivered once
 	is.Equal(report.OrdersRunTwice, 0)     // no order runs twice
 	is.True(report.AnsweredNotRun == 0)    // no answer without a run
 	is.True(len(report.UncleanStops) == 0) // instances that no event stopped exit cleanly
@@ -179,7 +179,7 @@
 }
 
 // faultEvent returns an event that sets faults of a stand-in.
-func faultEvent(ms int64, target string, values map[string]scenario.Value) scenario.Event {
+func faultEvent(ms int64, target string, values map[string]scenario.FaultValue) scenario.Event {
 	e := eventAt(ms, target, "fault")
 	e.Fault = values
 	return e
@@ -216,7 +216,7 @@
 // samples and weight versions must continue.
 func TestKeyValueServiceDown(t *testing.T) {
 	s := smallScenario("outage",
-		faultEvent(1000, "keyvalue", map[string]scenario.Value{"down": 1}),
+		faultEvent(1000, "keyvalue", map[string]scenario.FaultValue{"down": 1}),
 		eventAt(4000, "gent-a-1", "stop"),
 		eventAt(12000, "gent-a-1", "restart"),
 	)
@@ -231,7 +231,7 @@
 // instead of stopped.
 func TestInstanceKilledInOutage(t *testing.T) {
 	s := smallScenario("killed_in_outage",
-		faultEvent(1000, "keyvalue", map[string]scenario.Value{"down": 1}),
+		faultEvent(1000, "keyvalue", map[string]scenario.FaultValue{"down": 1}),
 		eventAt(4000, "gent-a-1", "kill"),
 		eventAt(5000, "gent-a-1", "restart"),
 	)
@@ -244,8 +244,8 @@
 // service: it is slow, returns older revisions and loses the answers of writes.
 func TestKeyValueServiceSlowAndStale(t *testing.T) {
 	runScenario(t, smallScenario("stale",
-		faultEvent(1000, "keyvalue", map[string]scenario.Value{"slow_ms": 700, "stale": 1}),
-		faultEvent(6000, "keyvalue", map[string]scenario.Value{"lose_answers": 3}),
+		faultEvent(1000, "keyvalue", map[string]scenario.FaultValue{"slow_ms": 700, "stale": 1}),
+		faultEvent(6000, "keyvalue", map[string]scenario.FaultValue{"lose_answers": 3}),
 		eventAt(6500, "antwerpen-a-1", "kill"),
 		eventAt(7500, "antwerpen-a-1", "restart"),
 	))
@@ -257,11 +257,11 @@
 // have taken effect.
 func TestBrokenEngines(t *testing.T) {
 	events := []scenario.Event{
-		faultEvent(1000, "sampler-1", map[string]scenario.Value{"break_share": 0.3}),
-		faultEvent(1000, "sampler-2", map[string]scenario.Value{"cross_share": 0.3}),
-		faultEvent(1000, "sampler-3", map[string]scenario.Value{"switch_fails": 1}),
+		faultEvent(1000, "sampler-1", map[string]scenario.FaultValue{"break_share": 0.3}),
+		faultEvent(1000, "sampler-2", map[string]scenario.FaultValue{"cross_share": 0.3}),
+		faultEvent(1000, "sampler-3", map[string]scenario.FaultValue{"switch_fails": 1}),
 	}
-	crash := faultEvent(2000, "sampler-4", map[string]scenario.Value{"crash_ms": 500})
+	crash := faultEvent(2000, "sampler-4", map[string]scenario.FaultValue{"crash_ms": 500})
 	crash.EveryMS = 2500
 	runScenario(t, smallScenario("engines", append(events, crash)...))
 }
@@ -285,10 +285,10 @@
 // the answer short, answer for another order, or return a 503 without an outcome.
 func TestBrokenServices(t *testing.T) {
 	report := runScenario(t, smallScenario("services",
-		faultEvent(1000, "desk-1", map[string]scenario.Value{"reset_share": 0.3, "refuse_share": 0.1}),
-		faultEvent(1000, "desk-2", map[string]scenario.Value{"cut_share": 0.3}),
-		faultEvent(1000, "desk-3", map[string]scenario.Value{"cross_share": 0.3}),
-		faultEvent(1000, "desk-4", map[string]scenario.Value{"bare_share": 0.3}),
+		faultEvent(1000, "desk-1", map[string]scenario.FaultValue{"reset_share": 0.3, "refuse_share": 0.1}),
+		faultEvent(1000, "desk-2", map[string]scenario.FaultValue{"cut_share": 0.3}),
+		faultEvent(1000, "desk-3", map[string]scenario.FaultValue{"cross_share": 0.3}),
+		faultEvent(1000, "desk-4", map[string]scenario.FaultValue{"bare_share": 0.3}),
 	))
 	is.New(t).True(report.Unknown > 0) // orders that may have run are reported as unknown
 }
@@ -313,7 +313,7 @@
 		eventAt(6000, "antwerpen-a-1", "stop"),
 	)
 	s.Orders[0].PerSecond = 60
-	s.Orders = append(s.Orders, orders.Settings{
+	s.Orders = append(s.Orders, loadgen.Settings{
 		Caller:      "sketches",
 		Deployment:  "cutting-plan",
 		Kind:        "model",
@@ -335,7 +335,7 @@
 // instance list is down.
 func TestLeavingUpstream(t *testing.T) {
 	s := smallScenario("leaving",
-		faultEvent(1500, "roster", map[string]scenario.Value{"down": 1}),
+		faultEvent(1500, "roster", map[string]scenario.FaultValue{"down": 1}),
 		eventAt(2000, "desk-1", "leave"),
 		eventAt(2000, "sampler-1", "leave"),
 		eventAt(8000, "desk-1", "kill"),
--- a/internal/load/experiment/report.go
+++ b/internal/load/experiment/report.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"io"
 
-	"github.com/egretbend/egretbend/internal/load/orders"
+	"github.com/egretbend/egretbend/internal/load/loadgen"
 	"github.com/egretbend/egretbend/internal/standin/keyvalue"
 	"github.com/egretbend/egretbend/internal/standin/trainer"
 )
@@ -17,57 +17,57 @@
 	Seconds  int    `json:"seconds"`
 
 	OrdersSent     int `json:"orders_sent"`
-	AnsweredWhole  int `json:"answered_whole"`
+	Answered       int `json:"answered_whole"`
 	Refused        int `json:"refused"`
 	Unknown        int `json:"unknown"`
-	MixedUp        int `json:"mixed_up"`
+	WrongAnswers   int `json:"mixed_up"`
 	NoAnswer       int `json:"no_answer"`
 	OrdersRunTwice int `json:"orders_run_twice"`
 	RefusedRan     int `json:"refused_ran"`
 	AnsweredNotRun int `json:"answered_not_run"`
 
-	StepsFinished  int     `json:"steps_finished"`
-	StepsDropped   int     `json:"steps_dropped"`
-	SamplesHanded  int     `json:"samples_handed_over"`
-	SamplesDoubled int     `json:"samples_doubled"`
-	SamplesTooOld  int     `json:"samples_too_old"`
-	WrongVersion   int     `json:"samples_wrong_version"`
-	Foreign        int     `json:"samples_foreign"`
-	IdleShare      float64 `json:"trainer_idle_share"`
-	StalenessP50   uint64  `json:"staleness_p50_versions"`
-	StalenessMax   uint64  `json:"staleness_max_versions"`
+	StepsFinished       int     `json:"steps_finished"`
+	StepsDropped        int     `json:"steps_dropped"`
+	SamplesDelivered    int     `json:"samples_handed_over"`
+	SamplesDuplicated   int     `json:"samples_doubled"`
+	SamplesTooOld       int     `json:"samples_too_old"`
+	SamplesWrongVersion int     `json:"samples_wrong_version"`
+	SamplesUnexpected   int     `json:"samples_foreign"`
+	TrainerIdleShare    float64 `json:"trainer_idle_share"`
+	StalenessP50        uint64  `json:"staleness_p50_versions"`
+	StalenessMax        uint64  `json:"staleness_max_versions"`
 
 	// SwapP50 and SwapMax are the seconds between publishing a weight version
 	// and the moment when every engine has it or a later one.
-	SwapP50        float64 `json:"swap_seconds_p50"`
-	SwapMax        float64 `json:"swap_seconds_max"`
-	TokensMade     int64   `json:"tokens_made"`
-	CacheHitShare  float64 `json:"cache_hit_share"`
-	KeyValueCalls  float64 `json:"key_value_calls_per_second"`
-	KeyValueWrites float64 `json:"key_value_writes_per_second"`
+	SwapP50         float64 `json:"swap_seconds_p50"`
+	SwapMax         float64 `json:"swap_seconds_max"`
+	TokensGenerated int64   `json:"tokens_made"`
+	CacheHitShare   float64 `json:"cache_hit_share"`
+	KeyValueCalls   float64 `json:"key_value_calls_per_second"`
+	KeyValueWrites  float64 `json:"key_value_writes_per_second"`
 
-	Cost         Cost             `json:"cost"`
-	UncleanStops []string         `json:"unclean_stops,omitempty"`
-	Orders       []orders.Result  `json:"orders"`
-	Trainers     []trainer.Result `json:"trainers"`
+	ResourceUsage ResourceUsage    `json:"cost"`
+	UncleanStops  []string         `json:"unclean_stops,omitempty"`
+	Orders        []loadgen.Result `json:"orders"`
+	Trainers      []trainer.Result `json:"trainers"`
 }
 
-// Wrong returns a message for each kind of guarantee that the run violated, or
-// nil.
-func (r *Report) Wrong() []string {
+// Violations returns a message for each kind of guarantee that the run violated,
+// or nil.
+func (r *Report) Violations() []string {
 	var violations []string
 	for _, check := range []struct {
 		n    int
 		what string
 	}{
-		{r.MixedUp, "answers for another request or incomplete"},
+		{r.WrongAnswers, "answers for another request or incomplete"},
 		{r.OrdersRunTwice, "non-idempotent orders run more than once"},
 		{r.RefusedRan, "orders run although reported as not run"},
 		{r.AnsweredNotRun, "orders answered but never run"},
-		{r.SamplesDoubled, "duplicate samples"},
+		{r.SamplesDuplicated, "duplicate samples"},
 		{r.SamplesTooOld, "samples too old"},
-		{r.WrongVersion, "samples with a wrong version"},
-		{r.Foreign, "samples incomplete or not requested"},
+		{r.SamplesWrongVersion, "samples with a wrong version"},
+		{r.SamplesUnexpected, "samples incomplete or not requested"},
 		{len(r.UncleanStops), "instances that did not stop cleanly"},
 	} {
 		if check.n > 0 {
@@ -83,26 +83,26 @@
 	r.Trainers = append(r.Trainers, t)
 	r.StepsFinished += t.StepsFinished
 	r.StepsDropped += t.StepsDropped
-	r.SamplesHanded += t.Samples
-	r.SamplesDoubled += t.Duplicates
+	r.SamplesDelivered += t.Samples
+	r.SamplesDuplicated += t.Duplicates
 	r.SamplesTooOld += t.TooOld
-	r.WrongVersion += t.WrongVersion
-	r.Foreign += t.Foreign
-	r.IdleShare = max(r.IdleShare, t.IdleShare)
+	r.SamplesWrongVersion += t.WrongVersion
+	r.SamplesUnexpected += t.Foreign
+	r.TrainerIdleShare = max(r.TrainerIdleShare, t.IdleShare)
 	r.StalenessP50 = max(r.StalenessP50, t.StalenessP50)
 	r.StalenessMax = max(r.StalenessMax, t.StalenessMax)
 }
 
 // addOrders adds the result of one request stream, and how it compares with the
 // runs that the services recorded.
-func (r *Report) addOrders(o orders.Result, c orders.Compare) {
+func (r *Report) addOrders(o loadgen.Result, c loadgen.Discrepancies) {
 	r.Orders = append(r.Orders, o)
 	r.OrdersSent += o.Sent
-	r.AnsweredWhole += o.Answered
+	r.Answered += o.Answered
 	r.Refused += o.Refused
 	r.Unknown += o.Unknown
-	r.MixedUp += o.MixedUp
-	r.NoAnswer += o.NoAnswer
+	r.WrongAnswers += o.WrongAnswers
+	r.NoAnswer += o.Unreached
 	r.OrdersRunTwice += c.RunTwice
 	r.RefusedRan += c.RefusedRan
 	r.AnsweredNotRun += c.AnsweredNotRun
@@ -122,7 +122,7 @@
 	for _, o := range r.Orders {
 		fmt.Fprintf(w, "  %-24s sent %d answered %d refused %d unknown %d  p50 %.1f ms p99 %.1f ms p99.9 %.1f ms\n",
 			o.Caller, o.Sent, o.Answered, o.Refused, o.Unknown, o.P50MS, o.P99MS, o.P999MS)
-		for _, f := range o.Faults {
+		for _, f := range o.Errors {
 			fmt.Fprintf(w, "    %s\n", f)
 		}
 	}
@@ -137,11 +137,11 @@
 	}
 	fmt.Fprintf(w, "  weights on the last engine after p50 %.2f s max %.2f s\n", r.SwapP50, r.SwapMax)
 	fmt.Fprintf(w, "  tokens made %d, cache hits %.0f%%, key-value calls %.1f/s writes %.1f/s\n",
-		r.TokensMade, 100*r.CacheHitShare, r.KeyValueCalls, r.KeyValueWrites)
+		r.TokensGenerated, 100*r.CacheHitShare, r.KeyValueCalls, r.KeyValueWrites)
 	fmt.Fprintf(w, "  an instance: cpu %.2f%% (most %.2f%%) resident %.1f MB (most %.1f) heap %.1f MB peers %.1f kB/s (most %.1f)\n",
-		100*r.Cost.CPUShare, 100*r.Cost.CPUShareMax, r.Cost.ResidentMB, r.Cost.ResidentMax, r.Cost.HeapMB,
-		r.Cost.BytesPerSecond/1000, r.Cost.BytesPerSecondMax/1000)
-	for _, wrong := range r.Wrong() {
+		100*r.ResourceUsage.CPUShare, 100*r.ResourceUsage.CPUShareMax, r.ResourceUsage.ResidentMB, r.ResourceUsage.ResidentMaxMB, r.ResourceUsage.HeapMB,
+		r.ResourceUsage.PeerBytesPerSecond/1000, r.ResourceUsage.PeerBytesPerSecondMax/1000)
+	for _, wrong := range r.Violations() {
 		fmt.Fprintf(w, "  WRONG: %s\n", wrong)
 	}
 }
--- a/internal/load/experiment/swaps.go
+++ b/internal/load/experiment/swaps.go
@@ -8,7 +8,7 @@
 
 	"github.com/egretbend/egretbend/internal/fleet/version"
 	"github.com/egretbend/egretbend/internal/kernel/timer"
-	"github.com/egretbend/egretbend/internal/load/fleet"
+	"github.com/egretbend/egretbend/internal/load/localfleet"
 	"github.com/egretbend/egretbend/internal/outside/engine"
 )
 
@@ -39,7 +39,7 @@
 }
 
 // pollUntilDone polls the engines every pollInterval until ctx ends.
-func (s *swapTracker) pollUntilDone(ctx context.Context, f *fleet.Fleet) {
+func (s *swapTracker) pollUntilDone(ctx context.Context, f *localfleet.Fleet) {
 	tick := s.timer.Every(pollInterval)
 	defer tick.Close()
 	for {
@@ -55,7 +55,7 @@
 // poll asks every engine for its version and completes the measurements of
 // versions that all engines have reached. Upstreams that don't answer or report no
 // version are skipped.
-func (s *swapTracker) poll(f *fleet.Fleet) {
+func (s *swapTracker) poll(f *localfleet.Fleet) {
 	var oldest version.Version
 	first := true
 	for _, p := range f.Upstreams {
--- a/internal/load/experiment/cost.go
+++ b/internal/load/experiment/usage.go
@@ -9,23 +9,23 @@
 	"github.com/prometheus/common/expfmt"
 	"github.com/prometheus/common/model"
 
-	"github.com/egretbend/egretbend/internal/load/fleet"
+	"github.com/egretbend/egretbend/internal/load/localfleet"
 )
 
-// Cost holds the resource usage per instance: the median over the fleet, and in
-// the Max fields the highest value.
-type Cost struct {
+// ResourceUsage holds the resource usage per instance: the median over the fleet,
+// and in the Max fields the highest value.
+type ResourceUsage struct {
 	// CPUShare is CPU time divided by elapsed time; 0.01 is one hundredth of a
 	// core.
-	CPUShare    float64 `json:"cpu_share"`
-	CPUShareMax float64 `json:"cpu_share_max"`
-	ResidentMB  float64 `json:"resident_mb"`
-	ResidentMax float64 `json:"resident_mb_max"`
+	CPUShare      float64 `json:"cpu_share"`
+	CPUShareMax   float64 `json:"cpu_share_max"`
+	ResidentMB    float64 `json:"resident_mb"`
+	ResidentMaxMB float64 `json:"resident_mb_max"`
 	// HeapMB is the heap in use, a part of the resident memory.
 	HeapMB float64 `json:"heap_mb"`
-	// BytesPerSecond is the traffic sent to and received from other instances.
-	BytesPerSecond    float64 `json:"peer_bytes_per_second"`
-	BytesPerSecondMax float64 `json:"peer_bytes_per_second_max"`
+	// PeerBytesPerSecond is the traffic sent to and received from other instances.
+	PeerBytesPerSecond    float64 `json:"peer_bytes_per_second"`
+	PeerBytesPerSecondMax float64 `json:"peer_bytes_per_second_max"`
 }
 
 // instanceMetrics is a snapshot of one instance's metrics: CPU time in seconds,
@@ -35,7 +35,7 @@
 }
 
 // The metrics that instanceMetrics is read from, and the unit of the memory
-// figures in Cost.
+// figures in ResourceUsage.
 const (
 	metricCPU      = "process_cpu_seconds_total"
 	metricResident = "process_resident_memory_bytes"
@@ -47,7 +47,7 @@
 
 // readAllMetrics reads the metrics of all instances that answer, by instance
 // name.
-func readAllMetrics(f *fleet.Fleet) map[string]instanceMetrics {
+func readAllMetrics(f *localfleet.Fleet) map[string]instanceMetrics {
 	all := make(map[string]instanceMetrics)
 	for _, p := range f.Instances {
 		if r, err := readMetrics(p.Address); err == nil {
@@ -95,7 +95,7 @@
 // computeCost returns the usage between two snapshots that are seconds apart. It
 // skips instances that are missing from after or were restarted, which shows as
 // a CPU counter that went down.
-func computeCost(before, after map[string]instanceMetrics, seconds float64) Cost {
+func computeCost(before, after map[string]instanceMetrics, seconds float64) ResourceUsage {
 	var cpu, resident, heap, bytes []float64
 	for name, b := range before {
 		a, ok := after[name]
@@ -107,11 +107,11 @@
 		heap = append(heap, a.heap/megabyte)
 		bytes = append(bytes, (a.bytes-b.bytes)/seconds)
 	}
-	var c Cost
+	var c ResourceUsage
 	c.CPUShare, c.CPUShareMax = medianAndMax(cpu)
-	c.ResidentMB, c.ResidentMax = medianAndMax(resident)
+	c.ResidentMB, c.ResidentMaxMB = medianAndMax(resident)
 	c.HeapMB, _ = medianAndMax(heap)
-	c.BytesPerSecond, c.BytesPerSecondMax = medianAndMax(bytes)
+	c.PeerBytesPerSecond, c.PeerBytesPerSecondMax = medianAndMax(bytes)
 	return c
 }
 
--- a/internal/load/storm/storm.go
+++ b/internal/load/faultplan/plan.go
@@ -1,4 +1,4 @@
-package storm
+package faultplan
 
 import (
 	"fmt"
@@ -10,8 +10,9 @@
 // Kind is the type of a fault.
 type Kind int
 
-// The kinds of faults. The target of an EngineSilent, EngineSlow or EngineReset
-// fault is an engine; other faults that have a target affect an instance.
+// The kinds of faults. The target of an EngineLinkSilent, EngineLinkSlow
+// or EngineLinkReset fault is an engine; other faults that have a target affect
+// an instance.
 const (
 	// Kill ends the process of an instance without a graceful shutdown.
 	Kill Kind = iota
@@ -19,29 +20,30 @@
 	Stop
 	// Freeze pauses the process of an instance.
 	Freeze
-	// ServiceDown, ServiceSlow, ServiceLoses, ServiceLate and ServiceForgets
-	// affect the key-value service for all instances: calls fail, are slow, lose
-	// their answers or take effect late, or the service compacts its history.
-	ServiceDown
-	ServiceSlow
-	ServiceLoses
-	ServiceLate
-	ServiceForgets
+	// KeyValueDown, KeyValueSlow, KeyValueLosesAnswers, KeyValueDelaysCalls and
+	// KeyValueCompacts affect the key-value service for all instances: calls fail,
+	// are slow, lose their answers or take effect late, or the service compacts its
+	// history.
+	KeyValueDown
+	KeyValueSlow
+	KeyValueLosesAnswers
+	KeyValueDelaysCalls
+	KeyValueCompacts
 	// LeaseEnds ends the lease of an instance.
 	LeaseEnds
-	// ServiceShuts, ServiceSilent and ServiceReset affect the link of one instance
-	// to the key-value service: it resets all connections while the fault lasts,
-	// forwards nothing without closing connections, or resets the open
+	// KeyValueLinkRefuses, KeyValueLinkSilent and KeyValueLinkReset affect the link
+	// of one instance to the key-value service: it resets all connections while the
+	// fault lasts, forwards nothing without closing connections, or resets the open
 	// connections once.
-	ServiceShuts
-	ServiceSilent
-	ServiceReset
-	// EngineSilent, EngineSlow and EngineReset affect the link to one engine: its
-	// answers don't arrive, all bytes are delayed, or the open connections are
-	// reset once.
-	EngineSilent
-	EngineSlow
-	EngineReset
+	KeyValueLinkRefuses
+	KeyValueLinkSilent
+	KeyValueLinkReset
+	// EngineLinkSilent, EngineLinkSlow and EngineLinkReset affect the link to one
+	// engine: its answers don't arrive, all bytes are delayed, or the open
+	// connections are reset once.
+	EngineLinkSilent
+	EngineLinkSlow
+	EngineLinkReset
 	// ClientsReset resets the open connections of clients to an instance.
 	ClientsReset
 	// Configure changes the configuration.
@@ -75,20 +77,20 @@
 }
 
 // targetsEngine reports whether Fault.Target is the number of an engine.
-func (k Kind) targetsEngine() bool { return k >= EngineSilent && k <= EngineReset }
+func (k Kind) targetsEngine() bool { return k >= EngineLinkSilent && k <= EngineLinkReset }
 
 // Fault is one fault of a plan.
 type Fault struct {
 	Kind Kind
-	// At is the time of the fault from the start of the plan, For its duration.
-	At, For time.Duration
+	// Start counts from the start of the plan.
+	Start, Duration time.Duration
 	// Target is the index of an instance or engine, from 0.
 	Target int
 }
 
 // String returns a one-line description of the fault.
 func (f Fault) String() string {
-	return fmt.Sprintf("%s of %d at %s for %s", f.Kind, f.Target, f.At.Round(time.Millisecond), f.For.Round(time.Millisecond))
+	return fmt.Sprintf("%s of %d at %s for %s", f.Kind, f.Target, f.Start.Round(time.Millisecond), f.Duration.Round(time.Millisecond))
 }
 
 // Times and sizes of storms.
@@ -100,23 +102,23 @@
 	maxDuration = 2500 * time.Millisecond
 	minDuration = 300 * time.Millisecond
 	startWindow = 1500 * time.Millisecond
-	// Calm is the time after a storm within which everything must recover.
-	Calm = 6 * time.Second
+	// RecoveryTime is the time after a storm within which everything must recover.
+	RecoveryTime = 6 * time.Second
 	// maxFaults is the highest number of faults in a storm.
 	maxFaults = 4
 )
 
-// Plan returns the faults of a run of the given length, ordered by their start.
-// The last ones end at least Calm before the end of the run.
-func Plan(seed uint64, length time.Duration, instances, engines int) []Fault {
+// Generate returns the faults of a run of the given length, ordered by their start.
+// The last ones end at least RecoveryTime before the end of the run.
+func Generate(seed uint64, length time.Duration, instances, engines int) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	var plan []Fault
-	for stormStart := firstStormAt; stormStart+startWindow+maxDuration+Calm <= length; stormStart += startWindow + maxDuration + Calm {
+	for stormStart := firstStormAt; stormStart+startWindow+maxDuration+RecoveryTime <= length; stormStart += startWindow + maxDuration + RecoveryTime {
 		for range 2 + rng.IntN(maxFaults-1) {
 			f := Fault{
-				Kind: Kind(rng.IntN(int(kindCount))),
-				At:   stormStart + time.Duration(rng.Int64N(int64(startWindow))),
-				For:  minDuration + time.Duration(rng.Int64N(int64(maxDuration-minDuration))),
+				Kind:     Kind(rng.IntN(int(kindCount))),
+				Start:    stormStart + time.Duration(rng.Int64N(int64(startWindow))),
+				Duration: minDuration + time.Duration(rng.Int64N(int64(maxDuration-minDuration))),
 			}
 			f.Target = rng.IntN(instances)
 			if f.Kind.targetsEngine() {
@@ -125,6 +127,6 @@
 			plan = append(plan, f)
 		}
 	}
-	sort.SliceStable(plan, func(i, j int) bool { return plan[i].At < plan[j].At })
+	sort.SliceStable(plan, func(i, j int) bool { return plan[i].Start < plan[j].Start })
 	return plan
 }
--- a/internal/load/storm/storm_test.go
+++ b/internal/load/faultplan/plan_test.go
@@ -1,4 +1,4 @@
-package storm
+package faultplan
 
 import (
 	"testing"
@@ -12,15 +12,15 @@
 // contains some kind of fault.
 func TestPlan(t *testing.T) {
 	is := is.New(t)
-	a, b := Plan(7, time.Minute, 5, 6), Plan(7, time.Minute, 5, 6)
+	a, b := Generate(7, time.Minute, 5, 6), Generate(7, time.Minute, 5, 6)
 	is.Equal(a, b)
 	is.True(len(a) > 8)
-	is.True(Plan(8, time.Minute, 5, 6)[0] != a[0])
+	is.True(Generate(8, time.Minute, 5, 6)[0] != a[0])
 	seen := map[Kind]bool{}
 	for seed := range uint64(40) {
-		for _, f := range Plan(seed, time.Minute, 5, 6) {
+		for _, f := range Generate(seed, time.Minute, 5, 6) {
 			seen[f.Kind] = true
-			is.True(f.At+f.For+Calm <= time.Minute)
+			is.True(f.Start+f.Duration+RecoveryTime <= time.Minute)
 			is.True(f.Target < 6)
 		}
 	}
--- a/internal/load/link/link.go
+++ b/internal/load/faultproxy/proxy.go
@@ -1,4 +1,4 @@
-package link
+package faultproxy
 
 import (
 	"errors"
@@ -10,23 +10,23 @@
 	"github.com/egretbend/egretbend/internal/kernel/timer"
 )
 
-// State is the condition of a link: whether and how it forwards bytes.
+// State determines whether and how a proxy forwards bytes.
 type State int
 
-// The states of a link.
+// The states of a proxy.
 const (
-	// Whole links forward bytes without delay.
-	Whole State = iota
-	// Slow links forward bytes after slowDelay.
+	// Healthy forwards bytes without delay.
+	Healthy State = iota
+	// Slow forwards bytes after slowDelay.
 	Slow
-	// SilentOut links forward nothing from the caller to the target.
-	SilentOut
-	// SilentBack links forward nothing from the target to the caller.
-	SilentBack
-	// Silent links forward nothing in either direction.
-	Silent
-	// Shut links reset open connections and each new one.
-	Shut
+	// BlackholeRequests forwards nothing from the caller to the target.
+	BlackholeRequests
+	// BlackholeResponses forwards nothing from the target to the caller.
+	BlackholeResponses
+	// Blackhole forwards nothing in either direction.
+	Blackhole
+	// Refusing resets open connections and each new one.
+	Refusing
 )
 
 var stateNames = [...]string{"whole", "slow", "silent_out", "silent_back", "silent", "shut"}
@@ -39,17 +39,17 @@
 	return stateNames[s]
 }
 
-// Times and sizes of a link.
+// Times and sizes of a proxy.
 const (
-	// slowDelay is the delay of a slow link in one direction: fifty times the
+	// slowDelay is the delay in one direction in state Slow: fifty times the
 	// usual delay between two failure domains.
 	slowDelay   = 70 * time.Millisecond
 	dialTimeout = time.Second
 	bufferBytes = 32 << 10
 )
 
-// Link is a TCP proxy to one target address.
-type Link struct {
+// Proxy is a TCP proxy to one target address.
+type Proxy struct {
 	target   string
 	listener net.Listener
 
@@ -61,14 +61,14 @@
 	closed bool
 }
 
-// Open listens on a free loopback port and forwards connections to target. The
-// link is Whole at first.
-func Open(target string) (*Link, error) {
+// Listen listens on a free loopback port and forwards connections to target. The
+// proxy is Healthy at first.
+func Listen(target string) (*Proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{
+	l := &Proxy{
 		target:   target,
 		listener: ln,
 		changed:  make(chan struct{}),
@@ -79,22 +79,23 @@
 }
 
 // Address returns the address that callers connect to.
-func (l *Link) Address() string { return l.listener.Addr().String() }
+func (l *Proxy) Address() string { return l.listener.Addr().String() }
 
-// Set changes the state of the link. Shut also resets all open connections.
-func (l *Link) Set(s State) {
+// SetState changes the state of the proxy. Refusing also resets all open
+// connections.
+func (l *Proxy) SetState(s State) {
 	l.mu.Lock()
 	l.state = s
 	close(l.changed)
 	l.changed = make(chan struct{})
 	l.mu.Unlock()
-	if s == Shut {
-		l.Reset()
+	if s == Refusing {
+		l.ResetConnections()
 	}
 }
 
-// Reset aborts all open connections, so that both ends see a TCP reset.
-func (l *Link) Reset() {
+// ResetConnections aborts all open connections, so that both ends see a TCP reset.
+func (l *Proxy) ResetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
@@ -103,13 +104,13 @@
 }
 
 // Close stops listening and resets all open connections.
-func (l *Link) Close() error {
+func (l *Proxy) Close() error {
 	l.mu.Lock()
 	l.closed = true
 	close(l.changed)
 	l.changed = make(chan struct{})
 	l.mu.Unlock()
-	l.Reset()
+	l.ResetConnections()
 	return l.listener.Close()
 }
 
@@ -123,7 +124,7 @@
 }
 
 // acceptLoop accepts connections until the listener is closed.
-func (l *Link) acceptLoop() {
+func (l *Proxy) acceptLoop() {
 	for {
 		c, err := l.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -135,23 +136,23 @@
 	}
 }
 
-// currentState returns the state, whether the link is closed, and a channel that
+// currentState returns the state, whether the proxy is closed, and a channel that
 // is closed at the next change of either.
-func (l *Link) currentState() (State, bool, <-chan struct{}) {
+func (l *Proxy) currentState() (State, bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state, l.closed, l.changed
 }
 
-// track adds a connection to those that Reset aborts.
-func (l *Link) track(c net.Conn) {
+// track adds a connection to those that ResetConnections aborts.
+func (l *Proxy) track(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns[c] = true
 }
 
 // untrackAndClose closes a connection that track was called for.
-func (l *Link) untrackAndClose(c net.Conn) {
+func (l *Proxy) untrackAndClose(c net.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
@@ -159,12 +160,12 @@
 }
 
 // proxyConn connects to the target and copies bytes in both directions until both
-// have ended. It aborts the caller's connection if the link is shut or closed, or
-// if the target can't be reached.
-func (l *Link) proxyConn(caller net.Conn) {
+// have ended. It aborts the caller's connection if the proxy is Refusing or closed,
+// or if the target can't be reached.
+func (l *Proxy) proxyConn(caller net.Conn) {
 	l.track(caller)
 	defer l.untrackAndClose(caller)
-	if s, closed, _ := l.currentState(); s == Shut || closed {
+	if s, closed, _ := l.currentState(); s == Refusing || closed {
 		abort(caller)
 		return
 	}
@@ -176,16 +177,16 @@
 	l.track(target)
 	defer l.untrackAndClose(target)
 	done := make(chan struct{}, 2)
-	go l.copyOneWay(caller, target, SilentOut, done)
-	go l.copyOneWay(target, caller, SilentBack, done)
+	go l.copyOneWay(caller, target, BlackholeRequests, done)
+	go l.copyOneWay(target, caller, BlackholeResponses, done)
 	<-done
 	<-done
 }
 
 // copyOneWay copies bytes in one direction and sends to done when it ends. It
-// blocks while the state of the link is Silent or blockingState, the state that is
-// silent in this direction.
-func (l *Link) copyOneWay(from, to net.Conn, blockingState State, done chan<- struct{}) {
+// blocks while the state of the proxy is Blackhole or blockingState, the state that
+// holds back bytes in this direction only.
+func (l *Proxy) copyOneWay(from, to net.Conn, blockingState State, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, bufferBytes)
 	for {
@@ -213,16 +214,16 @@
 	}
 }
 
-// waitToForward blocks while the link is silent in this direction, for slowDelay
-// or until the next state change while it is slow, and returns false if the link
-// is shut or closed.
-func (l *Link) waitToForward(blockingState State) bool {
+// waitToForward blocks while the proxy holds back bytes in this direction. In state
+// Slow it waits for slowDelay or until the next state change. It returns false if
+// the proxy is Refusing or closed.
+func (l *Proxy) waitToForward(blockingState State) bool {
 	for {
 		s, closed, changed := l.currentState()
 		switch {
-		case closed || s == Shut:
+		case closed || s == Refusing:
 			return false
-		case s == Silent || s == blockingState:
+		case s == Blackhole || s == blockingState:
 			<-changed
 		case s == Slow:
 			timer.Wait(timer.Real{}, slowDelay, changed)
--- a/internal/load/link/link_test.go
+++ b/internal/load/faultproxy/proxy_test.go
@@ -1,4 +1,4 @@
-package link
+package faultproxy
 
 import (
 	"io"
@@ -38,12 +38,13 @@
 	return err == nil
 }
 
-// Guards against a proxy that fails in another way than a network does: a silent
-// link must not close connections and must deliver the held bytes when it is
-// whole again; a reset must break open connections and let new ones work.
+// Guards against a proxy that fails in another way than a network does: the
+// blackhole states must not close connections, and the held bytes must arrive when
+// the proxy is healthy again; a reset must break open connections and let new ones
+// work.
 func TestLinkStates(t *testing.T) {
 	is := is.New(t)
-	l, err := Open(startEchoServer(t))
+	l, err := Listen(startEchoServer(t))
 	is.NoErr(err)
 	defer l.Close()
 	c, err := net.Dial("tcp", l.Address())
@@ -54,27 +55,27 @@
 	}
 	send()
 	is.True(receivesByte(c, time.Second))
-	for _, s := range []State{Silent, SilentOut, SilentBack} {
-		l.Set(s)
+	for _, s := range []State{Blackhole, BlackholeRequests, BlackholeResponses} {
+		l.SetState(s)
 		send()
 		is.True(!receivesByte(c, 50*time.Millisecond))
-		l.Set(Whole)
+		l.SetState(Healthy)
 		is.True(receivesByte(c, time.Second))
 	}
-	l.Set(Slow)
+	l.SetState(Slow)
 	began := time.Now()
 	send()
 	is.True(receivesByte(c, time.Second))
 	is.True(time.Since(began) >= slowDelay)
-	l.Set(Whole)
-	l.Reset()
+	l.SetState(Healthy)
+	l.ResetConnections()
 	is.True(!receivesByte(c, time.Second))
 	c, err = net.Dial("tcp", l.Address())
 	is.NoErr(err)
 	send()
 	is.True(receivesByte(c, time.Second))
-	l.Set(Shut)
+	l.SetState(Refusing)
 	is.True(!receivesByte(c, time.Second))
-	is.Equal(Shut.String(), "shut")
+	is.Equal(Refusing.String(), "shut")
 	is.Equal(State(99).String(), "unknown")
 }
--- a/internal/load/orders/load.go
+++ b/internal/load/loadgen/generator.go
@@ -1,4 +1,4 @@
-package orders
+package loadgen
 
 import (
 	"context"
@@ -33,10 +33,10 @@
 	maxTicketRetries = 3
 )
 
-// Load sends one stream of requests. It needs Settings, Addresses and a Timer.
-type Load struct {
+// Generator sends one stream of requests. It needs Settings, Addresses and a Timer.
+type Generator struct {
 	Settings  Settings
-	Addresses *addresses.Book
+	Addresses *addresses.Cache
 	Timer     timer.Service
 	// Services are the addresses of the services, used if Settings.Direct is set.
 	Services []string
@@ -47,7 +47,7 @@
 }
 
 // Run sends requests until ctx ends and waits for all answers.
-func (l *Load) Run(ctx context.Context) Result {
+func (l *Generator) Run(ctx context.Context) Result {
 	l.recorder = newResultRecorder(l.Settings.Caller)
 	l.httpClient = &http.Client{
 		Transport: &http.Transport{
@@ -84,7 +84,7 @@
 
 // nextInterval draws the time to the next arrival from an exponential
 // distribution, with a higher or lower rate during the burst.
-func (l *Load) nextInterval(r *rand.Rand, due timer.Instant) time.Duration {
+func (l *Generator) nextInterval(r *rand.Rand, due timer.Instant) time.Duration {
 	rate := l.Settings.PerSecond
 	at := due.Sub(l.started).Milliseconds()
 	if at >= l.Settings.BurstFromMS && at < l.Settings.BurstToMS {
@@ -96,7 +96,7 @@
 // runRequest sends the n-th request and records its outcome. It repeats the request
 // up to Settings.Retries times if the error says that it was not run and names a
 // retry time.
-func (l *Load) runRequest(n int, due timer.Instant) {
+func (l *Generator) runRequest(n int, due timer.Instant) {
 	id := fmt.Sprintf("%s-%d-%d", l.Settings.Caller, l.Settings.Seed, n)
 	var err error
 	for try := 0; ; try++ {
@@ -131,7 +131,7 @@
 // send sends a request once, through the first instance that can be reached and
 // is not shutting down. If the connection breaks, it asks other instances for the
 // answer of the ticket, up to maxTicketRetries times.
-func (l *Load) send(id string, n int, due timer.Instant) error {
+func (l *Generator) send(id string, n int, due timer.Instant) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(l.Settings.DeadlineMS)*time.Millisecond+2*time.Second)
 	defer cancel()
 	if l.Settings.Kind == "model" {
@@ -142,7 +142,7 @@
 	}
 	ticket := ""
 	for range maxInstanceAttempts {
-		address, err := l.Addresses.Pick(ctx)
+		address, err := l.Addresses.Next(ctx)
 		if err != nil {
 			return errNoInstanceReached
 		}
@@ -153,7 +153,7 @@
 			err = l.sendOrder(ctx, address, ticket, id, due)
 		}
 		if client.IsDialError(err) || problem.Is(err, problem.Leaving) {
-			l.Addresses.Failed(address)
+			l.Addresses.MarkFailed(address)
 			continue
 		}
 		for range maxTicketRetries {
@@ -169,10 +169,10 @@
 
 // retryTicket repeats an order with the same ticket at another instance, to get
 // the answer of the first attempt.
-func (l *Load) retryTicket(ctx context.Context, failed, ticket, id string, due timer.Instant) error {
-	l.Addresses.Failed(failed)
+func (l *Generator) retryTicket(ctx context.Context, failed, ticket, id string, due timer.Instant) error {
+	l.Addresses.MarkFailed(failed)
 	timer.Wait(l.Timer, 50*time.Millisecond, ctx.Done())
-	address, err := l.Addresses.Pick(ctx)
+	address, err := l.Addresses.Next(ctx)
 	if err != nil {
 		return err
 	}
@@ -180,7 +180,7 @@
 }
 
 // newClient returns a client that sends the headers of a request.
-func (l *Load) newClient(address, id, ticket string) client.Client {
+func (l *Generator) newClient(address, id, ticket string) client.Client {
 	h := make(http.Header)
 	h.Set(relay.HeaderCaller, l.Settings.Caller)
 	h.Set(relay.HeaderRequestID, id)
@@ -200,7 +200,7 @@
 }
 
 // requestTicket gets a ticket from the instance at address.
-func (l *Load) requestTicket(ctx context.Context, address string) (string, error) {
+func (l *Generator) requestTicket(ctx context.Context, address string) (string, error) {
 	var answer struct {
 		Tickets []string `json:"tickets"`
 	}
@@ -211,13 +211,13 @@
 }
 
 // sendOrder sends an order through the instance at address.
-func (l *Load) sendOrder(ctx context.Context, address, ticket, id string, due timer.Instant) error {
+func (l *Generator) sendOrder(ctx context.Context, address, ticket, id string, due timer.Instant) error {
 	return l.sendOrderTo(ctx, address, "/v1/services/"+l.Settings.Deployment+"/orders", ticket, id, due)
 }
 
 // sendOrderTo sends an order to address, checks that the answer belongs to it, and
 // records the answer.
-func (l *Load) sendOrderTo(ctx context.Context, address, path, ticket, id string, due timer.Instant) error {
+func (l *Generator) sendOrderTo(ctx context.Context, address, path, ticket, id string, due timer.Instant) error {
 	o := service.Order{
 		OrderID: id,
 		Detail:  "hide cut for " + id,
@@ -236,7 +236,7 @@
 
 // recordAnswer records a correct answer with its latency, the attempts that the
 // header names, and the second of the run in which it came.
-func (l *Load) recordAnswer(id string, h http.Header, due timer.Instant) {
+func (l *Generator) recordAnswer(id string, h http.Header, due timer.Instant) {
 	attempts, err := strconv.Atoi(h.Get(relay.HeaderAttempts))
 	if err != nil {
 		attempts = 1
@@ -247,7 +247,7 @@
 
 // sendCompletion sends a completion request and checks the text of the answer. It
 // tries up to maxInstanceAttempts instances, also after a broken connection.
-func (l *Load) sendCompletion(ctx context.Context, id string, n int, due timer.Instant) error {
+func (l *Generator) sendCompletion(ctx context.Context, id string, n int, due timer.Instant) error {
 	prompt := fmt.Sprintf("%s asks for label wording %d", l.Settings.Caller, n%l.Settings.Prompts)
 	body := caller.CompletionRequest{
 		Prompt:    prompt,
@@ -255,14 +255,14 @@
 		Seed:      uint64(n),
 	}
 	for range maxInstanceAttempts {
-		address, err := l.Addresses.Pick(ctx)
+		address, err := l.Addresses.Next(ctx)
 		if err != nil {
 			return errNoInstanceReached
 		}
 		var answer caller.Completion
 		h, err := l.newClient(address, id, "").DoHeader(ctx, http.MethodPost, "/v1/models/"+l.Settings.Deployment+"/completions", body, &answer)
 		if errors.Is(err, client.ErrNoAnswer) && ctx.Err() == nil {
-			l.Addresses.Failed(address)
+			l.Addresses.MarkFailed(address)
 			continue
 		}
 		if err != nil {
@@ -278,9 +278,9 @@
 	return errNoInstanceReached
 }
 
-// Compare counts contradictions between the outcomes that callers were given and
-// the runs that the services recorded.
-type Compare struct {
+// Discrepancies counts contradictions between the outcomes that callers were given
+// and the runs that the services recorded.
+type Discrepancies struct {
 	// RunTwice counts non-idempotent orders that ran more than once.
 	RunTwice int `json:"run_twice"`
 	// RefusedRan counts orders that were answered with "not run" and ran.
@@ -289,10 +289,10 @@
 	AnsweredNotRun int `json:"answered_not_run"`
 }
 
-// Check compares the outcomes with runs, the number of runs by order ID over all
-// services. It checks nothing for a stream of completions.
-func (l *Load) Check(runs map[string]int) Compare {
-	var c Compare
+// CompareRuns compares the outcomes with runs, the number of runs by order ID over
+// all services. It checks nothing for a stream of completions.
+func (l *Generator) CompareRuns(runs map[string]int) Discrepancies {
+	var c Discrepancies
 	if l.Settings.Kind == "model" {
 		return c
 	}
--- a/internal/load/orders/result.go
+++ b/internal/load/loadgen/result.go
@@ -1,4 +1,4 @@
-package orders
+package loadgen
 
 import (
 	"fmt"
@@ -17,25 +17,25 @@
 	Refused int `json:"refused"`
 	// Unknown counts requests whose error says that they may have been run.
 	Unknown int `json:"unknown"`
-	// MixedUp counts requests with an answer that belongs to another request or
-	// is incomplete.
-	MixedUp int `json:"mixed_up"`
-	// NoAnswer counts requests for which none of the known addresses had an
-	// instance that answered.
-	NoAnswer  int     `json:"no_answer"`
-	Attempts  float64 `json:"attempts_per_answer"`
-	P50MS     float64 `json:"p50_ms"`
-	P99MS     float64 `json:"p99_ms"`
-	P999MS    float64 `json:"p999_ms"`
-	RefuseP99 float64 `json:"refuse_p99_ms"`
+	// WrongAnswers counts requests with an answer that belongs to another request
+	// or is incomplete.
+	WrongAnswers int `json:"mixed_up"`
+	// Unreached counts requests that no instance at a known address took or
+	// answered.
+	Unreached         int     `json:"no_answer"`
+	AttemptsPerAnswer float64 `json:"attempts_per_answer"`
+	P50MS             float64 `json:"p50_ms"`
+	P99MS             float64 `json:"p99_ms"`
+	P999MS            float64 `json:"p999_ms"`
+	RefuseP99MS       float64 `json:"refuse_p99_ms"`
 	// PerSecond holds the number of answers in each second of the run.
 	PerSecond []int `json:"per_second,omitempty"`
-	// Faults holds the first errors of requests with an unknown outcome or a wrong
+	// Errors holds the first errors of requests with an unknown outcome or a wrong
 	// answer, at most maxFaults.
-	Faults []string `json:"faults,omitempty"`
+	Errors []string `json:"faults,omitempty"`
 }
 
-// Resolution of the latency histograms, and the limit of Result.Faults.
+// Resolution of the latency histograms, and the limit of Result.Errors.
 const (
 	maxLatencyMicros  = 600_000_000
 	significantDigits = 3
@@ -93,7 +93,7 @@
 	defer t.mu.Unlock()
 	t.outcomes[id] = o
 	if err == errNoInstanceReached {
-		t.result.NoAnswer++
+		t.result.Unreached++
 	}
 	if o == outcomeRefused {
 		t.result.Refused++
@@ -110,14 +110,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.outcomes[id] = outcomeAnswered
-	t.result.MixedUp++
+	t.result.WrongAnswers++
 	t.addFault(err)
 }
 
 // addFault keeps the text of err, unless there are maxFaults texts already.
 func (t *resultRecorder) addFault(err error) {
-	if len(t.result.Faults) < maxFaults {
-		t.result.Faults = append(t.result.Faults, fmt.Sprint(err))
+	if len(t.result.Errors) < maxFaults {
+		t.result.Errors = append(t.result.Errors, fmt.Sprint(err))
 	}
 }
 
@@ -127,11 +127,11 @@
 	defer t.mu.Unlock()
 	r := t.result
 	if r.Answered > 0 {
-		r.Attempts = float64(t.totalAttempts) / float64(r.Answered)
+		r.AttemptsPerAnswer = float64(t.totalAttempts) / float64(r.Answered)
 	}
 	r.P50MS = float64(t.answerLatency.ValueAtQuantile(50)) / 1000
 	r.P99MS = float64(t.answerLatency.ValueAtQuantile(99)) / 1000
 	r.P999MS = float64(t.answerLatency.ValueAtQuantile(99.9)) / 1000
-	r.RefuseP99 = float64(t.refusalLatency.ValueAtQuantile(99)) / 1000
+	r.RefuseP99MS = float64(t.refusalLatency.ValueAtQuantile(99)) / 1000
 	return r
 }
--- a/internal/load/orders/settings.go
+++ b/internal/load/loadgen/settings.go
@@ -1,4 +1,4 @@
-package orders
+package loadgen
 
 // Settings describe one stream of requests.
 type Settings struct {
--- a/internal/load/fleet/events.go
+++ b/internal/load/localfleet/events.go
@@ -1,4 +1,4 @@
-package fleet
+package localfleet
 
 import (
 	"bytes"
@@ -54,7 +54,7 @@
 	for _, p := range f.resolveTargets(e.Target) {
 		switch e.Action {
 		case "fault":
-			post(ctx, p.Address+fault.Path, e.Body())
+			post(ctx, p.Address+fault.Path, e.FaultBody())
 		case "leave":
 			post(ctx, p.Address+"/leave", nil)
 		case "freeze":
--- a/internal/load/fleet/fleet.go
+++ b/internal/load/localfleet/fleet.go
@@ -1,4 +1,4 @@
-package fleet
+package localfleet
 
 import (
 	"context"
@@ -28,10 +28,11 @@
 
 // Fleet holds the processes of one experiment.
 type Fleet struct {
-	// Binaries is the directory with the programs. Folder is the directory for
-	// settings files and logs; Start deletes its contents.
-	Binaries      string
-	Folder        string
+	// BinaryDir is the directory with the programs.
+	BinaryDir string
+	// WorkDir is the directory for settings files and logs; Start deletes its
+	// contents.
+	WorkDir       string
 	Scenario      scenario.Scenario
 	Configuration configuration.Configuration
 	Timer         timer.Service
@@ -55,10 +56,10 @@
 func (f *Fleet) Start(ctx context.Context) error {
 	// Process logs are appended to, and runs are counted from them, so logs of an
 	// earlier run must not remain.
-	if err := os.RemoveAll(f.Folder); err != nil {
+	if err := os.RemoveAll(f.WorkDir); err != nil {
 		return err
 	}
-	if err := os.MkdirAll(f.Folder, 0o755); err != nil {
+	if err := os.MkdirAll(f.WorkDir, 0o755); err != nil {
 		return err
 	}
 	f.byName = make(map[string]*Process)
@@ -80,9 +81,9 @@
 	p := &Process{
 		Name:    name,
 		Address: address,
-		path:    filepath.Join(f.Binaries, program),
+		path:    filepath.Join(f.BinaryDir, program),
 		args:    args,
-		log:     filepath.Join(f.Folder, name+".log"),
+		log:     filepath.Join(f.WorkDir, name+".log"),
 	}
 	f.byName[name] = p
 	return p, p.start()
@@ -105,12 +106,12 @@
 		{
 			name: "weights",
 			args: []string{
-				"--per-second", fmt.Sprint(w.PerSecond),
-				"--took", (time.Duration(w.TookMS) * time.Millisecond).String(),
+				"--per-second", fmt.Sprint(w.FetchesPerSecond),
+				"--took", (time.Duration(w.FetchMS) * time.Millisecond).String(),
 			},
 		},
 	} {
-		address, err := f.ports.Free()
+		address, err := f.ports.Next()
 		if err != nil {
 			return err
 		}
@@ -164,7 +165,7 @@
 }
 
 func (f *Fleet) startUpstream(kind, name string, details any) error {
-	address, err := f.ports.Free()
+	address, err := f.ports.Next()
 	if err != nil {
 		return err
 	}
@@ -193,10 +194,10 @@
 	peers := make([]string, n)
 	for i := range n {
 		var err error
-		if listen[i], err = f.ports.Free(); err != nil {
+		if listen[i], err = f.ports.Next(); err != nil {
 			return err
 		}
-		if peers[i], err = f.ports.Free(); err != nil {
+		if peers[i], err = f.ports.Next(); err != nil {
 			return err
 		}
 	}
@@ -233,13 +234,13 @@
 	return nil
 }
 
-// writeSettings writes v as JSON to a file in Folder and returns its path.
+// writeSettings writes v as JSON to a file in WorkDir and returns its path.
 func (f *Fleet) writeSettings(name string, v any) (string, error) {
 	data, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(f.Folder, name+".json")
+	path := filepath.Join(f.WorkDir, name+".json")
 	return path, os.WriteFile(path, data, 0o644)
 }
 
@@ -274,7 +275,7 @@
 	for _, p := range f.Instances {
 		for !f.ready(p) {
 			if f.Timer.Now() >= end || !timer.Wait(f.Timer, readyPollInterval, ctx.Done()) {
-				return fmt.Errorf("instance %s is not ready; end of its log in %s:\n%s", p.Name, f.Folder, p.logTail())
+				return fmt.Errorf("instance %s is not ready; end of its log in %s:\n%s", p.Name, f.WorkDir, p.logTail())
 			}
 		}
 	}
--- a/internal/load/fleet/process.go
+++ b/internal/load/localfleet/process.go
@@ -1,4 +1,4 @@
-package fleet
+package localfleet
 
 import (
 	"fmt"
@@ -26,8 +26,8 @@
 	err  error
 }
 
-// Log returns the path of the file with the output of the process.
-func (p *Process) Log() string { return p.log }
+// LogPath returns the path of the file with the output of the process.
+func (p *Process) LogPath() string { return p.log }
 
 // logTailBytes is how much of a log an error message contains.
 const logTailBytes = 2000
--- a/internal/load/port/doc.go
+++ b/internal/load/port/doc.go
@@ -5,5 +5,5 @@
 //
 //	var block port.Block
 //	defer block.Release()
-//	address, err := block.Free()
+//	address, err := block.Next()
 package port
--- a/internal/load/port/port.go
+++ b/internal/load/port/port.go
@@ -30,9 +30,9 @@
 	end         int
 }
 
-// Free returns a loopback address whose port is free now and was not returned
+// Next returns a loopback address whose port is free now and was not returned
 // before. The first call reserves a block.
-func (p *Block) Free() (string, error) {
+func (p *Block) Next() (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.reservation == nil && !p.reserve() {
--- a/internal/load/scenario/scenario.go
+++ b/internal/load/scenario/scenario.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 
 	"github.com/egretbend/egretbend/internal/fleet/configuration"
-	"github.com/egretbend/egretbend/internal/load/orders"
+	"github.com/egretbend/egretbend/internal/load/loadgen"
 	"github.com/egretbend/egretbend/internal/standin/engine"
 	"github.com/egretbend/egretbend/internal/standin/service"
 	"github.com/egretbend/egretbend/internal/standin/trainer"
@@ -23,21 +23,21 @@
 	// Configuration is the path of the configuration file, relative to the
 	// directory of the scenario file.
 	Configuration string `json:"configuration" need:"true"`
-	// Change lists overrides of deployments in the configuration.
-	Change   []Change           `json:"change"`
-	Weights  Weights            `json:"weights"`
-	Engines  []Upstreams        `json:"engines"`
-	Services []Upstreams        `json:"services"`
-	Orders   []orders.Settings  `json:"orders"`
-	Trainers []trainer.Settings `json:"trainers"`
-	Events   []Event            `json:"events"`
+	// Overrides lists overrides of deployments in the configuration.
+	Overrides []DeploymentOverride `json:"change"`
+	Weights   WeightStore          `json:"weights"`
+	Engines   []UpstreamGroup      `json:"engines"`
+	Services  []UpstreamGroup      `json:"services"`
+	Orders    []loadgen.Settings   `json:"orders"`
+	Trainers  []trainer.Settings   `json:"trainers"`
+	Events    []Event              `json:"events"`
 	// Variants are run one after the other with the same seeds.
 	Variants []Variant `json:"variants"`
 }
 
-// Change overrides fields of the deployment with the given name. Empty and nil
-// fields are left as they are.
-type Change struct {
+// DeploymentOverride overrides fields of the deployment with the given name. Empty
+// and nil fields leave the configured value.
+type DeploymentOverride struct {
 	Deployment     string   `json:"deployment" need:"true"`
 	Policy         string   `json:"policy" default:""`
 	SecondAttempts *float64 `json:"second_attempts"`
@@ -49,22 +49,22 @@
 // Variant is a named set of overrides that a scenario is run with, to compare it
 // with other variants.
 type Variant struct {
-	Name   string   `json:"name" need:"true"`
-	Change []Change `json:"change"`
+	Name      string               `json:"name" need:"true"`
+	Overrides []DeploymentOverride `json:"change"`
 	// RunAhead overrides the run-ahead of all trainers, if it is set.
 	RunAhead *float64 `json:"run_ahead"`
 }
 
-// Weights holds the settings of the weight store: the fetches that may begin per
-// second, and the duration of a fetch.
-type Weights struct {
-	PerSecond float64 `json:"per_second" default:"20" min:"0.1"`
-	TookMS    int64   `json:"took_ms" default:"200" min:"0"`
+// WeightStore holds the settings of the weight store: the fetches that may begin
+// per second, and the duration of a fetch.
+type WeightStore struct {
+	FetchesPerSecond float64 `json:"per_second" default:"20" min:"0.1"`
+	FetchMS          int64   `json:"took_ms" default:"200" min:"0"`
 }
 
-// Upstreams describes a number of upstreams with the same settings: engines or
-// services, depending on the list of the scenario that it stands in.
-type Upstreams struct {
+// UpstreamGroup describes a number of upstreams with the same settings: engines or
+// services, depending on the list of the scenario that contains it.
+type UpstreamGroup struct {
 	Count   int               `json:"count" default:"10" min:"1" max:"200"`
 	Engine  *engine.Settings  `json:"engine"`
 	Service *service.Settings `json:"service"`
@@ -82,15 +82,15 @@
 	// Action is fault, kill, restart, stop, freeze, thaw or leave.
 	Action string `json:"action" need:"true" oneof:"fault,kill,restart,stop,freeze,thaw,leave"`
 	// Fault is the body of the request to the target's fault endpoint.
-	Fault map[string]Value `json:"fault"`
+	Fault map[string]FaultValue `json:"fault"`
 }
 
-// Value is the value of a fault field. Fields that are booleans on the wire are
-// written as 0 or 1.
-type Value float64
+// FaultValue is the value of a fault field. Fields that are booleans on the wire
+// are written as 0 or 1.
+type FaultValue float64
 
-// Body returns the fault as JSON, with boolean fields as booleans.
-func (e Event) Body() []byte {
+// FaultBody returns the fault as JSON, with boolean fields as booleans.
+func (e Event) FaultBody() []byte {
 	out := make(map[string]any, len(e.Fault))
 	for name, v := range e.Fault {
 		switch name {
@@ -107,9 +107,9 @@
 	return b
 }
 
-// Apply returns a copy of cfg with changes applied to its deployments. Changes of
-// unknown deployments are ignored.
-func Apply(cfg configuration.Configuration, changes []Change) configuration.Configuration {
+// ApplyOverrides returns a copy of cfg with the overrides applied to its
+// deployments. Overrides of unknown deployments are ignored.
+func ApplyOverrides(cfg configuration.Configuration, changes []DeploymentOverride) configuration.Configuration {
 	cfg.Deployments = append([]configuration.Deployment(nil), cfg.Deployments...)
 	for _, c := range changes {
 		for i := range cfg.Deployments {
@@ -122,7 +122,7 @@
 }
 
 // applyTo overwrites the fields of d that c sets.
-func (c Change) applyTo(d *configuration.Deployment) {
+func (c DeploymentOverride) applyTo(d *configuration.Deployment) {
 	if c.Policy != "" {
 		d.Policy = c.Policy
 	}
--- a/internal/standin/trainer/trainer.go
+++ b/internal/standin/trainer/trainer.go
@@ -32,7 +32,7 @@
 // Trainer is a simulated trainer. It needs Settings, Addresses and a Timer.
 type Trainer struct {
 	Settings  Settings
-	Addresses *addresses.Book
+	Addresses *addresses.Cache
 	Timer     timer.Service
 	// MaxStaleness is the maximum staleness of a sample, in versions.
 	MaxStaleness uint64
@@ -142,7 +142,7 @@
 		problem.Is(err, problem.SessionFenced),
 		problem.Is(err, problem.CursorUnknown):
 		if t.address != "" {
-			t.Addresses.Failed(t.address)
+			t.Addresses.MarkFailed(t.address)
 		}
 		t.address = ""
 	}
@@ -171,7 +171,7 @@
 
 // open opens a session with the next number at an instance.
 func (t *Trainer) open(ctx context.Context) error {
-	address, err := t.Addresses.Pick(ctx)
+	address, err := t.Addresses.Next(ctx)
 	if err != nil {
 		return err
 	}
@@ -180,7 +180,7 @@
 		Session: t.sessionNumber,
 	}, nil)
 	if err != nil {
-		t.Addresses.Failed(address)
+		t.Addresses.MarkFailed(address)
 		return err
 	}
 	t.address = address
@@ -297,7 +297,7 @@
 // done.
 func (t *Trainer) publish(ctx context.Context) {
 	for ctx.Err() == nil {
-		address, err := t.Addresses.Pick(ctx)
+		address, err := t.Addresses.Next(ctx)
 		if err == nil {
 			err = t.call(ctx, address, "/v1/models/"+t.Settings.Deployment+"/versions", version.Published{
 				Version: t.version,
@@ -312,7 +312,7 @@
 			}
 			return
 		}
-		t.Addresses.Failed(address)
+		t.Addresses.MarkFailed(address)
 		timer.Wait(t.Timer, retryDelay, ctx.Done())
 	}
 }
