--- a/internal/load/experiment/experiment.go
+++ b/internal/load/experiment/experiment.go
@@ -27,7 +27,7 @@
 type Runner struct {
 	Scenario scenario.Scenario
 	// Configuration is the service configuration before the scenario's and the
-	// variant's changes.
+	// variant's overrides.
 	Configuration configuration.Configuration
 	// BinaryDir is the directory with the built programs.
 	BinaryDir string
@@ -58,7 +58,7 @@
 	before := readStats[keyvalue.Stats](f.Find("keyvalue"))
 	metrics, started := readAllMetrics(f), x.Timer.Now()
 	x.runLoad(ctx, f, v, report)
-	report.ResourceUsage = computeCost(metrics, readAllMetrics(f), x.Timer.Now().Sub(started).Seconds())
+	report.ResourceUsage = computeUsage(metrics, readAllMetrics(f), x.Timer.Now().Sub(started).Seconds())
 	report.addKeyValue(before, readStats[keyvalue.Stats](f.Find("keyvalue")))
 	x.addEngines(f, report)
 	for _, err := range f.Drain() {
@@ -84,16 +84,16 @@
 		wg.Go(func() { tracker.pollUntilDone(ctx, f) })
 	}
 	var mu sync.Mutex
-	loads := make([]*loadgen.Generator, len(x.Scenario.Orders))
+	generators := make([]*loadgen.Generator, len(x.Scenario.Orders))
 	results := make([]loadgen.Result, len(x.Scenario.Orders))
 	for i, s := range x.Scenario.Orders {
-		loads[i] = &loadgen.Generator{
+		generators[i] = &loadgen.Generator{
 			Settings:  s,
-			Addresses: x.newAddressBook(f, s.Caller, s.FailureDomain),
+			Addresses: x.newAddressCache(f, s.Caller, s.FailureDomain),
 			Timer:     x.Timer,
 			Services:  serviceAddresses(f),
 		}
-		wg.Go(func() { results[i] = loads[i].Run(ctx) })
+		wg.Go(func() { results[i] = generators[i].Run(ctx) })
 	}
 	for _, s := range x.Scenario.Trainers {
 		t := x.newTrainer(f, s, v)
@@ -108,8 +108,8 @@
 	wg.Wait()
 	report.SwapP50, report.SwapMax = tracker.medianAndLongest()
 	runs := x.countRuns(f)
-	for i, l := range loads {
-		report.addOrders(results[i], l.CompareRuns(runs))
+	for i, g := range generators {
+		report.addOrders(results[i], g.CompareRuns(runs))
 	}
 }
 
@@ -125,13 +125,13 @@
 	}
 	return &trainer.Trainer{
 		Settings:     s,
-		Addresses:    x.newAddressBook(f, s.Name, ""),
+		Addresses:    x.newAddressCache(f, s.Name, ""),
 		Timer:        x.Timer,
 		MaxStaleness: bound,
 	}
 }
 
-func (x *Runner) newAddressBook(f *localfleet.Fleet, caller, domain string) *addresses.Cache {
+func (x *Runner) newAddressCache(f *localfleet.Fleet, caller, domain string) *addresses.Cache {
 	return &addresses.Cache{
 		Caller:        caller,
 		FailureDomain: domain,
@@ -152,7 +152,7 @@
 }
 
 // countRuns returns how often each order ran, by order ID. It reads the logs of
-// the services, so runs of processes that have ended are included.
+// the services, so it includes the runs of processes that have ended.
 func (x *Runner) countRuns(f *localfleet.Fleet) map[string]int {
 	sum := make(map[string]int)
 	for _, p := range f.Upstreams {
--- a/internal/load/experiment/report.go
+++ b/internal/load/experiment/report.go
@@ -135,13 +135,13 @@
 			fmt.Fprintf(w, "    %s\n", f)
 		}
 	}
-	fmt.Fprintf(w, "  weights on the last engine after p50 %.2f s max %.2f s\n", r.SwapP50, r.SwapMax)
-	fmt.Fprintf(w, "  tokens made %d, cache hits %.0f%%, key-value calls %.1f/s writes %.1f/s\n",
+	fmt.Fprintf(w, "  weight version on all engines after p50 %.2f s max %.2f s\n", r.SwapP50, r.SwapMax)
+	fmt.Fprintf(w, "  tokens generated %d, cache hits %.0f%%, key-value calls %.1f/s writes %.1f/s\n",
 		r.TokensGenerated, 100*r.CacheHitShare, r.KeyValueCalls, r.KeyValueWrites)
-	fmt.Fprintf(w, "  an instance: cpu %.2f%% (most %.2f%%) resident %.1f MB (most %.1f) heap %.1f MB peers %.1f kB/s (most %.1f)\n",
+	fmt.Fprintf(w, "  per instance: cpu %.2f%% (max %.2f%%) resident %.1f MB (max %.1f) heap %.1f MB peer traffic %.1f kB/s (max %.1f)\n",
 		100*r.ResourceUsage.CPUShare, 100*r.ResourceUsage.CPUShareMax, r.ResourceUsage.ResidentMB, r.ResourceUsage.ResidentMaxMB, r.ResourceUsage.HeapMB,
 		r.ResourceUsage.PeerBytesPerSecond/1000, r.ResourceUsage.PeerBytesPerSecondMax/1000)
-	for _, wrong := range r.Violations() {
-		fmt.Fprintf(w, "  WRONG: %s\n", wrong)
+	for _, violation := range r.Violations() {
+		fmt.Fprintf(w, "  WRONG: %s\n", violation)
 	}
 }
--- a/internal/load/experiment/proof_test.go
+++ b/internal/load/experiment/scenario_test.go
@@ -252,9 +252,9 @@
 }
 
 // Guards against samples whose recorded weight versions differ from those that
-// generated the text. Engines break streams, name other attempts in streams, crash
-// and restart with old weights, and report errors for version switches that may
-// have taken effect.
+// generated the text. Engines break off streams, send the attempt IDs of other
+// requests, crash and restart with old weights, and report errors for version
+// switches that may have taken effect.
 func TestBrokenEngines(t *testing.T) {
 	events := []scenario.Event{
 		faultEvent(1000, "sampler-1", map[string]scenario.FaultValue{"break_share": 0.3}),
--- a/internal/load/experiment/usage.go
+++ b/internal/load/experiment/usage.go
@@ -92,10 +92,10 @@
 	}, nil
 }
 
-// computeCost returns the usage between two snapshots that are seconds apart. It
+// computeUsage returns the usage between two snapshots that are seconds apart. It
 // skips instances that are missing from after or were restarted, which shows as
 // a CPU counter that went down.
-func computeCost(before, after map[string]instanceMetrics, seconds float64) ResourceUsage {
+func computeUsage(before, after map[string]instanceMetrics, seconds float64) ResourceUsage {
 	var cpu, resident, heap, bytes []float64
 	for name, b := range before {
 		a, ok := after[name]
--- a/internal/load/faultplan/plan.go
+++ b/internal/load/faultplan/plan.go
@@ -93,18 +93,18 @@
 	return fmt.Sprintf("%s of %d at %s for %s", f.Kind, f.Target, f.Start.Round(time.Millisecond), f.Duration.Round(time.Millisecond))
 }
 
-// Times and sizes of storms.
+// Times and sizes of bursts.
 const (
-	// firstStormAt is when the first storm begins. Everything must work by then.
-	firstStormAt = time.Second
-	// Each fault lasts from minDuration to maxDuration. The faults of a storm begin
+	// firstBurstAt is when the first burst begins. The deployment must work by then.
+	firstBurstAt = time.Second
+	// Each fault lasts from minDuration to maxDuration. The faults of a burst begin
 	// within startWindow.
 	maxDuration = 2500 * time.Millisecond
 	minDuration = 300 * time.Millisecond
 	startWindow = 1500 * time.Millisecond
-	// RecoveryTime is the time after a storm within which everything must recover.
+	// RecoveryTime is the time after a burst within which everything must recover.
 	RecoveryTime = 6 * time.Second
-	// maxFaults is the highest number of faults in a storm.
+	// maxFaults is the highest number of faults in a burst.
 	maxFaults = 4
 )
 
@@ -113,11 +113,11 @@
 func Generate(seed uint64, length time.Duration, instances, engines int) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	var plan []Fault
-	for stormStart := firstStormAt; stormStart+startWindow+maxDuration+RecoveryTime <= length; stormStart += startWindow + maxDuration + RecoveryTime {
+	for burstStart := firstBurstAt; burstStart+startWindow+maxDuration+RecoveryTime <= length; burstStart += startWindow + maxDuration + RecoveryTime {
 		for range 2 + rng.IntN(maxFaults-1) {
 			f := Fault{
 				Kind:     Kind(rng.IntN(int(kindCount))),
-				Start:    stormStart + time.Duration(rng.Int64N(int64(startWindow))),
+				Start:    burstStart + time.Duration(rng.Int64N(int64(startWindow))),
 				Duration: minDuration + time.Duration(rng.Int64N(int64(maxDuration-minDuration))),
 			}
 			f.Target = rng.IntN(instances)
--- a/internal/load/faultplan/plan_test.go
+++ b/internal/load/faultplan/plan_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A failure is reported by its seed. Guards against a plan that differs between
-// two runs of one seed, that leaves no time to check the recovery, or that never
-// contains some kind of fault.
+// A failed soak test is reproduced by its seed. Guards against a plan that differs
+// between two runs of one seed, that leaves no time to check the recovery, or that
+// never contains some kind of fault.
 func TestPlan(t *testing.T) {
 	is := is.New(t)
 	a, b := Generate(7, time.Minute, 5, 6), Generate(7, time.Minute, 5, 6)
--- a/internal/load/loadgen/result.go
+++ b/internal/load/loadgen/result.go
@@ -31,7 +31,7 @@
 	// PerSecond holds the number of answers in each second of the run.
 	PerSecond []int `json:"per_second,omitempty"`
 	// Errors holds the first errors of requests with an unknown outcome or a wrong
-	// answer, at most maxFaults.
+	// answer, at most maxErrors.
 	Errors []string `json:"faults,omitempty"`
 }
 
@@ -39,7 +39,7 @@
 const (
 	maxLatencyMicros  = 600_000_000
 	significantDigits = 3
-	maxFaults         = 5
+	maxErrors         = 5
 )
 
 // resultRecorder collects the results of concurrent requests.
@@ -74,64 +74,64 @@
 }
 
 // recordAnswer records a correct answer that came in the given second of the run.
-func (t *resultRecorder) recordAnswer(id string, took time.Duration, attempts, second int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.result.Answered++
-	t.totalAttempts += attempts
-	t.outcomes[id] = outcomeAnswered
-	_ = t.answerLatency.RecordValue(took.Microseconds())
-	for len(t.result.PerSecond) <= second {
-		t.result.PerSecond = append(t.result.PerSecond, 0)
+func (r *resultRecorder) recordAnswer(id string, took time.Duration, attempts, second int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.result.Answered++
+	r.totalAttempts += attempts
+	r.outcomes[id] = outcomeAnswered
+	_ = r.answerLatency.RecordValue(took.Microseconds())
+	for len(r.result.PerSecond) <= second {
+		r.result.PerSecond = append(r.result.PerSecond, 0)
 	}
-	t.result.PerSecond[second]++
+	r.result.PerSecond[second]++
 }
 
 // recordFailure records an error. Only refusals count in the refusal latencies.
-func (t *resultRecorder) recordFailure(id string, o outcome, took time.Duration, err error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.outcomes[id] = o
+func (r *resultRecorder) recordFailure(id string, o outcome, took time.Duration, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.outcomes[id] = o
 	if err == errNoInstanceReached {
-		t.result.Unreached++
+		r.result.Unreached++
 	}
 	if o == outcomeRefused {
-		t.result.Refused++
-		_ = t.refusalLatency.RecordValue(took.Microseconds())
+		r.result.Refused++
+		_ = r.refusalLatency.RecordValue(took.Microseconds())
 		return
 	}
-	t.result.Unknown++
-	t.addFault(err)
+	r.result.Unknown++
+	r.addError(err)
 }
 
 // recordMismatch records an answer that doesn't match its request. The request
 // counts as answered when it is compared with the recorded runs.
-func (t *resultRecorder) recordMismatch(id string, err error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.outcomes[id] = outcomeAnswered
-	t.result.WrongAnswers++
-	t.addFault(err)
+func (r *resultRecorder) recordMismatch(id string, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.outcomes[id] = outcomeAnswered
+	r.result.WrongAnswers++
+	r.addError(err)
 }
 
-// addFault keeps the text of err, unless there are maxFaults texts already.
-func (t *resultRecorder) addFault(err error) {
-	if len(t.result.Errors) < maxFaults {
-		t.result.Errors = append(t.result.Errors, fmt.Sprint(err))
+// addError keeps the text of err, unless there are maxErrors texts already.
+func (r *resultRecorder) addError(err error) {
+	if len(r.result.Errors) < maxErrors {
+		r.result.Errors = append(r.result.Errors, fmt.Sprint(err))
 	}
 }
 
 // finish returns the result with its percentiles.
-func (t *resultRecorder) finish() Result {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	r := t.result
-	if r.Answered > 0 {
-		r.AttemptsPerAnswer = float64(t.totalAttempts) / float64(r.Answered)
+func (r *resultRecorder) finish() Result {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	result := r.result
+	if result.Answered > 0 {
+		result.AttemptsPerAnswer = float64(r.totalAttempts) / float64(result.Answered)
 	}
-	r.P50MS = float64(t.answerLatency.ValueAtQuantile(50)) / 1000
-	r.P99MS = float64(t.answerLatency.ValueAtQuantile(99)) / 1000
-	r.P999MS = float64(t.answerLatency.ValueAtQuantile(99.9)) / 1000
-	r.RefuseP99MS = float64(t.refusalLatency.ValueAtQuantile(99)) / 1000
-	return r
+	result.P50MS = float64(r.answerLatency.ValueAtQuantile(50)) / 1000
+	result.P99MS = float64(r.answerLatency.ValueAtQuantile(99)) / 1000
+	result.P999MS = float64(r.answerLatency.ValueAtQuantile(99.9)) / 1000
+	result.RefuseP99MS = float64(r.refusalLatency.ValueAtQuantile(99)) / 1000
+	return result
 }
--- a/internal/load/localfleet/fleet.go
+++ b/internal/load/localfleet/fleet.go
@@ -83,7 +83,7 @@
 		Address: address,
 		path:    filepath.Join(f.BinaryDir, program),
 		args:    args,
-		log:     filepath.Join(f.WorkDir, name+".log"),
+		logPath: filepath.Join(f.WorkDir, name+".log"),
 	}
 	f.byName[name] = p
 	return p, p.start()
@@ -292,7 +292,7 @@
 	return err == nil && status.Revision > 0 && len(status.Upstreams) >= len(f.Upstreams)
 }
 
-// Addresses returns the addresses of all instances, also of ended ones.
+// Addresses returns the addresses of all instances, including those that have ended.
 func (f *Fleet) Addresses() []string {
 	list := make([]string, 0, len(f.Instances))
 	for _, p := range f.Instances {
--- a/internal/load/localfleet/process.go
+++ b/internal/load/localfleet/process.go
@@ -18,32 +18,32 @@
 	// Kind is "engine" or "service" for an upstream, and empty otherwise.
 	Kind string
 
-	path string
-	args []string
-	log  string
-	cmd  *exec.Cmd
-	done chan struct{}
-	err  error
+	path    string
+	args    []string
+	logPath string
+	cmd     *exec.Cmd
+	done    chan struct{}
+	err     error
 }
 
 // LogPath returns the path of the file with the output of the process.
-func (p *Process) LogPath() string { return p.log }
+func (p *Process) LogPath() string { return p.logPath }
 
 // logTailBytes is how much of a log an error message contains.
 const logTailBytes = 2000
 
 // logTail returns the end of the log, or the error of reading it.
 func (p *Process) logTail() string {
-	data, err := os.ReadFile(p.log)
+	data, err := os.ReadFile(p.logPath)
 	if err != nil {
 		return err.Error()
 	}
 	return string(data[max(0, len(data)-logTailBytes):])
 }
 
-// start starts the process and appends its output to the log.
+// start starts the program and appends its output to the log.
 func (p *Process) start() error {
-	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
--- a/internal/load/scenario/scenario.go
+++ b/internal/load/scenario/scenario.go
@@ -109,12 +109,12 @@
 
 // ApplyOverrides returns a copy of cfg with the overrides applied to its
 // deployments. Overrides of unknown deployments are ignored.
-func ApplyOverrides(cfg configuration.Configuration, changes []DeploymentOverride) configuration.Configuration {
+func ApplyOverrides(cfg configuration.Configuration, overrides []DeploymentOverride) configuration.Configuration {
 	cfg.Deployments = append([]configuration.Deployment(nil), cfg.Deployments...)
-	for _, c := range changes {
+	for _, o := range overrides {
 		for i := range cfg.Deployments {
-			if cfg.Deployments[i].Name == c.Deployment {
-				c.applyTo(&cfg.Deployments[i])
+			if cfg.Deployments[i].Name == o.Deployment {
+				o.applyTo(&cfg.Deployments[i])
 			}
 		}
 	}
@@ -122,20 +122,20 @@
 }
 
 // applyTo overwrites the fields of d that c sets.
-func (c DeploymentOverride) applyTo(d *configuration.Deployment) {
-	if c.Policy != "" {
-		d.Policy = c.Policy
+func (o DeploymentOverride) applyTo(d *configuration.Deployment) {
+	if o.Policy != "" {
+		d.Policy = o.Policy
 	}
-	if c.Weighting != "" {
-		d.Rounds.Weighting = configuration.Weighting(c.Weighting)
+	if o.Weighting != "" {
+		d.Rounds.Weighting = configuration.Weighting(o.Weighting)
 	}
-	if c.SecondAttempts != nil {
-		d.Rounds.SecondAttempts = *c.SecondAttempts
+	if o.SecondAttempts != nil {
+		d.Rounds.SecondAttempts = *o.SecondAttempts
 	}
-	if c.MaxVersions != nil {
-		d.Staleness.MaxVersions = uint64(*c.MaxVersions)
+	if o.MaxVersions != nil {
+		d.Staleness.MaxVersions = uint64(*o.MaxVersions)
 	}
-	if c.DropAfterMS != nil {
-		d.Rounds.DropAfterMS = int64(*c.DropAfterMS)
+	if o.DropAfterMS != nil {
+		d.Rounds.DropAfterMS = int64(*o.DropAfterMS)
 	}
 }
