--- a/internal/load/experiment/configuration_test.go
+++ b/internal/load/experiment/configuration_test.go
@@ -189,7 +189,7 @@
 // process doesn't end by itself.
 func TestOperatorDrainsInstance(t *testing.T) {
 	is := is.New(t)
-	f := startFleet(t, "drain_door")
+	f := startFleet(t, "drain_request")
 	p := f.Instances[0]
 	is.NoErr(client.Client{
 		Address: p.Address,
--- a/internal/load/experiment/scenario_test.go
+++ b/internal/load/experiment/scenario_test.go
@@ -27,18 +27,18 @@
 var fleetSlots = make(chan struct{}, 3)
 
 func TestMain(m *testing.M) {
-	folder, err := os.MkdirTemp("", "egretbend")
+	dir, err := os.MkdirTemp("", "egretbend")
 	if err != nil {
 		panic(err)
 	}
-	binaries = folder
-	build := exec.Command("go", "build", "-o", folder, "github.com/egretbend/egretbend/cmd/...")
+	binaries = dir
+	build := exec.Command("go", "build", "-o", dir, "github.com/egretbend/egretbend/cmd/...")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Printf("%s\n", out)
 		os.Exit(1)
 	}
 	code := m.Run()
-	_ = os.RemoveAll(folder)
+	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
@@ -252,9 +252,9 @@
 }
 
 // Guards against samples whose recorded weight versions differ from those that
-// generated the text. Engines break off streams, send the attempt IDs of other
-// requests, crash and restart with old weights, and report errors for version
-// switches that may have taken effect.
+// generated the text. Engines break off streams, report the ID of another attempt,
+// crash and restart with old weights, and report errors for version switches that
+// may have taken effect.
 func TestBrokenEngines(t *testing.T) {
 	events := []scenario.Event{
 		faultEvent(1000, "sampler-1", map[string]scenario.FaultValue{"break_share": 0.3}),
--- a/internal/load/experiment/swaps.go
+++ b/internal/load/experiment/swaps.go
@@ -70,9 +70,9 @@
 	now := s.timer.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for v, at := range s.pending {
+	for v, publishedAt := range s.pending {
 		if !first && !oldest.Less(v) {
-			s.durations = append(s.durations, now.Sub(at).Seconds())
+			s.durations = append(s.durations, now.Sub(publishedAt).Seconds())
 			delete(s.pending, v)
 		}
 	}
--- a/internal/load/localfleet/events.go
+++ b/internal/load/localfleet/events.go
@@ -39,12 +39,12 @@
 	}
 	sort.SliceStable(schedule, func(i, j int) bool { return schedule[i].at < schedule[j].at })
 	started := f.Timer.Now()
-	for _, d := range schedule {
-		wait := d.at - f.Timer.Now().Sub(started)
+	for _, scheduled := range schedule {
+		wait := scheduled.at - f.Timer.Now().Sub(started)
 		if wait > 0 && !timer.Wait(f.Timer, wait, ctx.Done()) {
 			return
 		}
-		f.applyEvent(ctx, d.event)
+		f.applyEvent(ctx, scheduled.event)
 	}
 }
 
