--- a/internal/load/faultproxy/proxy_test.go
+++ b/internal/load/faultproxy/proxy_test.go
@@ -42,12 +42,12 @@
 // blackhole states must not close connections, and the held bytes must arrive when
 // the proxy is healthy again; a reset must break open connections and let new ones
 // work.
-func TestLinkStates(t *testing.T) {
+func TestProxyStates(t *testing.T) {
 	is := is.New(t)
-	l, err := Listen(startEchoServer(t))
+	p, err := Listen(startEchoServer(t))
 	is.NoErr(err)
-	defer l.Close()
-	c, err := net.Dial("tcp", l.Address())
+	defer p.Close()
+	c, err := net.Dial("tcp", p.Address())
 	is.NoErr(err)
 	send := func() {
 		_, err := c.Write([]byte("x"))
@@ -56,25 +56,25 @@
 	send()
 	is.True(receivesByte(c, time.Second))
 	for _, s := range []State{Blackhole, BlackholeRequests, BlackholeResponses} {
-		l.SetState(s)
+		p.SetState(s)
 		send()
 		is.True(!receivesByte(c, 50*time.Millisecond))
-		l.SetState(Healthy)
+		p.SetState(Healthy)
 		is.True(receivesByte(c, time.Second))
 	}
-	l.SetState(Slow)
+	p.SetState(Slow)
 	began := time.Now()
 	send()
 	is.True(receivesByte(c, time.Second))
 	is.True(time.Since(began) >= slowDelay)
-	l.SetState(Healthy)
-	l.ResetConnections()
+	p.SetState(Healthy)
+	p.ResetConnections()
 	is.True(!receivesByte(c, time.Second))
-	c, err = net.Dial("tcp", l.Address())
+	c, err = net.Dial("tcp", p.Address())
 	is.NoErr(err)
 	send()
 	is.True(receivesByte(c, time.Second))
-	l.SetState(Refusing)
+	p.SetState(Refusing)
 	is.True(!receivesByte(c, time.Second))
 	is.Equal(Refusing.String(), "shut")
 	is.Equal(State(99).String(), "unknown")
