--- a/cmd/egretplay/crashes.go
+++ b/cmd/egretplay/crashes.go
@@ -44,7 +44,7 @@
 	addPlanFlags(cmd, &plan.Plan, 12*time.Second)
 	flags := cmd.Flags()
 	flags.IntVar(&plan.CrashableUpstreams, "seats", 8, "number of upstreams that can be crashed")
-	flags.IntVar(&plan.CrashingRequests, "deadly", 3, "number of different requests that crash them")
+	flags.IntVar(&plan.PoisonRequests, "deadly", 3, "number of different requests that crash them")
 	flags.DurationVar(&plan.ResendInterval, "every", time.Second, "interval at which each of them is sent again")
 	flags.DurationVar(&plan.PropagationTime, "contact", 3*time.Second, "time within which instances learn of a third crash, also after a fault")
 	flags.BoolVar(&plan.Faults, "faults", true, "kill instances and cut them off from the key-value service")
--- a/internal/batch/coordinator/desk_test.go
+++ b/internal/batch/coordinator/coordinator_test.go
@@ -62,10 +62,10 @@
 		Pause: func(time.Duration) {},
 	}
 	run := &runner.Runner{
-		Ledger: l,
-		Book:   &catalog.Upstreams{Timer: clock},
-		Holder: &catalog.Holder{},
-		Timer:  clock,
+		Ledger:        l,
+		Upstreams:     &catalog.Upstreams{Timer: clock},
+		Configuration: &catalog.Holder{},
+		Timer:         clock,
 	}
 	run.Start()
 	t.Cleanup(run.Stop)
@@ -299,7 +299,7 @@
 	began := time.Now()
 	cfg := catalog.Configuration{Version: 1}.WithIndex()
 	d.Config.Update(cfg)
-	d.Runner.Holder.Update(cfg)
+	d.Runner.Configuration.Update(cfg)
 	is.True(eventually(func() bool { return d.Runner.Has("b") }))
 	is.True(time.Since(began) < sweepInterval/2)
 }
@@ -307,7 +307,7 @@
 // Guards against a step that is late because one of the smallest instances ran its batch:
 // the home had just ended, and the instance that the batch reached accepted it itself. The
 // batch is forwarded to the next eligible instance first.
-func TestHomesIncludeTheNextAbleInstance(t *testing.T) {
+func TestHomesIncludeTheNextEligibleInstance(t *testing.T) {
 	is := is.New(t)
 	members := []registry.Member{
 		{Name: "small", Cores: 0.1},
--- a/internal/batch/coordinator/end_test.go
+++ b/internal/batch/coordinator/end_test.go
@@ -70,7 +70,7 @@
 	})
 	is.NoErr(err)
 	is.NoErr(d.Ledger.End(ctx, "b", time.Now()))
-	d.Runner.Holder.Update(catalog.Configuration{
+	d.Runner.Configuration.Update(catalog.Configuration{
 		Version: 1,
 	}.WithIndex())
 	is.True(errors.Is(d.Runner.Adopt(ctx, claim), ledger.ErrFenced))
--- a/internal/batch/coordinator/prepare_test.go
+++ b/internal/batch/coordinator/prepare_test.go
@@ -51,7 +51,7 @@
 	is.True(d.Runner.RunsUnstored("b"))
 	down.Store(false)
 	is.True(eventually(func() bool { return d.Runner.Has("b") }))
-	d.Runner.Holder.Update(catalog.Configuration{Version: 1}.WithIndex())
+	d.Runner.Configuration.Update(catalog.Configuration{Version: 1}.WithIndex())
 	is.NoErr(d.Accept(context.Background(), sub, catalog.Route{})) // the trainer retries
 }
 
--- a/internal/batch/coordinator/takeover_test.go
+++ b/internal/batch/coordinator/takeover_test.go
@@ -23,7 +23,7 @@
 		Version: 1,
 	}
 	d.Config.Update(cfg.WithIndex())
-	d.Runner.Holder.Update(cfg.WithIndex())
+	d.Runner.Configuration.Update(cfg.WithIndex())
 	lost := ledger.Owner{Instance: "other", Incarnation: "1", Address: "other"}
 	owner := &ledger.Ledger{
 		Store: store,
--- a/internal/batch/ledger/append_test.go
+++ b/internal/batch/ledger/append_test.go
@@ -16,7 +16,7 @@
 // Guards against results that are too large for one value. While the key-value service
 // is unavailable for seconds at the end of a step, a megabyte and more of results wait
 // to be written; in one value they are refused again and again, and the step never ends.
-func TestFittingSplitsResultsIntoValues(t *testing.T) {
+func TestChunkLenSplitsResultsIntoValues(t *testing.T) {
 	is := is.New(t)
 	long := submission.Result{Text: strings.Repeat("x", 60<<10)}
 	var results []submission.Result
--- a/internal/batch/ledger/proof_test.go
+++ b/internal/batch/ledger/property_test.go
@@ -144,7 +144,7 @@
 				checkRead(rec.Results)
 			}
 		case "settle":
-			store.ApplyLate()
+			store.ApplyDelayed()
 		case "end":
 			_ = o.ledger.End(ctx, "b", time.Unix(1, 0))
 		}
--- a/internal/batch/runner/engines.go
+++ b/internal/batch/runner/engines.go
@@ -84,7 +84,7 @@
 	var candidates []candidate
 	memory := r.engineMemory(b.service)
 	models := r.engineModels(b, now)
-	group := r.Book.Group(b.service)
+	group := r.Upstreams.Group(b.service)
 	medianPace := group.Set.MedianPace()
 	for _, u := range group.Upstreams {
 		if !u.Usable(now) {
@@ -113,7 +113,7 @@
 // engineMemory returns the memory of one engine of a service in tokens; 0 if
 // unknown.
 func (r *Runner) engineMemory(service string) int64 {
-	if cfg := r.Holder.Current(); cfg != nil {
+	if cfg := r.Configuration.Current(); cfg != nil {
 		if s := cfg.Services[service]; s.Engine != nil {
 			return int64(s.Engine.Tokens)
 		}
@@ -132,7 +132,7 @@
 
 // medianPace returns the median time between two events at the batch's engines.
 func (r *Runner) medianPace(b *Batch) time.Duration {
-	return time.Duration(r.Book.Group(b.service).Set.MedianPace() * float64(time.Second))
+	return time.Duration(r.Upstreams.Group(b.service).Set.MedianPace() * float64(time.Second))
 }
 
 // pickAvoiding picks an engine for an item. It picks avoid, the engine that the
--- a/internal/batch/runner/move_test.go
+++ b/internal/batch/runner/move_test.go
@@ -33,13 +33,13 @@
 		}
 		return nil
 	})
-	b.runner.Book.Update([]catalog.Entry{
+	b.runner.Upstreams.Update([]catalog.Entry{
 		{ID: "old", Service: "s", Address: "old", Slots: 2, Versions: map[string]uint64{"m": 5}},
 		{ID: "three", Service: "s", Address: "three", Slots: 2, Versions: map[string]uint64{"m": 5}},
 	}, nil)
 	b.runner.lengths.Record(80*length, length)
 	var fast []*catalog.Upstream
-	for _, u := range b.runner.Book.Group("s").Upstreams {
+	for _, u := range b.runner.Upstreams.Group("s").Upstreams {
 		pace := 50 * time.Millisecond
 		if u.ID == "old" {
 			pace = 65 * time.Millisecond
@@ -101,7 +101,7 @@
 	})
 	is.NoErr(b.submit("x", "y", "z"))
 	is.Equal(len(b.waitForResults(3)), 3)
-	for _, u := range b.runner.Book.Group("s").Upstreams {
+	for _, u := range b.runner.Upstreams.Group("s").Upstreams {
 		if u.ID == "one" {
 			is.True(u.Ejected(b.clock.Now()))
 		}
--- a/internal/batch/runner/prepare_property_test.go
+++ b/internal/batch/runner/prepare_property_test.go
@@ -51,7 +51,7 @@
 			case 2:
 				_, _ = other.Accept(ctx, sub)
 			case 3:
-				b.store.ApplyLate()
+				b.store.ApplyDelayed()
 			case 4:
 				page, err := b.runner.Read(ctx, "b", 0, 0)
 				if err != nil {
@@ -67,7 +67,7 @@
 			}
 		}
 		fault.Store(int32(memorystore.None))
-		b.store.ApplyLate()
+		b.store.ApplyDelayed()
 		_ = b.runner.Submit(ctx, sub, b.route)
 		claim, err := b.runner.Ledger.Find(ctx, "b")
 		is.NoErr(err)
--- a/internal/batch/runner/rank.go
+++ b/internal/batch/runner/rank.go
@@ -98,7 +98,7 @@
 func (r *Runner) totalSlots(b *Batch, now timer.Instant) int {
 	all, own := 0, 0
 	models := r.engineModels(b, now)
-	for _, u := range r.Book.Group(b.service).Upstreams {
+	for _, u := range r.Upstreams.Group(b.service).Upstreams {
 		if u.Usable(now) && u.ModelVersion(b.sub.Model)+1 >= b.sub.OldestVersion {
 			all += max(1, u.Slots)
 			if !b.isOtherModel(models[u.ID]) {
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -54,14 +54,14 @@
 
 // Runner runs the batches that this process owns.
 type Runner struct {
-	Ledger    *ledger.Ledger
-	Book      *catalog.Upstreams
-	Holder    *catalog.Holder
-	Generator Generator
-	Scorer    Scorer
-	Timer     timer.Service
-	Journal   *journal.Journal
-	Metrics   *Metrics
+	Ledger        *ledger.Ledger
+	Upstreams     *catalog.Upstreams
+	Configuration *catalog.Holder
+	Generator     Generator
+	Scorer        Scorer
+	Timer         timer.Service
+	Journal       *journal.Journal
+	Metrics       *Metrics
 	// FailureDomain is the failure domain of this process.
 	FailureDomain string
 	// EngineAssignment assigns engines to models; if it is nil, every engine serves all
@@ -139,7 +139,7 @@
 		// more.
 		return ledger.ErrFenced
 	}
-	cfg := r.Holder.Current()
+	cfg := r.Configuration.Current()
 	if cfg == nil {
 		return errors.New("no configuration yet")
 	}
--- a/internal/batch/runner/runner_test.go
+++ b/internal/batch/runner/runner_test.go
@@ -114,11 +114,11 @@
 			},
 			Pause: func(time.Duration) {},
 		},
-		Book:      upstreams,
-		Holder:    holder,
-		Generator: b.generator,
-		Scorer:    fixedScorer{},
-		Timer:     b.clock,
+		Upstreams:     upstreams,
+		Configuration: holder,
+		Generator:     b.generator,
+		Scorer:        fixedScorer{},
+		Timer:         b.clock,
 	}
 	b.runner.Start()
 	stop := b.clock.Run(20*time.Millisecond, time.Millisecond)
--- a/internal/batch/schedule/end_test.go
+++ b/internal/batch/schedule/end_test.go
@@ -10,7 +10,7 @@
 // Guards against reads that are timed by a group that the trainer never waits for: a
 // trainer waits for a number of groups, whichever are whole first, and for all
 // carried-over ones, so the longest of all groups is not the end of the step.
-func TestEndingLeftCountsWantedGroups(t *testing.T) {
+func TestStepEndLeftCountsWantedGroups(t *testing.T) {
 	is := is.New(t)
 	groups := []time.Duration{5 * time.Second, time.Second, 3 * time.Second}
 	is.Equal(StepEnd{Groups: groups, MissingGroups: 2}.Left(), 3*time.Second)
--- a/internal/batch/schedule/place_test.go
+++ b/internal/batch/schedule/place_test.go
@@ -265,7 +265,7 @@
 
 // Guards against an item that is sent to an engine of another model which has not
 // recently reported a free slot.
-func TestLentEnginesNeedRecentReportOfFreeSlot(t *testing.T) {
+func TestEnginesOfOtherModelsNeedRecentReportOfFreeSlot(t *testing.T) {
 	is := is.New(t)
 	is.True(Engine{}.OpenToCrowdedStep())
 	is.Equal(Engine{OtherModel: true, FreeSlots: 3, ReportAge: time.Hour}.OpenToCrowdedStep(), false)
--- a/internal/batch/steptime/log.go
+++ b/internal/batch/steptime/log.go
@@ -79,7 +79,7 @@
 func (e endRecord) ownerBegan() time.Time { return e.at.Add(-e.age) }
 
 // Read adds the lines of one log file. It skips lines that are not about steps, and any
-// text before the fields of a line. Lines that can't be read are kept for Faults; the
+// text before the fields of a line. Lines that can't be read are kept for BadLines; the
 // returned error is that of reading r.
 func (l *Log) Read(name string, r io.Reader) error {
 	scan := bufio.NewScanner(r)
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// Faults returns the lines that could not be read.
-func (l *Log) Faults() []BadLine { return l.badLines }
+// BadLines returns the lines that could not be read.
+func (l *Log) BadLines() []BadLine { return l.badLines }
 
 // addLine adds one line, if it is about a step.
 func (l *Log) addLine(text string) error {
--- a/internal/batch/steptime/picture.go
+++ b/internal/batch/steptime/picture.go
@@ -21,16 +21,16 @@
 var causeColours = [causeCount]string{"#999", "#c33", "#e93", "#4a7", "#9c6", "#36c", "#a5c", "#5bb", "#cc4", "#845"}
 
 // WriteSVG draws the steps over time as SVG, with one colour for each cause.
-func (d *Report) WriteSVG(w io.Writer) error {
-	if len(d.Steps) == 0 {
+func (r *Report) WriteSVG(w io.Writer) error {
+	if len(r.Steps) == 0 {
 		return ErrNoSteps
 	}
 	out := &stickyErrorWriter{
 		w: w,
 	}
-	from, to := d.span()
+	from, to := r.span()
 	width := leftMargin + int(to.Sub(from).Seconds()+1)*secondWidth
-	height := topMargin + (len(d.Steps)+1)*rowHeight
+	height := topMargin + (len(r.Steps)+1)*rowHeight
 	c := svg.New(out)
 	c.Start(max(width, leftMargin+int(causeCount)*legendEntryWidth), height, `font-family="sans-serif" font-size="9"`)
 	for _, cause := range Causes() {
@@ -41,7 +41,7 @@
 	for second := 0; second <= int(to.Sub(from).Seconds()); second += 5 {
 		c.Text(leftMargin+second*secondWidth, topMargin-6, fmt.Sprint(second, " s"))
 	}
-	for row, s := range d.Steps {
+	for row, s := range r.Steps {
 		y := topMargin + row*rowHeight
 		c.Text(4, y+barHeight, fmt.Sprint(s.Model, " ", s.Step))
 		at := s.Submitted.Sub(from)
@@ -58,9 +58,9 @@
 func durationWidth(d time.Duration) int { return int(d.Seconds() * secondWidth) }
 
 // span returns when the first step was submitted and when the last one ended.
-func (d *Report) span() (from, to time.Time) {
-	from = d.Steps[0].Submitted
-	for _, s := range d.Steps {
+func (r *Report) span() (from, to time.Time) {
+	from = r.Steps[0].Submitted
+	for _, s := range r.Steps {
 		if end := s.Submitted.Add(time.Duration(s.Took) * time.Millisecond); end.After(to) {
 			to = end
 		}
--- a/internal/batch/steptime/day.go
+++ b/internal/batch/steptime/report.go
@@ -41,11 +41,11 @@
 
 // Report is the account of all steps in the logs that were read.
 type Report struct {
-	Steps    []Step           `json:"steps"`
-	Unknowns []IncompleteStep `json:"unknown"`
+	Steps           []Step           `json:"steps"`
+	IncompleteSteps []IncompleteStep `json:"unknown"`
 	// Sums has for each cause the total time of all steps.
-	Sums   map[Cause]int64 `json:"sums_ms"`
-	Faults []BadLine       `json:"faults"`
+	Sums     map[Cause]int64 `json:"sums_ms"`
+	BadLines []BadLine       `json:"faults"`
 }
 
 // Report returns the account of the lines read so far, or ErrNoSteps.
@@ -54,15 +54,15 @@
 		return nil, ErrNoSteps
 	}
 	d := &Report{
-		Sums:   make(map[Cause]int64),
-		Faults: l.badLines,
+		Sums:     make(map[Cause]int64),
+		BadLines: l.badLines,
 	}
 	paces := l.paces()
 	for batch, begins := range l.begins {
 		slices.SortFunc(begins, func(a, b beginRecord) int { return a.at.Compare(b.at) })
 		step, reason := l.newStep(batch, begins, paces)
 		if reason != "" {
-			d.Unknowns = append(d.Unknowns, IncompleteStep{
+			d.IncompleteSteps = append(d.IncompleteSteps, IncompleteStep{
 				Batch:     batch,
 				Model:     step.Model,
 				Step:      step.Step,
@@ -77,7 +77,7 @@
 		}
 	}
 	sort.Slice(d.Steps, func(i, j int) bool { return d.Steps[i].Submitted.Before(d.Steps[j].Submitted) })
-	sort.Slice(d.Unknowns, func(i, j int) bool { return d.Unknowns[i].Submitted.Before(d.Unknowns[j].Submitted) })
+	sort.Slice(d.IncompleteSteps, func(i, j int) bool { return d.IncompleteSteps[i].Submitted.Before(d.IncompleteSteps[j].Submitted) })
 	return d, nil
 }
 
--- a/internal/batch/steptime/account_test.go
+++ b/internal/batch/steptime/steptime_test.go
@@ -67,8 +67,8 @@
 func TestStepWithoutEndIsReported(t *testing.T) {
 	is := is.New(t)
 	d := readReport(t)
-	is.Equal(len(d.Unknowns), 1)
-	is.Equal(d.Unknowns[0].Reason, "no end")
+	is.Equal(len(d.IncompleteSteps), 1)
+	is.Equal(d.IncompleteSteps[0].Reason, "no end")
 }
 
 // Guards against incomplete lines that hide the rest of a log or are ignored without
@@ -77,9 +77,9 @@
 func TestTornLinesAreReported(t *testing.T) {
 	is := is.New(t)
 	d := readReport(t)
-	is.Equal(len(d.Faults), 1)
-	is.Equal(d.Faults[0].File, "day.log")
-	is.Equal(d.Faults[0].Line, 7)
+	is.Equal(len(d.BadLines), 1)
+	is.Equal(d.BadLines[0].File, "day.log")
+	is.Equal(d.BadLines[0].Line, 7)
 	var out bytes.Buffer
 	is.NoErr(d.WriteTable(&out))
 	is.True(strings.Contains(out.String(), "1 lines could not be read, the first: day.log:7:"))
@@ -100,13 +100,13 @@
 	is := is.New(t)
 	var l Log
 	is.NoErr(l.Read("x", strings.NewReader("\ntimestamp=2026-02-14T05:29:18Z decision=accept request_id=7c model=m step=one items=4 age_ms=3\n")))
-	is.Equal(len(l.Faults()), 1)
-	is.Equal(l.Faults()[0].Line, 2)
-	is.True(strings.Contains(l.Faults()[0].Reason, "field step"))
+	is.Equal(len(l.BadLines()), 1)
+	is.Equal(l.BadLines()[0].Line, 2)
+	is.True(strings.Contains(l.BadLines()[0].Reason, "field step"))
 }
 
 // Guards against a table, a picture and a JSON form that show different steps.
-func TestForms(t *testing.T) {
+func TestAllFormsShowTheSameSteps(t *testing.T) {
 	is := is.New(t)
 	d := readReport(t)
 	var table, picture bytes.Buffer
--- a/internal/batch/submission/submission_test.go
+++ b/internal/batch/submission/submission_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards against organisations that reach each other's batches by choosing a name.
-func TestScope(t *testing.T) {
+func TestScopedIDsDiffer(t *testing.T) {
 	is := is.New(t)
 	is.Equal(ScopedID("7c", ""), "7c")
 	is.Equal(ScopedID("7c", "saddlers"), "7c@saddlers")
--- a/internal/entry/caller/addresses.go
+++ b/internal/entry/caller/addresses.go
@@ -70,7 +70,7 @@
 // addressSettings returns the configured address settings, or defaults while no
 // configuration is loaded.
 func (s *Server) addressSettings() configuration.Addresses {
-	if doc := s.Holder.Current(); doc != nil {
+	if doc := s.Configuration.Current(); doc != nil {
 		return doc.Parsed().Addresses
 	}
 	return configuration.Addresses{
--- a/internal/entry/caller/completions.go
+++ b/internal/entry/caller/completions.go
@@ -65,7 +65,7 @@
 	task := stream.Task{
 		RequestID:  meta.requestID,
 		Caller:     meta.caller,
-		Class:      meta.class,
+		Priority:   meta.class,
 		Weight:     meta.weight,
 		Deployment: deployment,
 		Prompt:     body.Prompt,
--- a/internal/entry/caller/part.go
+++ b/internal/entry/caller/part.go
@@ -30,9 +30,9 @@
 	}
 	members := part.MustGet[*member.Table](h)
 	s := &Server{
-		Mux:     part.MustGet[*httpserver.Mux](h),
-		Members: members,
-		Holder:  part.MustGet[*configuration.Holder](h),
+		Mux:           part.MustGet[*httpserver.Mux](h),
+		Members:       members,
+		Configuration: part.MustGet[*configuration.Holder](h),
 		Relay: &relay.Relay{
 			Router: part.MustGet[*router.Router](h),
 			Client: client,
--- a/internal/entry/caller/server.go
+++ b/internal/entry/caller/server.go
@@ -31,15 +31,15 @@
 
 // Server handles the requests of callers.
 type Server struct {
-	Mux       *httpserver.Mux
-	Members   *member.Table
-	Holder    *configuration.Holder
-	Relay     *relay.Relay
-	Generator *stream.Generator
-	Tickets   *ticket.Issuer
-	Client    *wire.Client
-	Timer     timer.Service
-	Journal   *journal.Journal
+	Mux           *httpserver.Mux
+	Members       *member.Table
+	Configuration *configuration.Holder
+	Relay         *relay.Relay
+	Generator     *stream.Generator
+	Tickets       *ticket.Issuer
+	Client        *wire.Client
+	Timer         timer.Service
+	Journal       *journal.Journal
 	// Scheme is the URL scheme of the instances: https if they have certificates,
 	// otherwise http.
 	Scheme string
@@ -60,7 +60,7 @@
 
 // readMetadata reads the headers of a request to a deployment.
 func (s *Server) readMetadata(r *http.Request, deployment string) (requestMetadata, error) {
-	doc := s.Holder.Current()
+	doc := s.Configuration.Current()
 	if doc == nil {
 		return requestMetadata{}, problem.NotReady.Withf("no configuration yet").WithRetryAfter(time.Second)
 	}
--- a/internal/entry/command/steps.go
+++ b/internal/entry/command/steps.go
@@ -34,7 +34,7 @@
 	}
 	report, err := l.Report()
 	if err != nil {
-		for _, f := range l.Faults() {
+		for _, f := range l.BadLines() {
 			return fmt.Errorf("%w: %w; the first line that could not be read: %w", errInput, err, f)
 		}
 		return fmt.Errorf("%w: %w", errInput, err)
--- a/internal/entry/operator/server.go
+++ b/internal/entry/operator/server.go
@@ -38,18 +38,18 @@
 
 // Server handles the requests of operators.
 type Server struct {
-	Holder   *configuration.Holder
-	Editor   *configuration.Editor
-	Members  *member.Table
-	Listing  *listing.Table
-	Board    *version.Table
-	Table    *upstream.Table
-	Limiter  *limit.Limiter
-	Runner   *runner.Runner
-	Journal  *journal.Journal
-	Client   *peer.Client
-	Timer    timer.Service
-	Instance string
+	Configuration *configuration.Holder
+	Editor        *configuration.Editor
+	Members       *member.Table
+	Listing       *listing.Table
+	Versions      *version.Table
+	Table         *upstream.Table
+	Limiter       *limit.Limiter
+	Runner        *runner.Runner
+	Journal       *journal.Journal
+	Client        *peer.Client
+	Timer         timer.Service
+	Instance      string
 	// Leave stops this instance gracefully.
 	Leave func()
 }
@@ -64,19 +64,19 @@
 
 func makePart(h *part.Host) (part.Part, error) {
 	s := &Server{
-		Holder:   part.MustGet[*configuration.Holder](h),
-		Editor:   part.MustGet[*configuration.Editor](h),
-		Members:  part.MustGet[*member.Table](h),
-		Listing:  part.MustGet[*listing.Table](h),
-		Board:    part.MustGet[*version.Table](h),
-		Table:    part.MustGet[*upstream.Table](h),
-		Limiter:  part.MustGet[*limit.Limiter](h),
-		Runner:   part.MustGet[*runner.Runner](h),
-		Journal:  h.Journal,
-		Client:   part.MustGet[*peer.Client](h),
-		Timer:    h.Timer,
-		Instance: h.Settings.Name,
-		Leave:    h.RequestShutdown,
+		Configuration: part.MustGet[*configuration.Holder](h),
+		Editor:        part.MustGet[*configuration.Editor](h),
+		Members:       part.MustGet[*member.Table](h),
+		Listing:       part.MustGet[*listing.Table](h),
+		Versions:      part.MustGet[*version.Table](h),
+		Table:         part.MustGet[*upstream.Table](h),
+		Limiter:       part.MustGet[*limit.Limiter](h),
+		Runner:        part.MustGet[*runner.Runner](h),
+		Journal:       h.Journal,
+		Client:        part.MustGet[*peer.Client](h),
+		Timer:         h.Timer,
+		Instance:      h.Settings.Name,
+		Leave:         h.RequestShutdown,
 	}
 	mux := part.MustGet[*httpserver.Mux](h)
 	key := h.Settings.Security.OperatorKey
@@ -113,7 +113,7 @@
 }
 
 func (s *Server) getConfiguration(w http.ResponseWriter, _ *http.Request) {
-	doc := s.Holder.Current()
+	doc := s.Configuration.Current()
 	if doc == nil {
 		problem.WriteJSON(w, http.StatusOK, Configuration{
 			Configuration: json.RawMessage("null"),
@@ -268,8 +268,8 @@
 func (s *Server) getStatus(w http.ResponseWriter, _ *http.Request) {
 	status := Status{
 		Instance:        s.Instance,
-		Revision:        s.Holder.Revision(),
-		HighestRevision: s.Holder.GossipedRevision(),
+		Revision:        s.Configuration.Revision(),
+		HighestRevision: s.Configuration.GossipedRevision(),
 		Sessions:        s.Runner.Sessions(),
 	}
 	for _, m := range s.Members.View().Known {
@@ -302,7 +302,7 @@
 			Limit:      lim,
 			InFlight:   inFlight,
 		}
-		if p, ok := s.Board.Newest(name); ok {
+		if p, ok := s.Versions.Newest(name); ok {
 			row.Published = p.Version.String()
 		}
 		status.Limits = append(status.Limits, row)
--- a/internal/entry/trainer/server.go
+++ b/internal/entry/trainer/server.go
@@ -22,9 +22,9 @@
 
 // Server handles the requests of trainers.
 type Server struct {
-	Board  *version.Table
-	Holder *configuration.Holder
-	Runner *runner.Runner
+	Versions      *version.Table
+	Configuration *configuration.Holder
+	Runner        *runner.Runner
 }
 
 // OpenSessionRequest is the body of POST /v1/trainers/{trainer}/sessions.
@@ -50,9 +50,9 @@
 
 func makePart(h *part.Host) (part.Part, error) {
 	s := &Server{
-		Board:  part.MustGet[*version.Table](h),
-		Holder: part.MustGet[*configuration.Holder](h),
-		Runner: part.MustGet[*runner.Runner](h),
+		Versions:      part.MustGet[*version.Table](h),
+		Configuration: part.MustGet[*configuration.Holder](h),
+		Runner:        part.MustGet[*runner.Runner](h),
 	}
 	mux := part.MustGet[*httpserver.Mux](h)
 	key := h.Settings.Security.TrainerKey
@@ -79,7 +79,7 @@
 		problem.Write(w, problem.BadRequest.Withf("version: expected an epoch or number of at least 1"))
 		return
 	}
-	if err := s.Board.Publish(deployment, body); err != nil {
+	if err := s.Versions.Publish(deployment, body); err != nil {
 		problem.Write(w, err)
 		return
 	}
@@ -89,7 +89,7 @@
 // checkModel returns an error unless the configuration has a model deployment of that
 // name.
 func (s *Server) checkModel(deployment string) error {
-	doc := s.Holder.Current()
+	doc := s.Configuration.Current()
 	if doc == nil {
 		return problem.NotReady.Withf("no configuration yet")
 	}
--- a/internal/fleet/capacity/decision_test.go
+++ b/internal/fleet/capacity/decision_test.go
@@ -40,7 +40,7 @@
 }
 
 // Guards against long items that wait for a slot when several steps arrive at once.
-func TestDecideProvidesSlotsForAllItems(t *testing.T) {
+func TestTargetsProvideSlotsForAllItems(t *testing.T) {
 	is := is.New(t)
 	is.Equal(counts(Targets(fourDomains(0))), []int{0, 0, 0, 0})
 	is.Equal(counts(Targets(fourDomains(300))), []int{0, 0, 0, 0})     // 47 engines
@@ -50,7 +50,7 @@
 
 // Guards against a shortfall when a failure domain has no capacity: the others have to make
 // up for it.
-func TestDecideSkipsDomainsWithoutCapacity(t *testing.T) {
+func TestTargetsSkipDomainsWithoutCapacity(t *testing.T) {
 	is := is.New(t)
 	g := fourDomains(480)
 	is.Equal(counts(Targets(g)), []int{7, 7, 6, 7})
@@ -62,7 +62,7 @@
 
 // Guards against targets that give engines back while there is work, exceed the maximum of
 // a domain, or provide too few engines in total.
-func TestDecideRespectsBounds(t *testing.T) {
+func TestTargetsRespectBounds(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		g := Group{
 			Slots:        rapid.IntRange(1, 16).Draw(t, "slots"),
@@ -154,12 +154,12 @@
 		}},
 	}.WithIndex())
 	return &Orderer{
-		Holder:   h,
-		Platform: p,
-		Book:     &catalog.Upstreams{Timer: clock},
-		Config:   config,
-		Demand:   &Demand{},
-		Timer:    clock,
+		Holder:    h,
+		Platform:  p,
+		Upstreams: &catalog.Upstreams{Timer: clock},
+		Config:    config,
+		Demand:    &Demand{},
+		Timer:     clock,
 	}, p, h, clock
 }
 
@@ -187,11 +187,11 @@
 		}
 	}
 	var gone []string
-	for _, u := range o.Book.Group("s").Upstreams {
+	for _, u := range o.Upstreams.Group("s").Upstreams {
 		gone = append(gone, u.ID)
 	}
-	o.Book.Update(nil, gone)
-	o.Book.Update(entries, nil)
+	o.Upstreams.Update(nil, gone)
+	o.Upstreams.Update(entries, nil)
 }
 
 func TestOrdererFollowsDemandAndDuty(t *testing.T) {
--- a/internal/fleet/capacity/orderer.go
+++ b/internal/fleet/capacity/orderer.go
@@ -56,13 +56,13 @@
 // number of engines, so repeating it changes nothing. No state has to be stored: the next
 // holder computes its own targets and orders them under a higher fencing token.
 type Orderer struct {
-	Holder   Holder
-	Platform Platform
-	Book     *catalog.Upstreams
-	Config   *catalog.Holder
-	Demand   *Demand
-	Timer    timer.Service
-	Journal  *journal.Journal
+	Holder    Holder
+	Platform  Platform
+	Upstreams *catalog.Upstreams
+	Config    *catalog.Holder
+	Demand    *Demand
+	Timer     timer.Service
+	Journal   *journal.Journal
 
 	fence  uint64
 	states map[domainKey]*domainState
@@ -151,7 +151,7 @@
 			Price: price,
 		}
 	}
-	for _, u := range o.Book.Group(s.Name).Upstreams {
+	for _, u := range o.Upstreams.Group(s.Name).Upstreams {
 		l := u.Listed()
 		d := domains[l.FailureDomain]
 		switch {
--- a/internal/fleet/configuration/document_test.go
+++ b/internal/fleet/configuration/document_test.go
@@ -11,7 +11,7 @@
 
 // Guards against peers that send each other the history of the configuration: once it
 // is full, it would be most of what they transfer.
-func TestBareDocumentOmitsHistory(t *testing.T) {
+func TestWithoutHistoryOmitsHistory(t *testing.T) {
 	is := is.New(t)
 	doc := &configuration.Document{}
 	for i := range configuration.HistoryLength + 10 {
--- a/internal/fleet/confirmation/keeper_test.go
+++ b/internal/fleet/confirmation/confirmer_test.go
@@ -164,7 +164,7 @@
 
 // Guards against an instance that wakes up many times a second for confirmations that
 // nothing needs.
-func TestKeeperChecksLessOftenWhenNotNeeded(t *testing.T) {
+func TestConfirmerChecksLessOftenWhenNotNeeded(t *testing.T) {
 	is := is.New(t)
 	d := newFixture(t)
 	is.Equal(d.checkDelay(), startupCheckInterval) // unknown until there is a configuration
--- a/internal/fleet/crashnotice/board.go
+++ b/internal/fleet/crashnotice/board.go
@@ -34,8 +34,8 @@
 // Board holds the crashes that any instance observed, and publishes those that this
 // instance observed.
 type Board struct {
-	Secret Secret
-	Poster Publisher
+	Secret    Secret
+	Publisher Publisher
 	// Key is the key of the notices of this incarnation of the instance.
 	Key string
 	// InstanceCount returns the number of instances.
@@ -115,7 +115,7 @@
 	now := b.Timer.Now()
 	if b.evidence.Add(c) {
 		b.addOwn(notice{
-			Print:    c.Print,
+			Print:    c.Fingerprint,
 			Upstream: c.Incarnation,
 			Row:      c.Consecutive,
 			at:       c.At,
@@ -123,7 +123,7 @@
 		b.updateHasEvidence()
 	}
 	b.Metrics.setKnown(b.evidence.Len(), b.evidence.PoisonCount())
-	return b.evidence.Judge(c.Print, now)
+	return b.evidence.Judge(c.Fingerprint, now)
 }
 
 // RecordAnswer records that a request was answered, which clears it. digest is called only
--- a/internal/fleet/crashnotice/board_test.go
+++ b/internal/fleet/crashnotice/board_test.go
@@ -40,7 +40,7 @@
 	return &Board{
 		Secret: fixedSecret{},
 		Key:    key,
-		Poster: &KeyPublisher{
+		Publisher: &KeyPublisher{
 			Store: d.store,
 			Name:  key,
 			Timer: d.clock,
@@ -61,7 +61,7 @@
 		d.clock.Advance(time.Millisecond)
 		b.RecordCrash(poison.Crash{
 			Incarnation: crash.IncarnationOf("u", uint64(from+i)),
-			Print:       digestOf(body).Keyed(fixedSecret{}.Value()),
+			Fingerprint: digestOf(body).Keyed(fixedSecret{}.Value()),
 			At:          d.clock.Now(),
 			Consecutive: judge(b, body).Crashes + 1,
 		})
@@ -144,7 +144,7 @@
 	b.Apply([]keyvalue.Change{gone})
 	is.True(judge(b, "deadly").Quarantined())
 	is.True(!a.hasUnpublished())
-	d.store.ExpireLease(a.Poster.(*KeyPublisher).lease)
+	d.store.ExpireLease(a.Publisher.(*KeyPublisher).lease)
 	a.Apply([]keyvalue.Change{gone})
 	is.True(a.hasUnpublished())
 	is.True(a.publishNow(context.Background()) != nil) // fails because the lease has expired
--- a/internal/fleet/crashnotice/doc.go
+++ b/internal/fleet/crashnotice/doc.go
@@ -4,7 +4,7 @@
 //	board := &crashnotice.Board{
 //		Secret: secret,
 //		Key:    name,
-//		Poster: &crashnotice.KeyPublisher{
+//		Publisher: &crashnotice.KeyPublisher{
 //			Store: store,
 //			Name:  name,
 //			Timer: clock,
--- a/internal/fleet/crashnotice/gossip_test.go
+++ b/internal/fleet/crashnotice/gossip_test.go
@@ -17,8 +17,8 @@
 	d := newBoardFixture()
 	var state gossip.State
 	a, b := d.board("a"), d.board("b")
-	a.Poster = &GossipPublisher{State: &state, Key: "a"}
-	b.Poster = &GossipPublisher{State: &state, Key: "b"}
+	a.Publisher = &GossipPublisher{State: &state, Key: "a"}
+	b.Publisher = &GossipPublisher{State: &state, Key: "b"}
 	listener := Listener{State: &state, Board: b}
 	d.crashUpstreams(a, "deadly", 0, 4)
 	is.NoErr(a.publishNow(context.Background()))
@@ -29,9 +29,9 @@
 	d.crashUpstreams(b, "other", 10, 1)
 	is.NoErr(b.publishNow(context.Background()))
 	is.Equal(len(listener.newEntries()), 0) // only its own entry changed
-	is.NoErr(a.Poster.Renew(context.Background()))
+	is.NoErr(a.Publisher.Renew(context.Background()))
 	is.Equal(len(listener.newEntries()), 0) // too early for a new version
 	is.Equal(state.Expire(time.Now().Add(2*noticeTTL).Unix()), 2)
-	is.NoErr(a.Poster.Renew(context.Background())) // nothing to renew
+	is.NoErr(a.Publisher.Renew(context.Background())) // nothing to renew
 	is.Equal(len(listener.newEntries()), 0)
 }
--- a/internal/fleet/crashnotice/notice.go
+++ b/internal/fleet/crashnotice/notice.go
@@ -33,7 +33,7 @@
 func (n notice) crash() poison.Crash {
 	return poison.Crash{
 		Incarnation: n.Upstream,
-		Print:       n.Print,
+		Fingerprint: n.Print,
 		At:          n.at,
 		Consecutive: n.Row,
 	}
--- a/internal/fleet/crashnotice/part.go
+++ b/internal/fleet/crashnotice/part.go
@@ -40,7 +40,7 @@
 	board := &Board{
 		Secret: fleetSecret,
 		Key:    key,
-		Poster: &GossipPublisher{
+		Publisher: &GossipPublisher{
 			State: state,
 			Key:   key,
 		},
@@ -84,7 +84,7 @@
 func (b *Board) ReportCrash(c crash.Cut, print fingerprint.Fingerprint) log.Fields {
 	return b.RecordCrash(poison.Crash{
 		Incarnation: c.Incarnation,
-		Print:       print,
+		Fingerprint: print,
 		At:          c.At,
 		Consecutive: c.Consecutive,
 	}).Fields()
--- a/internal/fleet/crashnotice/publish.go
+++ b/internal/fleet/crashnotice/publish.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	if err := b.Poster.Publish(ctx, value); err != nil {
+	if err := b.Publisher.Publish(ctx, value); err != nil {
 		return err
 	}
 	b.mu.Lock()
@@ -164,7 +164,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := b.Poster.Renew(ctx); err != nil {
+	if err := b.Publisher.Renew(ctx); err != nil {
 		b.Journal.Warn("cannot renew crash notices", err, log.Fields{})
 	}
 }
--- a/internal/fleet/crashnotice/simulation_test.go
+++ b/internal/fleet/crashnotice/simulation_test.go
@@ -162,7 +162,7 @@
 	in.board = &Board{
 		Secret: fixedSecret{},
 		Key:    key,
-		Poster: &KeyPublisher{
+		Publisher: &KeyPublisher{
 			Store: f.store,
 			Name:  key,
 			Timer: f.clock,
@@ -390,7 +390,7 @@
 		q.crashes++
 		q.instance.board.RecordCrash(poison.Crash{
 			Incarnation: incarnation,
-			Print:       q.digest.Keyed(fixedSecret{}.Value()),
+			Fingerprint: q.digest.Keyed(fixedSecret{}.Value()),
 			At:          now,
 			Consecutive: q.verdict.Crashes + q.crashes,
 		})
--- a/internal/fleet/duty/doc.go
+++ b/internal/fleet/duty/doc.go
@@ -5,7 +5,7 @@
 //	holder := &duty.Holder{
 //		Store:       store,
 //		Presence:    registry,
-//		Key:         registry.DutyKey(duty.DutyName),
+//		Key:         registry.DutyKey(duty.Orders),
 //		InstanceKey: registry.InstanceKey,
 //		Name:        "gent-a-1",
 //	}
--- a/internal/fleet/duty/holder.go
+++ b/internal/fleet/duty/holder.go
@@ -16,9 +16,9 @@
 	"github.com/egretbend/egretbend/internal/outside/keyvalue"
 )
 
-// DutyName is the registry name of the duty to make the calls that only one instance may
+// Orders is the registry name of the duty to make the calls that only one instance may
 // make at a time.
-const DutyName = "orders"
+const Orders = "orders"
 
 // Intervals and timeouts of the election.
 const (
@@ -168,7 +168,7 @@
 // the duty before, or it is next in line and there is no holder or the holder has been
 // missing for takeoverDelay. Other instances don't try, since each try is a billed call.
 func (h *Holder) shouldAcquire(ctx context.Context) (bool, error) {
-	holder, _ := ParseValue(h.Presence.DutyValue(DutyName))
+	holder, _ := ParseValue(h.Presence.DutyValue(Orders))
 	if holder == h.Name || h.fence != 0 {
 		return true, nil
 	}
--- a/internal/fleet/gossip/bench_test.go
+++ b/internal/fleet/gossip/bench_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// BenchmarkAnswerQuiet measures an exchange between two instances that have the
+// BenchmarkExchangeQuiet measures an exchange between two instances that have the
 // same entries, up to the number of entries in the target fleet.
-func BenchmarkAnswerQuiet(b *testing.B) {
+func BenchmarkExchangeQuiet(b *testing.B) {
 	for _, n := range []int{20, 1100, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var s, other State
--- a/internal/fleet/kvfallback/call.go
+++ b/internal/fleet/kvfallback/call.go
@@ -225,13 +225,13 @@
 	return nil
 }
 
-// PeerCalls implements Peers.
-type PeerCalls struct {
+// PeerClient implements Peers.
+type PeerClient struct {
 	Client *peer.Client
 }
 
 // Call implements Peers.
-func (p *PeerCalls) Call(ctx context.Context, address string, c Call) (Reply, error) {
+func (p *PeerClient) Call(ctx context.Context, address string, c Call) (Reply, error) {
 	var a Reply
 	err := p.Client.Call(ctx, address, receiver+".Call", &c, &a)
 	if err != nil {
--- a/internal/fleet/kvfallback/doc.go
+++ b/internal/fleet/kvfallback/doc.go
@@ -3,7 +3,7 @@
 //
 //	fallback := &kvfallback.Store{
 //		Direct:        store,
-//		Peers:         &kvfallback.PeerCalls{Client: client},
+//		Peers:         &kvfallback.PeerClient{Client: client},
 //		PeerAddresses: func() []string { return addresses },
 //	}
 //
--- a/internal/fleet/listing/book.go
+++ b/internal/fleet/listing/table.go
@@ -31,12 +31,12 @@
 }
 
 // List returns the upstreams that are in the list, with their leaving marks.
-func (b *Table) List() []roster.Instance {
+func (t *Table) List() []roster.Instance {
 	leaving := make(map[string]uint64)
-	for _, e := range b.State.List(gossip.KindLeaving) {
+	for _, e := range t.State.List(gossip.KindLeaving) {
 		leaving[e.Key] = e.Version.Major
 	}
-	all := b.decoded.List(b.State, gossip.KindUpstream, decodeEntry)
+	all := t.decoded.List(t.State, gossip.KindUpstream, decodeEntry)
 	list := make([]roster.Instance, 0, len(all))
 	for _, p := range all {
 		if p.Gone {
@@ -50,14 +50,14 @@
 }
 
 // Changes returns a counter that rises when the result of List may have changed.
-func (b *Table) Changes() uint64 {
-	return b.State.ChangeCount(gossip.KindUpstream) + b.State.ChangeCount(gossip.KindLeaving)
+func (t *Table) Changes() uint64 {
+	return t.State.ChangeCount(gossip.KindUpstream) + t.State.ChangeCount(gossip.KindLeaving)
 }
 
 // MarkLeaving marks an incarnation of an upstream as leaving. It reports whether the
 // mark is new.
-func (b *Table) MarkLeaving(id string, incarnation uint64) bool {
-	return b.State.Merge(gossip.Entry{
+func (t *Table) MarkLeaving(id string, incarnation uint64) bool {
+	return t.State.Merge(gossip.Entry{
 		Kind: gossip.KindLeaving,
 		Key:  id,
 		Version: gossip.Version{
@@ -69,24 +69,24 @@
 
 // MarkLeavingByID marks the current incarnation of an upstream as leaving. It reports
 // whether the upstream is known.
-func (b *Table) MarkLeavingByID(id string) bool {
-	e, ok := b.State.Find(gossip.KindUpstream, id)
+func (t *Table) MarkLeavingByID(id string) bool {
+	e, ok := t.State.Find(gossip.KindUpstream, id)
 	if !ok {
 		return false
 	}
-	b.MarkLeaving(id, e.Version.Major)
+	t.MarkLeaving(id, e.Version.Major)
 	return true
 }
 
 // Upsert records an upstream that is in the platform's list. It reports whether that
 // changed anything.
-func (b *Table) Upsert(in roster.Instance) bool {
+func (t *Table) Upsert(in roster.Instance) bool {
 	changed := false
 	if in.Leaving {
-		changed = b.MarkLeaving(in.ID, in.Incarnation)
+		changed = t.MarkLeaving(in.ID, in.Incarnation)
 	}
 	in.Leaving = false
-	old, ok := b.State.Find(gossip.KindUpstream, in.ID)
+	old, ok := t.State.Find(gossip.KindUpstream, in.ID)
 	if ok && old.Version.Major > in.Incarnation {
 		return changed
 	}
@@ -98,19 +98,19 @@
 		}
 		minor = old.Version.Minor + 1
 	}
-	return b.mergeEntry(upstreamEntry{
+	return t.mergeEntry(upstreamEntry{
 		Instance: in,
 	}, minor, 0) || changed
 }
 
 // MarkGone records that an upstream is no longer in the platform's list. It reports
 // whether that changed anything.
-func (b *Table) MarkGone(in roster.Instance) bool {
-	old, ok := b.State.Find(gossip.KindUpstream, in.ID)
+func (t *Table) MarkGone(in roster.Instance) bool {
+	old, ok := t.State.Find(gossip.KindUpstream, in.ID)
 	if !ok || old.Version.Major != in.Incarnation {
 		return false
 	}
-	return b.mergeEntry(upstreamEntry{
+	return t.mergeEntry(upstreamEntry{
 		Instance: in,
 		Gone:     true,
 	}, old.Version.Minor+1, time.Now().Unix()+goneTTLSeconds)
@@ -118,12 +118,12 @@
 
 // mergeEntry writes an entry with the given minor version and expiry, a Unix time in
 // seconds, to the gossip state.
-func (b *Table) mergeEntry(p upstreamEntry, minor uint64, expires int64) bool {
+func (t *Table) mergeEntry(p upstreamEntry, minor uint64, expires int64) bool {
 	value, err := json.Marshal(p)
 	if err != nil {
 		return false
 	}
-	return b.State.Merge(gossip.Entry{
+	return t.State.Merge(gossip.Entry{
 		Kind: gossip.KindUpstream,
 		Key:  p.Instance.ID,
 		Version: gossip.Version{
--- a/internal/fleet/placement/orderer.go
+++ b/internal/fleet/placement/orderer.go
@@ -56,9 +56,9 @@
 // instance holds.
 type Orderer struct {
 	Store keyvalue.Store
-	// Holder holds the configuration in force.
-	Holder  *configuration.Holder
-	Members *member.Table
+	// Configuration holds the configuration in force.
+	Configuration *configuration.Holder
+	Members       *member.Table
 	// Listing holds the engines.
 	Listing *listing.Table
 	// Versions holds the newest published version of each deployment.
@@ -118,7 +118,7 @@
 	o.orderDone = make(chan struct{}, 1)
 	for {
 		published := o.Versions.State.Changed(gossip.KindWeights)
-		if doc := o.Holder.Current(); doc != nil {
+		if doc := o.Configuration.Current(); doc != nil {
 			o.reconcile(t, doc.Parsed())
 		}
 		select {
--- a/internal/fleet/placement/part.go
+++ b/internal/fleet/placement/part.go
@@ -27,15 +27,15 @@
 
 func makePart(h *part.Host) (part.Part, error) {
 	o := &Orderer{
-		Store:    part.MustGet[keyvalue.Store](h),
-		Holder:   part.MustGet[*configuration.Holder](h),
-		Members:  part.MustGet[*member.Table](h),
-		Listing:  part.MustGet[*listing.Table](h),
-		Versions: part.MustGet[*version.Table](h),
-		Engine:   part.MustGet[engine.Adapter](h),
-		Timer:    h.Timer,
-		Journal:  h.Journal,
-		Self:     h.Settings.Name,
+		Store:         part.MustGet[keyvalue.Store](h),
+		Configuration: part.MustGet[*configuration.Holder](h),
+		Members:       part.MustGet[*member.Table](h),
+		Listing:       part.MustGet[*listing.Table](h),
+		Versions:      part.MustGet[*version.Table](h),
+		Engine:        part.MustGet[engine.Adapter](h),
+		Timer:         h.Timer,
+		Journal:       h.Journal,
+		Self:          h.Settings.Name,
 	}
 	part.Provide(h, o)
 	return &placementPart{
--- a/internal/fleet/registry/eligible_test.go
+++ b/internal/fleet/registry/eligible_test.go
@@ -9,7 +9,7 @@
 // Instances of very different sizes share a deployment. A step of two hundred
 // streams would take too long on the smallest, so it must run on one of the large
 // ones that are not leaving.
-func TestAbleExcludesSmallAndLeaving(t *testing.T) {
+func TestEligibleExcludesSmallAndLeaving(t *testing.T) {
 	is := is.New(t)
 	members := []Member{
 		{Name: "small", Cores: 0.134},
--- a/internal/fleet/registry/lease_test.go
+++ b/internal/fleet/registry/lease_test.go
@@ -44,7 +44,7 @@
 	is.True(r.renew(ctx) != nil)
 	fault.Store(int32(memorystore.None))
 	is.NoErr(r.renew(ctx))
-	store.ApplyLate()
+	store.ApplyDelayed()
 	for range 8 {
 		clock.Advance(renewPeriod)
 		is.NoErr(r.renew(ctx))
--- a/internal/fleet/usage/proof_test.go
+++ b/internal/fleet/usage/property_test.go
@@ -175,7 +175,7 @@
 				w.fault = memorystore.None
 			},
 			"calm step": func(*rapid.T) { _ = anyNode().reporter.Step(context.Background()) },
-			"settle":    func(*rapid.T) { w.store.ApplyLate() },
+			"settle":    func(*rapid.T) { w.store.ApplyDelayed() },
 			"take":      func(*rapid.T) { w.grantDuty(anyNode()) },
 			"notice":    func(*rapid.T) { anyNode().fence = 0 },
 			"sleep":     func(*rapid.T) { anyNode().paused = true },
--- a/internal/fleet/version/board.go
+++ b/internal/fleet/version/table.go
@@ -32,12 +32,12 @@
 
 // Publish makes p the newest version of a deployment. Publishing the newest version
 // again changes nothing; an older one fails with VersionBehind.
-func (b *Table) Publish(deployment string, p Published) error {
+func (t *Table) Publish(deployment string, p Published) error {
 	value, err := json.Marshal(p)
 	if err != nil {
 		return problem.Internal.With(err)
 	}
-	merged := b.State.Merge(gossip.Entry{
+	merged := t.State.Merge(gossip.Entry{
 		Kind: gossip.KindWeights,
 		Key:  deployment,
 		Version: gossip.Version{
@@ -46,7 +46,7 @@
 		},
 		Value: value,
 	})
-	newest, _ := b.Newest(deployment)
+	newest, _ := t.Newest(deployment)
 	if merged || newest.Version == p.Version {
 		return nil
 	}
@@ -55,28 +55,28 @@
 
 // Changes returns a counter that rises with each change of the published versions of
 // all deployments.
-func (b *Table) Changes() uint64 { return b.State.ChangeCount(gossip.KindWeights) }
+func (t *Table) Changes() uint64 { return t.State.ChangeCount(gossip.KindWeights) }
 
 // Newest returns the newest published version of a deployment. It is on the path of
 // every sample and takes no lock unless a version was published since the last call.
-func (b *Table) Newest(deployment string) (Published, bool) {
-	changes := b.Changes()
-	c := b.current.Load()
+func (t *Table) Newest(deployment string) (Published, bool) {
+	changes := t.Changes()
+	c := t.current.Load()
 	if c == nil || c.changes != changes {
-		c = b.buildSnapshot(changes)
-		b.current.Store(c)
+		c = t.buildSnapshot(changes)
+		t.current.Store(c)
 	}
 	p, ok := c.newest[deployment]
 	return p, ok
 }
 
 // buildSnapshot copies the published versions from the gossip state.
-func (b *Table) buildSnapshot(changes uint64) *snapshot {
+func (t *Table) buildSnapshot(changes uint64) *snapshot {
 	c := &snapshot{
 		changes: changes,
 		newest:  make(map[string]Published),
 	}
-	for _, e := range b.State.List(gossip.KindWeights) {
+	for _, e := range t.State.List(gossip.KindWeights) {
 		var p Published
 		if json.Unmarshal(e.Value, &p) == nil {
 			c.newest[e.Key] = p
--- a/internal/fleet/watchrelay/doc.go
+++ b/internal/fleet/watchrelay/doc.go
@@ -9,7 +9,7 @@
 //	relay := &watchrelay.Relay{
 //		TransactionalStore: direct,
 //		Registry:           registry,
-//		Peers:              &watchrelay.PeerCalls{Client: client},
+//		Peers:              &watchrelay.PeerClient{Client: client},
 //	}
 //	copied := relay.AddCopy("upstreams/")
 //
--- a/internal/fleet/watchrelay/server.go
+++ b/internal/fleet/watchrelay/server.go
@@ -129,20 +129,20 @@
 	}
 }
 
-// PeerCalls implements Peers.
-type PeerCalls struct {
+// PeerClient implements Peers.
+type PeerClient struct {
 	Client *peer.Client
 }
 
 // Poll implements Peers.
-func (p *PeerCalls) Poll(ctx context.Context, address string, q Query) (Reply, error) {
+func (p *PeerClient) Poll(ctx context.Context, address string, q Query) (Reply, error) {
 	var r Reply
 	err := p.Client.Call(ctx, address, receiver+".Poll", &q, &r)
 	return r, err
 }
 
 // List implements Peers.
-func (p *PeerCalls) List(ctx context.Context, address, prefix string) (ListReply, error) {
+func (p *PeerClient) List(ctx context.Context, address, prefix string) (ListReply, error) {
 	var w ListReply
 	err := p.Client.Call(ctx, address, receiver+".List", &prefix, &w)
 	return w, err
--- a/internal/fleet/weights/assignment.go
+++ b/internal/fleet/weights/assignment.go
@@ -92,7 +92,7 @@
 	if latest == nil {
 		latest = make(map[string]uint64)
 	}
-	for _, u := range o.Book.Group(service).Upstreams {
+	for _, u := range o.Upstreams.Group(service).Upstreams {
 		if u.Leaving() {
 			continue
 		}
--- a/internal/fleet/weights/assignment_test.go
+++ b/internal/fleet/weights/assignment_test.go
@@ -16,7 +16,7 @@
 	clock := &timer.Manual{}
 	clock.Advance(time.Hour)
 	o := &Orderer{
-		Book: &catalog.Upstreams{
+		Upstreams: &catalog.Upstreams{
 			Timer: clock,
 		},
 		Config: &catalog.Holder{},
@@ -37,7 +37,7 @@
 			Versions: map[string]uint64{"m0": 1, "m1": 1, "m2": 1},
 		})
 	}
-	o.Book.Update(list, nil)
+	o.Upstreams.Update(list, nil)
 	return o, clock
 }
 
--- a/internal/fleet/weights/orderer.go
+++ b/internal/fleet/weights/orderer.go
@@ -102,12 +102,12 @@
 // Orderer assigns engines to models, and gives orders to engines while this instance holds
 // the duty.
 type Orderer struct {
-	Holder  Holder
-	Book    *catalog.Upstreams
-	Config  *catalog.Holder
-	Engines Engines
-	Timer   timer.Service
-	Journal *journal.Journal
+	Holder    Holder
+	Upstreams *catalog.Upstreams
+	Config    *catalog.Holder
+	Engines   Engines
+	Timer     timer.Service
+	Journal   *journal.Journal
 	// Name is the name of this instance.
 	Name string
 
@@ -232,7 +232,7 @@
 	now := o.Timer.Now()
 	var engines []Engine
 	byID := make(map[string]*catalog.Upstream)
-	for _, u := range o.Book.Group(service).Upstreams {
+	for _, u := range o.Upstreams.Group(service).Upstreams {
 		if u.Leaving() {
 			continue
 		}
--- a/internal/fleet/weights/orderer_test.go
+++ b/internal/fleet/weights/orderer_test.go
@@ -59,7 +59,7 @@
 	}
 	book.Update([]catalog.Entry{{ID: "e", Service: "s", Address: "e", Slots: 8, Versions: map[string]uint64{"m": 4}}}, nil)
 	o := &Orderer{
-		Book:        book,
+		Upstreams:   book,
 		Engines:     engine,
 		Timer:       clock,
 		latest:      map[string]uint64{"m": 6},
--- a/internal/fleet/weights/plan_test.go
+++ b/internal/fleet/weights/plan_test.go
@@ -145,7 +145,7 @@
 
 // Guards against too many concurrent loads, which slow each other down beyond a fifth of
 // the engines.
-func TestAtOnceLimitsLoadsToFifth(t *testing.T) {
+func TestMaxLoadsIsAFifthOfEngines(t *testing.T) {
 	is := is.New(t)
 	for n, want := range map[int]int{1: 1, 9: 2, 11: 2, 44: 9, 48: 10} {
 		is.Equal(MaxLoads(n), want)
--- a/internal/load/addresses/cache.go
+++ b/internal/load/addresses/cache.go
@@ -34,25 +34,25 @@
 // Next returns the next address in turn. It asks for new addresses when it has
 // none or when they have expired, and keeps using expired ones if no instance
 // answers.
-func (b *Cache) Next(ctx context.Context) (string, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.addresses) == 0 || b.Timer.Now() >= b.expires {
-		if err := b.refresh(ctx); err != nil && len(b.addresses) == 0 {
+func (c *Cache) Next(ctx context.Context) (string, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.addresses) == 0 || c.Timer.Now() >= c.expires {
+		if err := c.refresh(ctx); err != nil && len(c.addresses) == 0 {
 			return "", err
 		}
 	}
-	b.next++
-	return b.addresses[b.next%len(b.addresses)], nil
+	c.next++
+	return c.addresses[c.next%len(c.addresses)], nil
 }
 
 // MarkFailed removes an address until the addresses are refreshed.
-func (b *Cache) MarkFailed(address string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for i, a := range b.addresses {
+func (c *Cache) MarkFailed(address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for i, a := range c.addresses {
 		if a == address {
-			b.addresses = append(b.addresses[:i:i], b.addresses[i+1:]...)
+			c.addresses = append(c.addresses[:i:i], c.addresses[i+1:]...)
 			return
 		}
 	}
@@ -60,14 +60,14 @@
 
 // refresh asks the known addresses, and then the seeds in random order, until one
 // of them answers.
-func (b *Cache) refresh(ctx context.Context) error {
-	candidates := append([]string(nil), b.addresses...)
-	for _, i := range rand.Perm(len(b.Seeds)) {
-		candidates = append(candidates, b.Seeds[i])
+func (c *Cache) refresh(ctx context.Context) error {
+	candidates := append([]string(nil), c.addresses...)
+	for _, i := range rand.Perm(len(c.Seeds)) {
+		candidates = append(candidates, c.Seeds[i])
 	}
 	var lastErr error
 	for _, address := range candidates {
-		lastErr = b.refreshFrom(ctx, address)
+		lastErr = c.refreshFrom(ctx, address)
 		if lastErr == nil {
 			return nil
 		}
@@ -76,20 +76,20 @@
 }
 
 // refreshFrom replaces the addresses by the answer of the instance at address.
-func (b *Cache) refreshFrom(ctx context.Context, address string) error {
+func (c *Cache) refreshFrom(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	var answer caller.AddressesResponse
-	path := fmt.Sprintf("/v1/addresses?caller=%s&failure_domain=%s", url.QueryEscape(b.Caller), url.QueryEscape(b.FailureDomain))
+	path := fmt.Sprintf("/v1/addresses?caller=%s&failure_domain=%s", url.QueryEscape(c.Caller), url.QueryEscape(c.FailureDomain))
 	if err := (client.Client{
 		Address: address,
 	}).Do(ctx, http.MethodGet, path, nil, &answer); err != nil {
 		return err
 	}
-	b.addresses = b.addresses[:0]
+	c.addresses = c.addresses[:0]
 	for _, a := range answer.Addresses {
-		b.addresses = append(b.addresses, a.Address)
+		c.addresses = append(c.addresses, a.Address)
 	}
-	b.expires = b.Timer.Now().Add(time.Duration(answer.TTLMS) * time.Millisecond)
+	c.expires = c.Timer.Now().Add(time.Duration(answer.TTLMS) * time.Millisecond)
 	return nil
 }
--- a/internal/load/faultproxy/proxy.go
+++ b/internal/load/faultproxy/proxy.go
@@ -79,39 +79,39 @@
 }
 
 // Address returns the address that callers connect to.
-func (l *Proxy) Address() string { return l.listener.Addr().String() }
+func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
 // SetState changes the state of the proxy. Refusing also resets all open
 // connections.
-func (l *Proxy) SetState(s State) {
-	l.mu.Lock()
-	l.state = s
-	close(l.changed)
-	l.changed = make(chan struct{})
-	l.mu.Unlock()
+func (p *Proxy) SetState(s State) {
+	p.mu.Lock()
+	p.state = s
+	close(p.changed)
+	p.changed = make(chan struct{})
+	p.mu.Unlock()
 	if s == Refusing {
-		l.ResetConnections()
+		p.ResetConnections()
 	}
 }
 
 // ResetConnections aborts all open connections, so that both ends see a TCP reset.
-func (l *Proxy) ResetConnections() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for c := range l.conns {
+func (p *Proxy) ResetConnections() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.conns {
 		abort(c)
 	}
 }
 
 // Close stops listening and resets all open connections.
-func (l *Proxy) Close() error {
-	l.mu.Lock()
-	l.closed = true
-	close(l.changed)
-	l.changed = make(chan struct{})
-	l.mu.Unlock()
-	l.ResetConnections()
-	return l.listener.Close()
+func (p *Proxy) Close() error {
+	p.mu.Lock()
+	p.closed = true
+	close(p.changed)
+	p.changed = make(chan struct{})
+	p.mu.Unlock()
+	p.ResetConnections()
+	return p.listener.Close()
 }
 
 // abort closes a connection with a TCP reset.
@@ -124,61 +124,61 @@
 }
 
 // acceptLoop accepts connections until the listener is closed.
-func (l *Proxy) acceptLoop() {
+func (p *Proxy) acceptLoop() {
 	for {
-		c, err := l.listener.Accept()
+		c, err := p.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err == nil {
-			go l.proxyConn(c)
+			go p.proxyConn(c)
 		}
 	}
 }
 
 // currentState returns the state, whether the proxy is closed, and a channel that
 // is closed at the next change of either.
-func (l *Proxy) currentState() (State, bool, <-chan struct{}) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.state, l.closed, l.changed
+func (p *Proxy) currentState() (State, bool, <-chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.state, p.closed, p.changed
 }
 
 // track adds a connection to those that ResetConnections aborts.
-func (l *Proxy) track(c net.Conn) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.conns[c] = true
+func (p *Proxy) track(c net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conns[c] = true
 }
 
 // untrackAndClose closes a connection that track was called for.
-func (l *Proxy) untrackAndClose(c net.Conn) {
-	l.mu.Lock()
-	delete(l.conns, c)
-	l.mu.Unlock()
+func (p *Proxy) untrackAndClose(c net.Conn) {
+	p.mu.Lock()
+	delete(p.conns, c)
+	p.mu.Unlock()
 	_ = c.Close()
 }
 
 // proxyConn connects to the target and copies bytes in both directions until both
 // have ended. It aborts the caller's connection if the proxy is Refusing or closed,
 // or if the target can't be reached.
-func (l *Proxy) proxyConn(caller net.Conn) {
-	l.track(caller)
-	defer l.untrackAndClose(caller)
-	if s, closed, _ := l.currentState(); s == Refusing || closed {
+func (p *Proxy) proxyConn(caller net.Conn) {
+	p.track(caller)
+	defer p.untrackAndClose(caller)
+	if s, closed, _ := p.currentState(); s == Refusing || closed {
 		abort(caller)
 		return
 	}
-	target, err := net.DialTimeout("tcp", l.target, dialTimeout)
+	target, err := net.DialTimeout("tcp", p.target, dialTimeout)
 	if err != nil {
 		abort(caller)
 		return
 	}
-	l.track(target)
-	defer l.untrackAndClose(target)
+	p.track(target)
+	defer p.untrackAndClose(target)
 	done := make(chan struct{}, 2)
-	go l.copyOneWay(caller, target, BlackholeRequests, done)
-	go l.copyOneWay(target, caller, BlackholeResponses, done)
+	go p.copyOneWay(caller, target, BlackholeRequests, done)
+	go p.copyOneWay(target, caller, BlackholeResponses, done)
 	<-done
 	<-done
 }
@@ -186,12 +186,12 @@
 // copyOneWay copies bytes in one direction and sends to done when it ends. It
 // blocks while the state of the proxy is Blackhole or blockingState, the state that
 // holds back bytes in this direction only.
-func (l *Proxy) copyOneWay(from, to net.Conn, blockingState State, done chan<- struct{}) {
+func (p *Proxy) copyOneWay(from, to net.Conn, blockingState State, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buf)
-		if !l.waitToForward(blockingState) {
+		if !p.waitToForward(blockingState) {
 			abort(to)
 			return
 		}
@@ -217,9 +217,9 @@
 // waitToForward blocks while the proxy holds back bytes in this direction. In state
 // Slow it waits for slowDelay or until the next state change. It returns false if
 // the proxy is Refusing or closed.
-func (l *Proxy) waitToForward(blockingState State) bool {
+func (p *Proxy) waitToForward(blockingState State) bool {
 	for {
-		s, closed, changed := l.currentState()
+		s, closed, changed := p.currentState()
 		switch {
 		case closed || s == Refusing:
 			return false
--- a/internal/load/faultproxy/proxy_test.go
+++ b/internal/load/faultproxy/proxy_test.go
@@ -42,7 +42,7 @@
 // blackhole states must not close connections, and the held bytes must arrive when
 // the proxy is healthy again; a reset must break open connections and let new ones
 // work.
-func TestLinkStates(t *testing.T) {
+func TestProxyStates(t *testing.T) {
 	is := is.New(t)
 	l, err := Listen(startEchoServer(t))
 	is.NoErr(err)
--- a/internal/rollout/demand/book.go
+++ b/internal/rollout/demand/table.go
@@ -39,17 +39,17 @@
 }
 
 // Publish publishes a demand. A demand of the trainer's later session replaces it.
-func (b *Table) Publish(d Demand) {
+func (t *Table) Publish(d Demand) {
 	value, err := json.Marshal(d)
 	if err != nil {
 		return
 	}
-	old, _ := b.State.Find(gossip.KindDemand, d.Trainer)
+	old, _ := t.State.Find(gossip.KindDemand, d.Trainer)
 	minor := uint64(0)
 	if old.Version.Major == d.Session {
 		minor = old.Version.Minor + 1
 	}
-	b.State.Merge(gossip.Entry{
+	t.State.Merge(gossip.Entry{
 		Kind: gossip.KindDemand,
 		Key:  d.Trainer,
 		Version: gossip.Version{
@@ -64,9 +64,9 @@
 // Share returns the share of a deployment's engines that a trainer may claim while
 // their capacity is short: its weight divided by the sum of its weight and those
 // of all other busy trainers whose instance is not dead.
-func (b *Table) Share(deployment, trainer string, weight float64, view *member.View) float64 {
+func (t *Table) Share(deployment, trainer string, weight float64, view *member.View) float64 {
 	sum := weight
-	for _, d := range b.demands() {
+	for _, d := range t.demands() {
 		if d.Deployment != deployment || d.Trainer == trainer || !d.Busy {
 			continue
 		}
@@ -79,21 +79,21 @@
 
 // demands returns the demands of all trainers. The list is rebuilt only after a
 // change of the gossip state.
-func (b *Table) demands() []Demand {
-	changes := b.State.ChangeCount(gossip.KindDemand)
-	c := b.current.Load()
+func (t *Table) demands() []Demand {
+	changes := t.State.ChangeCount(gossip.KindDemand)
+	c := t.current.Load()
 	if c != nil && c.changes == changes {
 		return c.list
 	}
 	c = &snapshot{
 		changes: changes,
 	}
-	for _, e := range b.State.List(gossip.KindDemand) {
+	for _, e := range t.State.List(gossip.KindDemand) {
 		var d Demand
 		if json.Unmarshal(e.Value, &d) == nil {
 			c.list = append(c.list, d)
 		}
 	}
-	b.current.Store(c)
+	t.current.Store(c)
 	return c.list
 }
--- a/internal/rollout/runner/attempt.go
+++ b/internal/rollout/runner/attempt.go
@@ -40,7 +40,7 @@
 	return stream.Task{
 		RequestID:      fmt.Sprintf("%s.%d.%s.%d", l.state.Trainer, l.state.Number, work.Key, l.attemptCount),
 		Caller:         l.state.Trainer,
-		Class:          limit.Training,
+		Priority:       limit.Training,
 		Weight:         l.weight(),
 		Deployment:     work.Deployment,
 		Prompt:         work.Prompt,
@@ -89,7 +89,7 @@
 // weight returns the configured weight of the trainer, or 1 while there is no
 // configuration.
 func (l *openSession) weight() float64 {
-	if doc := l.runner.Holder.Current(); doc != nil {
+	if doc := l.runner.Configuration.Current(); doc != nil {
 		return doc.Parsed().TrainerWeight(l.state.Trainer)
 	}
 	return 1
--- a/internal/rollout/runner/copies.go
+++ b/internal/rollout/runner/copies.go
@@ -157,9 +157,9 @@
 func (r *Runner) callLocalStore(args, reply any) error {
 	switch a := args.(type) {
 	case copystore.KeepArgs:
-		return r.Keeper.Keep(a, reply.(*copystore.KeepReply))
+		return r.CopyStore.Keep(a, reply.(*copystore.KeepReply))
 	case copystore.GatherArgs:
-		return r.Keeper.Gather(a, reply.(*copystore.GatherReply))
+		return r.CopyStore.Gather(a, reply.(*copystore.GatherReply))
 	}
 	return fmt.Errorf("no copy store method takes arguments of type %T", args)
 }
--- a/internal/rollout/runner/part.go
+++ b/internal/rollout/runner/part.go
@@ -38,11 +38,11 @@
 		Timer: h.Timer,
 	}
 	r := &Runner{
-		Generator: generator,
-		Keeper:    store,
-		Client:    part.MustGet[*peer.Client](h),
-		Holder:    part.MustGet[*configuration.Holder](h),
-		Versions:  part.MustGet[*version.Table](h),
+		Generator:     generator,
+		CopyStore:     store,
+		Client:        part.MustGet[*peer.Client](h),
+		Configuration: part.MustGet[*configuration.Holder](h),
+		Versions:      part.MustGet[*version.Table](h),
 		Demand: &demand.Table{
 			State: part.MustGet[*gossip.State](h),
 		},
--- a/internal/rollout/runner/runner.go
+++ b/internal/rollout/runner/runner.go
@@ -24,16 +24,16 @@
 
 // Runner runs the open sessions of this instance.
 type Runner struct {
-	Generator *stream.Generator
-	Keeper    *copystore.Store
-	Client    *peer.Client
-	Holder    *configuration.Holder
-	Versions  *version.Table
-	Demand    *demand.Table
-	Members   *member.Table
-	Timer     timer.Service
-	Journal   *journal.Journal
-	Metrics   *Metrics
+	Generator     *stream.Generator
+	CopyStore     *copystore.Store
+	Client        *peer.Client
+	Configuration *configuration.Holder
+	Versions      *version.Table
+	Demand        *demand.Table
+	Members       *member.Table
+	Timer         timer.Service
+	Journal       *journal.Journal
+	Metrics       *Metrics
 	// Tomb runs the goroutines of all sessions.
 	Tomb *tomb.Tomb
 
@@ -216,7 +216,7 @@
 
 // deployment returns the configuration of a deployment.
 func (r *Runner) deployment(name string) (configuration.Deployment, error) {
-	doc := r.Holder.Current()
+	doc := r.Configuration.Current()
 	if doc == nil {
 		return configuration.Deployment{}, problem.NotReady.Withf("no configuration yet").WithRetryAfter(time.Second)
 	}
--- a/internal/rollout/stream/generator.go
+++ b/internal/rollout/stream/generator.go
@@ -35,7 +35,7 @@
 type Task struct {
 	RequestID  string
 	Caller     string
-	Class      limit.Priority
+	Priority   limit.Priority
 	Weight     float64
 	Deployment string
 	Prompt     string
@@ -83,7 +83,7 @@
 	request := router.Request{
 		RequestID:      task.RequestID,
 		Caller:         task.Caller,
-		Class:          task.Class,
+		Priority:       task.Priority,
 		Weight:         task.Weight,
 		Deployment:     task.Deployment,
 		PrefixHash:     prefixHash(task.Prompt),
@@ -91,7 +91,7 @@
 		VersionLead:    task.VersionLead,
 		ClaimedShare:   task.ClaimedShare,
 	}
-	if task.Class != limit.Training {
+	if task.Priority != limit.Training {
 		request.Digest = task.digest
 	}
 	dispatch, err := g.Router.Admit(request)
@@ -204,7 +204,7 @@
 		Prompt:    r.task.Prompt,
 		MaxTokens: r.task.MaxTokens,
 		Seed:      r.task.Seed,
-		Priority:  r.task.Class.EnginePriority(),
+		Priority:  r.task.Priority.EnginePriority(),
 		Resume:    r.tokenTexts,
 	}, func(t engine.Token) error { return r.handleToken(u, t) })
 	now := r.generator.Timer.Now()
--- a/internal/rollout/stream/property_test.go
+++ b/internal/rollout/stream/property_test.go
@@ -128,8 +128,8 @@
 		Engine: e,
 		Timer:  clock,
 		Router: &router.Router{
-			Table:  table,
-			Holder: holder,
+			Table:         table,
+			Configuration: holder,
 			Limiter: &limit.Limiter{
 				Timer: clock,
 			},
--- a/internal/route/crash/doc.go
+++ b/internal/route/crash/doc.go
@@ -8,7 +8,7 @@
 //		RequestID:   "9c41d07be2a35f68",
 //		Incarnation: crash.IncarnationOf(u.ID, u.Incarnation),
 //		Address:     u.Address,
-//		Sum:         sum,
+//		Digest:      digest,
 //	})
 //
 // A connection that is cut off before an answer is no proof of a crash: the network path may be
--- a/internal/route/crash/reporter.go
+++ b/internal/route/crash/reporter.go
@@ -46,7 +46,7 @@
 	RequestID   string
 	Incarnation Incarnation
 	Address     string
-	Sum         fingerprint.Digest
+	Digest      fingerprint.Digest
 	// At is when the connection was cut off.
 	At timer.Instant
 	// Consecutive is the number of consecutive upstream crashes during this request if this
@@ -195,7 +195,7 @@
 		})
 		return
 	}
-	print := c.Sum.Keyed(secret)
+	print := c.Digest.Keyed(secret)
 	fields["fingerprint"] = print.String()
 	if !crashed || r.OnCrash == nil {
 		return
--- a/internal/route/fingerprint/fingerprint.go
+++ b/internal/route/fingerprint/fingerprint.go
@@ -51,22 +51,22 @@
 type Fingerprint [fingerprintBytes]byte
 
 // Keyed returns the fingerprint of s keyed with secret.
-func (s Digest) Keyed(secret []byte) Fingerprint {
+func (d Digest) Keyed(secret []byte) Fingerprint {
 	h := hmac.New(sha256.New, secret)
-	h.Write(s[:])
+	h.Write(d[:])
 	var p Fingerprint
 	copy(p[:], h.Sum(nil))
 	return p
 }
 
 // String implements fmt.Stringer.
-func (p Fingerprint) String() string { return base64.RawURLEncoding.EncodeToString(p[:]) }
+func (f Fingerprint) String() string { return base64.RawURLEncoding.EncodeToString(f[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
-func (p Fingerprint) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
+func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (p *Fingerprint) UnmarshalText(text []byte) error {
+func (f *Fingerprint) UnmarshalText(text []byte) error {
 	b, err := base64.RawURLEncoding.DecodeString(string(text))
 	if err != nil {
 		return fmt.Errorf("fingerprint %q: %w", text, err)
@@ -74,6 +74,6 @@
 	if len(b) != fingerprintBytes {
 		return fmt.Errorf("fingerprint %q has %d bytes instead of %d", text, len(b), fingerprintBytes)
 	}
-	copy(p[:], b)
+	copy(f[:], b)
 	return nil
 }
--- a/internal/route/fingerprint/fingerprint_test.go
+++ b/internal/route/fingerprint/fingerprint_test.go
@@ -42,7 +42,7 @@
 	is.True(!bytes.HasPrefix(s[:], s.Keyed([]byte("a")).bytes()))
 }
 
-func (p Fingerprint) bytes() []byte { return p[:] }
+func (f Fingerprint) bytes() []byte { return f[:] }
 
 func TestFingerprintTextRoundTrip(t *testing.T) {
 	is := is.New(t)
--- a/internal/route/forward/forward.go
+++ b/internal/route/forward/forward.go
@@ -85,11 +85,11 @@
 	Metrics   *Metrics
 	// Usage counts the requests that start to run; nil counts nothing.
 	Usage UsageCounter
-	// Crashes checks whether an upstream crashed when an attempt was cut off; nil
+	// CrashReporter checks whether an upstream crashed when an attempt was cut off; nil
 	// disables the check.
-	Crashes CrashReporter
-	// Suspects detects poison requests; nil disables the detection.
-	Suspects PoisonDetector
+	CrashReporter CrashReporter
+	// PoisonDetector detects poison requests; nil disables the detection.
+	PoisonDetector PoisonDetector
 }
 
 // CrashReporter is told about attempts whose connection was lost before the answer was
--- a/internal/route/forward/suspect.go
+++ b/internal/route/forward/poison.go
@@ -14,11 +14,11 @@
 // that was answered, which clears it of suspicion; a streaming answer is reported when
 // its stream ends.
 func (d *dispatch) runUnlessQuarantined(ctx context.Context) (*Answer, error) {
-	if d.f.Suspects == nil {
+	if d.f.PoisonDetector == nil {
 		return d.runAttempts(ctx)
 	}
 	digest := d.req.digest
-	d.verdict = d.f.Suspects.Judge(digest)
+	d.verdict = d.f.PoisonDetector.Judge(digest)
 	if d.verdict.Quarantined() {
 		return nil, problem.Quarantined.Withf("%s", d.verdict).WithRetryAfter(d.verdict.RetryAfter)
 	}
@@ -32,7 +32,7 @@
 		return answer, err
 	}
 	if answer != nil {
-		d.f.Suspects.RecordAnswer(digest)
+		d.f.PoisonDetector.RecordAnswer(digest)
 	}
 	return answer, err
 }
@@ -41,14 +41,14 @@
 // was complete, as it may have crashed.
 func (d *dispatch) reportCut(u *catalog.Upstream) {
 	d.cutAttempts++
-	if d.f.Crashes == nil {
+	if d.f.CrashReporter == nil {
 		return
 	}
-	d.f.Crashes.ReportCutOff(crash.Cut{
+	d.f.CrashReporter.ReportCutOff(crash.Cut{
 		RequestID:   d.req.ID,
 		Incarnation: crash.IncarnationOf(u.ID, u.Incarnation),
 		Address:     u.Address,
-		Sum:         d.req.digest(),
+		Digest:      d.req.digest(),
 		At:          d.f.Timer.Now(),
 		Consecutive: d.verdict.Crashes + d.cutAttempts,
 	})
@@ -73,7 +73,7 @@
 	s.ended = true
 	switch {
 	case errors.Is(err, io.EOF):
-		s.dispatch.f.Suspects.RecordAnswer(s.dispatch.req.digest)
+		s.dispatch.f.PoisonDetector.RecordAnswer(s.dispatch.req.digest)
 	case s.ctx.Err() == nil:
 		s.dispatch.reportCut(s.dispatch.winner)
 	}
--- a/internal/route/forward/suspect_test.go
+++ b/internal/route/forward/poison_test.go
@@ -68,7 +68,7 @@
 func (c *fakeDetector) send(s *sender, attempts int) (*Answer, error) {
 	f, stop := newForwarder(s, 6)
 	defer stop()
-	f.Crashes, f.Suspects = c, c
+	f.CrashReporter, f.PoisonDetector = c, c
 	r := route(catalog.Idempotent)
 	r.Attempts = attempts
 	return f.Do(context.Background(), Request{
@@ -141,7 +141,7 @@
 	is := is.New(t)
 	for err, cuts := range map[error]int{io.EOF: 0, engine.ErrIncompleteResponse: 1} {
 		c := &fakeDetector{verdict: poison.Verdict{Crashes: 1}}
-		f := &Forwarder{Crashes: c, Suspects: c, Timer: &timer.Manual{}}
+		f := &Forwarder{CrashReporter: c, PoisonDetector: c, Timer: &timer.Manual{}}
 		w := &trackedStream{
 			ReadCloser: io.NopCloser(io.MultiReader(strings.NewReader("id: 1"), errorReader{err})),
 			ctx:        context.Background(),
--- a/internal/route/limit/limit_test.go
+++ b/internal/route/limit/limit_test.go
@@ -17,7 +17,7 @@
 	return limit.Request{
 		Deployment: "d",
 		Caller:     caller,
-		Class:      class,
+		Priority:   class,
 		Weight:     1,
 		Capacity:   40,
 	}
--- a/internal/route/limit/limiter.go
+++ b/internal/route/limit/limiter.go
@@ -21,7 +21,7 @@
 type Request struct {
 	Deployment string
 	Caller     string
-	Class      Priority
+	Priority   Priority
 	Weight     float64
 	// Capacity is the number of requests that the deployment's upstreams can run
 	// or queue at once, as far as this instance knows.
@@ -82,14 +82,14 @@
 // refusalReason returns why a request is refused, or "" if it is admitted. n is the
 // number of requests in flight, including this one.
 func refusalReason(d *deploymentLimiter, s *callerState, req *Request, limit, n float64) string {
-	if n > math.Max(1, limit*req.Class.limitShare()) {
-		return "the concurrency limit is reached for priority " + req.Class.String()
+	if n > math.Max(1, limit*req.Priority.limitShare()) {
+		return "the concurrency limit is reached for priority " + req.Priority.String()
 	}
 	if req.reachedClaim(s) {
 		return "the caller's share of the slots is in use and other callers claim the rest"
 	}
 	if req.Usage > req.maxUsage() {
-		return "its upstreams are too busy for priority " + req.Class.String()
+		return "its upstreams are too busy for priority " + req.Priority.String()
 	}
 	if n > limit*fairShareThreshold && d.reachedFairShare(s, limit) {
 		return "the caller's fair share of the limit is in use"
@@ -111,7 +111,7 @@
 // is known late, and two callers that relied on it would each take what the other one
 // seems to leave free.
 func (req *Request) reachedClaim(s *callerState) bool {
-	return req.contended() && float64(s.inFlight.Load()) >= max(1, req.ClaimedShare*req.Slots*req.Class.maxUsage())
+	return req.contended() && float64(s.inFlight.Load()) >= max(1, req.ClaimedShare*req.Slots*req.Priority.maxUsage())
 }
 
 // maxUsage returns the usage of the deployment above which the request is refused.
@@ -119,7 +119,7 @@
 	if req.contended() {
 		return claimMaxUsage
 	}
-	return req.Class.maxUsage()
+	return req.Priority.maxUsage()
 }
 
 // Release ends the request and adapts the limit to the result.
--- a/internal/route/poison/doc.go
+++ b/internal/route/poison/doc.go
@@ -4,7 +4,7 @@
 //	var tracker poison.Tracker
 //	tracker.Add(poison.Crash{
 //		Incarnation: "desk-4/1774870592702",
-//		Print:       print,
+//		Fingerprint: print,
 //		At:          now,
 //		Consecutive: 1,
 //	})
--- a/internal/route/poison/suspect_test.go
+++ b/internal/route/poison/poison_test.go
@@ -26,7 +26,7 @@
 func newCrash(incarnation, print, consecutive int, at timer.Instant) Crash {
 	return Crash{
 		Incarnation: incarnationOf(incarnation),
-		Print:       fingerprintOf(print),
+		Fingerprint: fingerprintOf(print),
 		At:          at,
 		Consecutive: consecutive,
 	}
--- a/internal/route/poison/evidence.go
+++ b/internal/route/poison/tracker.go
@@ -26,7 +26,7 @@
 // crashed.
 type Crash struct {
 	Incarnation crash.Incarnation
-	Print       fingerprint.Fingerprint
+	Fingerprint fingerprint.Fingerprint
 	At          timer.Instant
 	// Consecutive is the number of consecutive upstream crashes during this request, including
 	// this one, as known when the request was sent. Upstreams that are lost at the same time while
@@ -57,7 +57,7 @@
 
 // indexOf returns the index of a request in x.requests, or -1.
 func (x *upstreamCrash) indexOf(p fingerprint.Fingerprint) int {
-	return slices.IndexFunc(x.requests, func(c Crash) bool { return c.Print == p })
+	return slices.IndexFunc(x.requests, func(c Crash) bool { return c.Fingerprint == p })
 }
 
 // blame summarizes the crashes of one request.
@@ -90,7 +90,7 @@
 // already, in which case only its Consecutive may be raised, if the request was cleared
 // at or after it, or if the upstream crash has maxRequestsPerCrash requests.
 func (t *Tracker) Add(c Crash) bool {
-	if at, ok := t.cleared[c.Print]; ok && c.At <= at {
+	if at, ok := t.cleared[c.Fingerprint]; ok && c.At <= at {
 		return false
 	}
 	at := slices.IndexFunc(t.crashes, func(x *upstreamCrash) bool { return x.incarnation == c.Incarnation })
@@ -103,7 +103,7 @@
 		return true
 	}
 	x := t.crashes[at]
-	if i := x.indexOf(c.Print); i >= 0 {
+	if i := x.indexOf(c.Fingerprint); i >= 0 {
 		t.stale = t.stale || c.Consecutive > x.requests[i].Consecutive
 		x.requests[i].Consecutive = max(x.requests[i].Consecutive, c.Consecutive)
 		return false
@@ -131,7 +131,7 @@
 func (t *Tracker) evict() {
 	t.updateBlame()
 	at := slices.IndexFunc(t.crashes, func(x *upstreamCrash) bool {
-		return !slices.ContainsFunc(x.requests, func(c Crash) bool { return t.blame[c.Print].isPoison() })
+		return !slices.ContainsFunc(x.requests, func(c Crash) bool { return t.blame[c.Fingerprint].isPoison() })
 	})
 	t.crashes = slices.Delete(t.crashes, max(0, at), max(0, at)+1)
 	t.stale = true
@@ -202,7 +202,7 @@
 	for _, x := range t.crashes {
 		members := make([]int, len(x.requests))
 		for i, c := range x.requests {
-			p := c.Print
+			p := c.Fingerprint
 			if _, ok := index[p]; !ok {
 				index[p] = len(d.shares)
 				d.shares = append(d.shares, 0)
--- a/internal/route/poison/verdict.go
+++ b/internal/route/poison/verdict.go
@@ -36,7 +36,7 @@
 // Verdict is the decision on a request with its reasons. The zero value means that the
 // request is not suspected.
 type Verdict struct {
-	Print fingerprint.Fingerprint
+	Fingerprint fingerprint.Fingerprint
 	// Crashes is the number of upstreams that crashed one after the other while running the
 	// request.
 	Crashes int
@@ -60,7 +60,7 @@
 		return Verdict{}
 	}
 	v := Verdict{
-		Print:        p,
+		Fingerprint:  p,
 		Crashes:      b.countedCrashes(),
 		TotalCrashes: b.total,
 		Blame:        b.share,
@@ -104,7 +104,7 @@
 // Fields returns the log fields of the verdict.
 func (v Verdict) Fields() log.Fields {
 	return log.Fields{
-		"fingerprint":    v.Print.String(),
+		"fingerprint":    v.Fingerprint.String(),
 		"crashes":        v.Crashes,
 		"ends":           v.TotalCrashes,
 		"blame":          strconv.FormatFloat(v.Blame, 'f', 2, 64),
--- a/internal/route/relay/call.go
+++ b/internal/route/relay/call.go
@@ -28,7 +28,7 @@
 type Call struct {
 	RequestID  string
 	Caller     string
-	Class      limit.Priority
+	Priority   limit.Priority
 	Weight     float64
 	Deployment string
 	Method     string
--- a/internal/route/relay/crash_test.go
+++ b/internal/route/relay/crash_test.go
@@ -89,7 +89,7 @@
 	board := &crashnotice.Board{
 		Secret: sharedSecret,
 		Key:    name,
-		Poster: &crashnotice.GossipPublisher{
+		Publisher: &crashnotice.GossipPublisher{
 			State: state,
 			Key:   name,
 		},
@@ -111,17 +111,17 @@
 		board: board,
 		relay: &relay.Relay{
 			Router: &router.Router{
-				Table:    table,
-				Holder:   holder,
-				Limiter:  &limit.Limiter{Timer: clock},
-				Versions: &version.Table{State: state},
-				Timer:    clock,
-				Crashes: &crash.Reporter{
+				Table:         table,
+				Configuration: holder,
+				Limiter:       &limit.Limiter{Timer: clock},
+				Versions:      &version.Table{State: state},
+				Timer:         clock,
+				CrashReporter: &crash.Reporter{
 					Secret:  sharedSecret,
 					Timer:   clock,
 					OnCrash: board.ReportCrash,
 				},
-				Suspects: board,
+				PoisonDetector: board,
 			},
 			Client: &wire.Client{},
 			Timer:  clock,
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -34,7 +34,7 @@
 	dispatch, err := r.Router.Admit(router.Request{
 		RequestID:  c.RequestID,
 		Caller:     c.Caller,
-		Class:      c.Class,
+		Priority:   c.Priority,
 		Weight:     c.Weight,
 		Deployment: c.Deployment,
 		Digest:     c.digest,
@@ -184,7 +184,7 @@
 	copyHeaders(req.Header, c.Header, requestHeaders)
 	req.Header.Set(HeaderRequestID, c.RequestID)
 	req.Header.Set(HeaderAttempt, attempt)
-	req.Header.Set(HeaderPriority, c.Class.String())
+	req.Header.Set(HeaderPriority, c.Priority.String())
 	req.Header.Set(HeaderCaller, c.Caller)
 	if deadline, ok := ctx.Deadline(); ok {
 		req.Header.Set(HeaderDeadline, strconv.FormatInt(time.Until(deadline).Milliseconds(), 10))
--- a/internal/route/router/part.go
+++ b/internal/route/router/part.go
@@ -46,15 +46,15 @@
 	part.Provide(h, limiter)
 	part.Provide(h, adapter)
 	part.Provide(h, &Router{
-		Table:    table,
-		Holder:   part.MustGet[*configuration.Holder](h),
-		Limiter:  limiter,
-		Versions: part.MustGet[*version.Table](h),
-		Timer:    h.Timer,
-		Journal:  h.Journal,
-		Metrics:  NewMetrics(h.Metrics),
-		Crashes:  part.MustGet[*crash.Reporter](h),
-		Suspects: part.MustGet[*crashnotice.Board](h),
+		Table:          table,
+		Configuration:  part.MustGet[*configuration.Holder](h),
+		Limiter:        limiter,
+		Versions:       part.MustGet[*version.Table](h),
+		Timer:          h.Timer,
+		Journal:        h.Journal,
+		Metrics:        NewMetrics(h.Metrics),
+		CrashReporter:  part.MustGet[*crash.Reporter](h),
+		PoisonDetector: part.MustGet[*crashnotice.Board](h),
 	})
 	h.Metrics.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "egretbend_load_ratio",
@@ -62,12 +62,12 @@
 	}, limiter.Load))
 	return &routerPart{
 		refresher: &upstream.Refresher{
-			Table:   table,
-			Holder:  part.MustGet[*configuration.Holder](h),
-			Listing: part.MustGet[*listing.Table](h),
-			Members: part.MustGet[*member.Table](h),
-			Timer:   h.Timer,
-			Engine:  adapter,
+			Table:         table,
+			Configuration: part.MustGet[*configuration.Holder](h),
+			Listing:       part.MustGet[*listing.Table](h),
+			Members:       part.MustGet[*member.Table](h),
+			Timer:         h.Timer,
+			Engine:        adapter,
 		},
 	}, nil
 }
--- a/internal/route/router/suspect.go
+++ b/internal/route/router/poison.go
@@ -26,10 +26,10 @@
 // checkQuarantine returns the verdict on a request, or problem.Quarantined if no
 // upstream may run it now.
 func (r *Router) checkQuarantine(req Request) (poison.Verdict, error) {
-	if r.Suspects == nil || req.Digest == nil {
+	if r.PoisonDetector == nil || req.Digest == nil {
 		return poison.Verdict{}, nil
 	}
-	v := r.Suspects.Judge(req.Digest)
+	v := r.PoisonDetector.Judge(req.Digest)
 	if v.Quarantined() {
 		fields := v.Fields()
 		fields["request_id"] = req.RequestID
@@ -44,14 +44,14 @@
 // complete, and reports it as a possible crash of the upstream.
 func (d *Dispatch) ReportCutOff(u *upstream.Upstream) {
 	d.cutAttempts++
-	if d.router.Crashes == nil || d.Job.Digest == nil {
+	if d.router.CrashReporter == nil || d.Request.Digest == nil {
 		return
 	}
-	d.router.Crashes.ReportCutOff(crash.Cut{
-		RequestID:   d.Job.RequestID,
+	d.router.CrashReporter.ReportCutOff(crash.Cut{
+		RequestID:   d.Request.RequestID,
 		Incarnation: crash.IncarnationOf(u.ID, u.Incarnation),
 		Address:     u.Address,
-		Sum:         d.Job.Digest(),
+		Digest:      d.Request.Digest(),
 		At:          d.router.Timer.Now(),
 		Consecutive: d.verdict.Crashes + d.cutAttempts,
 	})
@@ -60,7 +60,7 @@
 // clearSuspicion records that the request was answered, which clears it if it was
 // suspected of crashing upstreams.
 func (d *Dispatch) clearSuspicion() {
-	if d.router.Suspects != nil && d.Job.Digest != nil {
-		d.router.Suspects.RecordAnswer(d.Job.Digest)
+	if d.router.PoisonDetector != nil && d.Request.Digest != nil {
+		d.router.PoisonDetector.RecordAnswer(d.Request.Digest)
 	}
 }
--- a/internal/route/router/router.go
+++ b/internal/route/router/router.go
@@ -24,17 +24,17 @@
 
 // Router admits requests and chooses the upstreams that run them.
 type Router struct {
-	Table    *upstream.Table
-	Holder   *configuration.Holder
-	Limiter  *limit.Limiter
-	Versions *version.Table
-	Timer    timer.Service
-	Journal  *journal.Journal
-	Metrics  *Metrics
-	// Crashes checks whether an upstream crashed when an attempt was cut off, Suspects
-	// detects poison requests. Each may be nil, which disables it.
-	Crashes  CrashReporter
-	Suspects PoisonDetector
+	Table         *upstream.Table
+	Configuration *configuration.Holder
+	Limiter       *limit.Limiter
+	Versions      *version.Table
+	Timer         timer.Service
+	Journal       *journal.Journal
+	Metrics       *Metrics
+	// CrashReporter checks whether an upstream crashed when an attempt was cut off,
+	// PoisonDetector detects poison requests. Each may be nil, which disables it.
+	CrashReporter  CrashReporter
+	PoisonDetector PoisonDetector
 
 	budgets    sync.Map // deployment name to *retry.Budget
 	capacities sync.Map // deployment name to *capacityCache
@@ -68,7 +68,7 @@
 type Request struct {
 	RequestID  string
 	Caller     string
-	Class      limit.Priority
+	Priority   limit.Priority
 	Weight     float64
 	Deployment string
 	// PrefixHash is the hash of the prompt's prefix, for prefix affinity; zero if there is
@@ -104,7 +104,7 @@
 // problem.NoUpstream, problem.Overloaded, problem.Quarantined or problem.Internal;
 // with any of them nothing has run.
 func (r *Router) Admit(req Request) (*Dispatch, error) {
-	if r.Holder.Current() == nil {
+	if r.Configuration.Current() == nil {
 		return nil, problem.NotReady.Withf("no configuration yet").WithRetryAfter(time.Second)
 	}
 	verdict, err := r.checkQuarantine(req)
@@ -127,7 +127,7 @@
 	permit, err := r.Limiter.Admit(limit.Request{
 		Deployment:   req.Deployment,
 		Caller:       req.Caller,
-		Class:        req.Class,
+		Priority:     req.Priority,
 		Weight:       max(req.Weight, 0.01),
 		Capacity:     slots * (1 + set.Deployment.QueueShare),
 		Usage:        (others + float64(ownInFlight)) / slots,
@@ -143,7 +143,7 @@
 		return nil, problem.Internal.With(err).WithOutcome(problem.NotRun)
 	}
 	return &Dispatch{
-		Job:     req,
+		Request: req,
 		Set:     set,
 		router:  r,
 		permit:  permit,
@@ -155,12 +155,12 @@
 // recordRefusal counts and logs a refused request and returns err.
 func (r *Router) recordRefusal(req Request, err error) error {
 	if r.Metrics != nil {
-		r.Metrics.Refusals.WithLabelValues(req.Deployment, req.Class.String()).Inc()
+		r.Metrics.Refusals.WithLabelValues(req.Deployment, req.Priority.String()).Inc()
 	}
 	r.Journal.Decision("refuse", log.Fields{
 		"request_id": req.RequestID,
 		"deployment": req.Deployment,
-		"priority":   req.Class.String(),
+		"priority":   req.Priority.String(),
 		"reason":     err.Error(),
 	})
 	return err
@@ -197,8 +197,8 @@
 // Dispatch is an admitted request. It chooses the upstream for each attempt and must be
 // closed once.
 type Dispatch struct {
-	Job Request
-	Set *upstream.Set
+	Request Request
+	Set     *upstream.Set
 
 	router *Router
 	permit *limit.Permit
@@ -238,11 +238,11 @@
 // flight there. It returns problem.NoUpstream if there is none or all attempts are used.
 func (d *Dispatch) NextUpstream() (*upstream.Upstream, error) {
 	if d.attempts >= d.Set.Deployment.Attempts || d.excluded+d.attempts >= policy.MaxTried {
-		return nil, problem.NoUpstream.Withf("all %d attempts of request %s have been used", d.attempts, d.Job.RequestID).
+		return nil, problem.NoUpstream.Withf("all %d attempts of request %s have been used", d.attempts, d.Request.RequestID).
 			WithRetryAfter(time.Second)
 	}
-	choice := d.policy.Choose(d.Set, d.query(d.Job.VersionLead))
-	if choice.Upstream == nil && d.Job.VersionLead > 0 {
+	choice := d.policy.Choose(d.Set, d.query(d.Request.VersionLead))
+	if choice.Upstream == nil && d.Request.VersionLead > 0 {
 		// While new versions are being published, possibly no engine has a version
 		// that will still be recent enough on delivery. Fall back to one that is
 		// recent enough now.
@@ -250,7 +250,7 @@
 	}
 	d.router.logChoice(d, choice)
 	if choice.Upstream == nil {
-		return nil, problem.NoUpstream.Withf("none of the %d upstreams of %q is usable", choice.Candidates, d.Job.Deployment).
+		return nil, problem.NoUpstream.Withf("none of the %d upstreams of %q is usable", choice.Candidates, d.Request.Deployment).
 			WithRetryAfter(time.Second)
 	}
 	d.tried[d.excluded+d.attempts] = choice.Upstream
@@ -264,12 +264,12 @@
 func (d *Dispatch) query(lead uint64) policy.Query {
 	q := policy.Query{
 		Random:     rand.Uint64(),
-		PrefixHash: d.Job.PrefixHash,
+		PrefixHash: d.Request.PrefixHash,
 		Now:        d.router.Timer.Now(),
 		Tried:      d.tried,
-		Choices:    choicesFor(d.Job.Class),
+		Choices:    choicesFor(d.Request.Priority),
 	}
-	if !d.Job.BoundStaleness {
+	if !d.Request.BoundStaleness {
 		return q
 	}
 	newest, oldest, ok := d.VersionBounds(lead)
@@ -286,8 +286,8 @@
 // results are still within the staleness bound after lead more versions. ok is false if
 // the request has no staleness bound or no version is published.
 func (d *Dispatch) VersionBounds(lead uint64) (newest, oldest version.Version, ok bool) {
-	p, ok := d.router.Versions.Newest(d.Job.Deployment)
-	if !ok || !d.Job.BoundStaleness {
+	p, ok := d.router.Versions.Newest(d.Request.Deployment)
+	if !ok || !d.Request.BoundStaleness {
 		return version.Version{}, version.Version{}, false
 	}
 	bound := d.Set.Deployment.Staleness.MaxVersions
@@ -318,11 +318,11 @@
 	if d.attempts >= d.Set.Deployment.Attempts || d.cutAttempts > 0 && !d.verdict.MayRetry(d.cutAttempts, 0) {
 		return false
 	}
-	if !d.router.retryBudget(d.Job.Deployment).Withdraw() {
+	if !d.router.retryBudget(d.Request.Deployment).Withdraw() {
 		return false
 	}
 	if d.router.Metrics != nil {
-		d.router.Metrics.Retries.WithLabelValues(d.Job.Deployment).Inc()
+		d.router.Metrics.Retries.WithLabelValues(d.Request.Deployment).Inc()
 	}
 	return true
 }
@@ -331,7 +331,7 @@
 // the retry budget and is cleared of suspicion.
 func (d *Dispatch) Close(r limit.Result) {
 	if r == limit.Succeeded {
-		d.router.retryBudget(d.Job.Deployment).Deposit(d.Set.Deployment.RetryShare)
+		d.router.retryBudget(d.Request.Deployment).Deposit(d.Set.Deployment.RetryShare)
 		d.clearSuspicion()
 	}
 	d.permit.Release(r)
@@ -340,7 +340,7 @@
 // logChoice counts an attempt and logs the choice of its upstream.
 func (r *Router) logChoice(d *Dispatch, c policy.Choice) {
 	if r.Metrics != nil {
-		r.Metrics.Attempts.WithLabelValues(d.Job.Deployment).Inc()
+		r.Metrics.Attempts.WithLabelValues(d.Request.Deployment).Inc()
 	}
 	if r.Journal == nil {
 		return
@@ -351,10 +351,10 @@
 		load = c.Upstream.Load(r.Timer.Now())
 	}
 	r.Journal.Decision("route", log.Fields{
-		"request_id": d.Job.RequestID,
+		"request_id": d.Request.RequestID,
 		"attempt":    d.attempts + 1,
-		"deployment": d.Job.Deployment,
-		"priority":   d.Job.Class.String(),
+		"deployment": d.Request.Deployment,
+		"priority":   d.Request.Priority.String(),
 		"chosen":     chosen,
 		"candidates": c.Candidates,
 		"of":         d.Set.Total,
--- a/internal/route/upstream/refresh.go
+++ b/internal/route/upstream/refresh.go
@@ -35,12 +35,12 @@
 
 // Refresher rebuilds a Table after changes and requests load reports from upstreams.
 type Refresher struct {
-	Table   *Table
-	Holder  *configuration.Holder
-	Listing *listing.Table
-	Members *member.Table
-	Timer   timer.Service
-	Engine  engine.Adapter
+	Table         *Table
+	Configuration *configuration.Holder
+	Listing       *listing.Table
+	Members       *member.Table
+	Timer         timer.Service
+	Engine        engine.Adapter
 
 	// revision and listingChanges identify the configuration and the list of the last rebuild.
 	revision       uint64
@@ -57,7 +57,7 @@
 	for {
 		listed := r.Listing.State.Changed(gossip.KindUpstream)
 		leaving := r.Listing.State.Changed(gossip.KindLeaving)
-		configured := r.Holder.Changed()
+		configured := r.Configuration.Changed()
 		r.Refresh(r.Timer.Now())
 		r.fetchDueReports(ctx)
 		select {
@@ -74,7 +74,7 @@
 
 // Refresh rebuilds the table if the configuration or the list changed.
 func (r *Refresher) Refresh(now timer.Instant) {
-	doc := r.Holder.Current()
+	doc := r.Configuration.Current()
 	if doc == nil {
 		return
 	}
--- a/internal/standin/memorystore/space.go
+++ b/internal/standin/memorystore/store.go
@@ -40,7 +40,7 @@
 	// LostAfter executes a Commit and loses its answer. Other operations have no
 	// effect.
 	LostAfter
-	// Delayed loses the answer of a Commit, and executes it when ApplyLate is called.
+	// Delayed loses the answer of a Commit, and executes it when ApplyDelayed is called.
 	// Other operations have no effect.
 	Delayed
 )
@@ -112,9 +112,9 @@
 	s.compacted = s.revision
 }
 
-// ApplyLate executes the delayed commits in the order of their calls. A commit whose
+// ApplyDelayed executes the delayed commits in the order of their calls. A commit whose
 // conditions no longer hold has no effect.
-func (s *Store) ApplyLate() {
+func (s *Store) ApplyDelayed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, tx := range s.delayedCommits {
--- a/internal/standin/service/doc.go
+++ b/internal/standin/service/doc.go
@@ -5,7 +5,10 @@
 // injected Faults. It counts the runs of each order, so that tests detect an order
 // that ran twice:
 //
-//	s := &service.Server{Timer: timer.Real{}, Settings: service.Settings{ID: "desk-1", Slots: 8, WorkMS: 20}}
+//	s := &service.Server{
+//		Timer:    timer.Real{},
+//		Settings: service.Settings{ID: "desk-1", Slots: 8, WorkMS: 20},
+//	}
 //	http.Serve(ln, s.Handler())
 //	s.Runs() // order id to number of runs
 package service
