--- a/Makefile
+++ b/Makefile
@@ -16,7 +16,8 @@
 platform: build
 	bin/egretplay
 
-# soak injects overlapping faults with fresh seeds, and draws a picture of each run.
+# soak injects bursts of overlapping faults with fresh seeds, and writes a plot of each
+# run to run/.
 SEEDS ?= 5
 soak: build
 	bin/egretplay soak --seeds $(SEEDS) --folder run
@@ -27,7 +28,7 @@
 test: build
 	go test -race $(TESTFLAGS) ./...
 
-# fuzz runs the proofs with fresh seeds, each for FUZZTIME.
+# fuzz runs the property tests with fresh seeds, each for FUZZTIME.
 FUZZTIME ?= 30s
 fuzz:
 	FUZZTIME=$(FUZZTIME) go test -race -count=1 -timeout=2h ./internal/fleet/... ./internal/batch/... ./internal/rollout/... ./internal/route/... ./internal/entry/...
