--- a/internal/rollout/copystore/doc.go
+++ b/internal/rollout/copystore/doc.go
@@ -7,8 +7,8 @@
 // instance, which gathers the copies, so that only missing samples are generated
 // again:
 //
-//	err := k.Keep(keepArgs, &keepReply)       // called by the session's instance
-//	err := k.Gather(gatherArgs, &gatherReply) // called by the next session's instance
+//	err := s.Keep(keepArgs, &keepReply)       // called by the session's instance
+//	err := s.Gather(gatherArgs, &gatherReply) // called by the next session's instance
 //
 // The session number is a fencing token: a Store refuses calls for a session with
 // a lower number than the highest that it has seen of the trainer.
--- a/internal/rollout/copystore/store.go
+++ b/internal/rollout/copystore/store.go
@@ -101,55 +101,55 @@
 
 // Keep stores a copy of a finished sample. It keeps an existing copy of the same
 // sample, unless the new one has a newer oldest version.
-func (k *Store) Keep(args KeepArgs, reply *KeepReply) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.removeIdleTrainers()
-	s := k.copiesOf(args.Trainer)
-	if args.Session < s.session {
+func (s *Store) Keep(args KeepArgs, reply *KeepReply) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.removeIdleTrainers()
+	t := s.copiesOf(args.Trainer)
+	if args.Session < t.session {
 		reply.Fenced = true
 		return nil
 	}
-	s.session = args.Session
-	k.removeStepsBelow(s, args.DoneBelow)
-	if old, ok := s.copies[args.Key]; ok {
+	t.session = args.Session
+	s.removeStepsBelow(t, args.DoneBelow)
+	if old, ok := t.copies[args.Key]; ok {
 		if !old.oldest.Less(args.Oldest) {
 			return nil
 		}
 		// The sample was regenerated because the old one had become too old.
-		k.bytes -= len(old.raw)
-		delete(s.copies, args.Key)
+		s.bytes -= len(old.raw)
+		delete(t.copies, args.Key)
 	}
-	if k.bytes+len(args.Raw) > MaxBytes {
+	if s.bytes+len(args.Raw) > MaxBytes {
 		return ErrFull
 	}
-	s.copies[args.Key] = storedCopy{
+	t.copies[args.Key] = storedCopy{
 		raw:          args.Raw,
 		oldest:       args.Oldest,
-		firstTokenAt: k.Timer.Now().Add(-args.Age),
+		firstTokenAt: s.Timer.Now().Add(-args.Age),
 	}
-	k.bytes += len(args.Raw)
+	s.bytes += len(args.Raw)
 	return nil
 }
 
 // Gather returns copies of a step in the order of their keys. It also records the
 // session number, which fences the trainer's earlier sessions.
-func (k *Store) Gather(args GatherArgs, reply *GatherReply) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s := k.copiesOf(args.Trainer)
-	if args.Session < s.session {
+func (s *Store) Gather(args GatherArgs, reply *GatherReply) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	t := s.copiesOf(args.Trainer)
+	if args.Session < t.session {
 		reply.Fenced = true
 		return nil
 	}
-	s.session = args.Session
-	keys := s.sortedKeys(args.Step)
+	t.session = args.Session
+	keys := t.sortedKeys(args.Step)
 	if args.Skip > len(keys) {
 		return nil
 	}
 	size := 0
 	for _, key := range keys[args.Skip:] {
-		c := s.copies[key]
+		c := t.copies[key]
 		size += len(c.raw)
 		if size > maxPageBytes && len(reply.Copies) > 0 {
 			reply.More = true
@@ -159,70 +159,70 @@
 			Key:    key,
 			Raw:    c.raw,
 			Oldest: c.oldest,
-			Age:    k.Timer.Now().Sub(c.firstTokenAt),
+			Age:    s.Timer.Now().Sub(c.firstTokenAt),
 		})
 	}
 	return nil
 }
 
 // Bytes returns the total size of all copies, in bytes.
-func (k *Store) Bytes() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.bytes
+func (s *Store) Bytes() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.bytes
 }
 
 // copiesOf returns the copies of a trainer and marks them as used. The caller holds
 // the lock.
-func (k *Store) copiesOf(trainer string) *trainerCopies {
-	if k.trainers == nil {
-		k.trainers = make(map[string]*trainerCopies)
+func (s *Store) copiesOf(trainer string) *trainerCopies {
+	if s.trainers == nil {
+		s.trainers = make(map[string]*trainerCopies)
 	}
-	s, ok := k.trainers[trainer]
+	t, ok := s.trainers[trainer]
 	if !ok {
-		s = &trainerCopies{
+		t = &trainerCopies{
 			copies: make(map[sample.Key]storedCopy),
 		}
-		k.trainers[trainer] = s
+		s.trainers[trainer] = t
 	}
-	s.lastUsed = k.Timer.Now()
-	return s
+	t.lastUsed = s.Timer.Now()
+	return t
 }
 
 // removeStepsBelow removes the copies of all steps with lower numbers than step. The
 // caller holds the lock.
-func (k *Store) removeStepsBelow(s *trainerCopies, step uint64) {
-	if step <= s.doneBelow {
+func (s *Store) removeStepsBelow(t *trainerCopies, step uint64) {
+	if step <= t.doneBelow {
 		return
 	}
-	s.doneBelow = step
-	for key, c := range s.copies {
+	t.doneBelow = step
+	for key, c := range t.copies {
 		if key.Step < step {
-			k.bytes -= len(c.raw)
-			delete(s.copies, key)
+			s.bytes -= len(c.raw)
+			delete(t.copies, key)
 		}
 	}
 }
 
 // removeIdleTrainers removes the copies of trainers that were not used for idleTTL.
 // The caller holds the lock.
-func (k *Store) removeIdleTrainers() {
-	now := k.Timer.Now()
-	for name, s := range k.trainers {
-		if now.Sub(s.lastUsed) < idleTTL {
+func (s *Store) removeIdleTrainers() {
+	now := s.Timer.Now()
+	for name, t := range s.trainers {
+		if now.Sub(t.lastUsed) < idleTTL {
 			continue
 		}
-		for _, c := range s.copies {
-			k.bytes -= len(c.raw)
+		for _, c := range t.copies {
+			s.bytes -= len(c.raw)
 		}
-		delete(k.trainers, name)
+		delete(s.trainers, name)
 	}
 }
 
 // sortedKeys returns the keys of a step's copies, sorted by group and index.
-func (s *trainerCopies) sortedKeys(step uint64) []sample.Key {
+func (t *trainerCopies) sortedKeys(step uint64) []sample.Key {
 	var keys []sample.Key
-	for key := range s.copies {
+	for key := range t.copies {
 		if key.Step == step {
 			keys = append(keys, key)
 		}
--- a/internal/rollout/runner/attempt.go
+++ b/internal/rollout/runner/attempt.go
@@ -36,12 +36,12 @@
 
 // newTask returns the generation task of an attempt. It resumes from the tokens
 // in rec. The caller holds the lock.
-func (l *openSession) newTask(work session.Attempt, rec *sample.Recorder) stream.Task {
+func (o *openSession) newTask(work session.Attempt, rec *sample.Recorder) stream.Task {
 	return stream.Task{
-		RequestID:      fmt.Sprintf("%s.%d.%s.%d", l.state.Trainer, l.state.Number, work.Key, l.attemptCount),
-		Caller:         l.state.Trainer,
+		RequestID:      fmt.Sprintf("%s.%d.%s.%d", o.state.Trainer, o.state.Number, work.Key, o.attemptCount),
+		Caller:         o.state.Trainer,
 		Priority:       limit.Training,
-		Weight:         l.weight(),
+		Weight:         o.weight(),
 		Deployment:     work.Deployment,
 		Prompt:         work.Prompt,
 		MaxTokens:      work.MaxTokens,
@@ -49,48 +49,48 @@
 		Resume:         rec.Texts,
 		BoundStaleness: true,
 		VersionLead:    work.StepLead,
-		ClaimedShare:   l.runner.Demand.Share(work.Deployment, l.state.Trainer, l.weight(), l.runner.Members.View()),
+		ClaimedShare:   o.runner.Demand.Share(work.Deployment, o.state.Trainer, o.weight(), o.runner.Members.View()),
 	}
 }
 
 // run generates the sample and records the result or the failure.
 func (a *attempt) run(dispatch *router.Dispatch) {
-	l := a.session
+	o := a.session
 	timeout := time.Duration(dispatch.Set.Deployment.TimeoutMS) * time.Millisecond
-	ctx, cancel := context.WithTimeout(l.ctx, timeout)
+	ctx, cancel := context.WithTimeout(o.ctx, timeout)
 	defer cancel()
 	if a.work.Second {
-		l.runner.Journal.Decision("second_attempt", log.Fields{
+		o.runner.Journal.Decision("second_attempt", log.Fields{
 			"request_id": a.task.RequestID,
 			"sample":     a.work.Key.String(),
 			"resumed":    len(a.task.Resume),
 			"reason":     "slower_than_median",
 		})
 	}
-	started := l.runner.Timer.Now()
-	result, err := l.runner.Generator.Run(ctx, dispatch, a.task, func(t engine.Token) error {
-		return l.recordToken(a.work.Key, a.rec, t)
+	started := o.runner.Timer.Now()
+	result, err := o.runner.Generator.Run(ctx, dispatch, a.task, func(t engine.Token) error {
+		return o.recordToken(a.work.Key, a.rec, t)
 	})
-	l.runner.Journal.Debug("attempt_end", log.Fields{
+	o.runner.Journal.Debug("attempt_end", log.Fields{
 		"request_id": a.task.RequestID,
 		"tokens":     len(a.rec.Texts),
 		"resumed":    len(a.task.Resume),
 		"attempts":   dispatch.Attempts(),
-		"took":       l.runner.Timer.Now().Sub(started).String(),
+		"took":       o.runner.Timer.Now().Sub(started).String(),
 		"error":      fmt.Sprint(err),
 	})
 	if err != nil {
-		l.recordFailure(a.work.Key, err)
+		o.recordFailure(a.work.Key, err)
 		return
 	}
-	l.finishSample(a.work, a.rec, result, a.task.RequestID)
+	o.finishSample(a.work, a.rec, result, a.task.RequestID)
 }
 
 // weight returns the configured weight of the trainer, or 1 while there is no
 // configuration.
-func (l *openSession) weight() float64 {
-	if doc := l.runner.Configuration.Current(); doc != nil {
-		return doc.Parsed().TrainerWeight(l.state.Trainer)
+func (o *openSession) weight() float64 {
+	if doc := o.runner.Configuration.Current(); doc != nil {
+		return doc.Parsed().TrainerWeight(o.state.Trainer)
 	}
 	return 1
 }
@@ -99,48 +99,48 @@
 // tokens, it returns errUnwanted if the result is no longer needed, and otherwise
 // records the progress of the attempt, so that a later attempt can resume from
 // the longest one.
-func (l *openSession) recordToken(key sample.Key, rec *sample.Recorder, t engine.Token) error {
+func (o *openSession) recordToken(key sample.Key, rec *sample.Recorder, t engine.Token) error {
 	if err := rec.Add(t); err != nil {
 		return err
 	}
 	if len(rec.Texts)%wantedCheckTokens != 1 {
 		return nil
 	}
-	now := l.runner.Timer.Now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.state.NeedsResult(key) {
+	now := o.runner.Timer.Now()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if !o.state.NeedsResult(key) {
 		return errUnwanted
 	}
-	l.state.Progress(key, len(rec.Texts), now)
-	l.recordProgress(key, rec, now)
+	o.state.Progress(key, len(rec.Texts), now)
+	o.recordProgress(key, rec, now)
 	return nil
 }
 
 // recordFailure records that an attempt ended without a sample.
-func (l *openSession) recordFailure(key sample.Key, err error) {
-	now := l.runner.Timer.Now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.state.Fail(key, now)
+func (o *openSession) recordFailure(key sample.Key, err error) {
+	now := o.runner.Timer.Now()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.state.Fail(key, now)
 	if errors.Is(err, errUnwanted) {
-		l.runner.Metrics.count(fateBeaten)
+		o.runner.Metrics.count(fateBeaten)
 		return
 	}
-	l.runner.Metrics.count(fateFailed)
+	o.runner.Metrics.count(fateFailed)
 }
 
 // finishSample copies a finished sample to another failure domain and only then
 // makes it ready for delivery to the trainer. A sample that was delivered and
 // acknowledged needs no copy, but losing a sample that is ready would stall the
 // step.
-func (l *openSession) finishSample(work session.Attempt, rec *sample.Recorder, result stream.Result, requestID string) {
+func (o *openSession) finishSample(work session.Attempt, rec *sample.Recorder, result stream.Result, requestID string) {
 	if len(rec.Spans) == 0 {
-		l.recordFailure(work.Key, sample.ErrNoVersion)
+		o.recordFailure(work.Key, sample.ErrNoVersion)
 		return
 	}
 	s := &sample.Sample{
-		Trainer:   l.state.Trainer,
+		Trainer:   o.state.Trainer,
 		Key:       work.Key,
 		Prompt:    work.Prompt,
 		Text:      rec.Text(),
@@ -152,22 +152,22 @@
 	}
 	raw, err := json.Marshal(s)
 	if err != nil {
-		l.recordFailure(work.Key, err)
+		o.recordFailure(work.Key, err)
 		return
 	}
-	l.mu.Lock()
-	wanted := l.state.NeedsResult(work.Key)
-	firstTokenAt := l.progressOf(work.Key).firstTokenAt
-	doneBelow := l.state.DoneBelow()
-	l.mu.Unlock()
-	now := l.runner.Timer.Now()
+	o.mu.Lock()
+	wanted := o.state.NeedsResult(work.Key)
+	firstTokenAt := o.progressOf(work.Key).firstTokenAt
+	doneBelow := o.state.DoneBelow()
+	o.mu.Unlock()
+	now := o.runner.Timer.Now()
 	if firstTokenAt == 0 {
 		firstTokenAt = now
 	}
-	if wanted && l.runner.copyToOtherDomain(l.ctx, l, s, raw, now.Sub(firstTokenAt), doneBelow) {
-		l.fence()
+	if wanted && o.runner.copyToOtherDomain(o.ctx, o, s, raw, now.Sub(firstTokenAt), doneBelow) {
+		o.fence()
 	}
-	l.recordResult(work.Key, session.FinishedSample{
+	o.recordResult(work.Key, session.FinishedSample{
 		Raw:          raw,
 		Oldest:       s.Oldest(),
 		Tokens:       s.Tokens,
@@ -177,17 +177,17 @@
 
 // recordResult makes a finished sample ready for delivery, unless another
 // attempt finished first or the step was dropped.
-func (l *openSession) recordResult(key sample.Key, k session.FinishedSample) {
-	now := l.runner.Timer.Now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	first := l.state.Finish(key, k, now)
-	l.wakeDispatcher()
+func (o *openSession) recordResult(key sample.Key, finished session.FinishedSample) {
+	now := o.runner.Timer.Now()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	first := o.state.Finish(key, finished, now)
+	o.wakeDispatcher()
 	if !first {
-		l.runner.Metrics.count(fateBeaten)
+		o.runner.Metrics.count(fateBeaten)
 		return
 	}
-	l.runner.Metrics.count(fateFinished)
-	delete(l.progress, key)
-	l.notifyReaders()
+	o.runner.Metrics.count(fateFinished)
+	delete(o.progress, key)
+	o.notifyReaders()
 }
--- a/internal/rollout/runner/copies.go
+++ b/internal/rollout/runner/copies.go
@@ -29,7 +29,7 @@
 
 // copyToOtherDomain copies a finished sample to one instance in another failure
 // domain. It reports whether that instance answered that the session is fenced.
-func (r *Runner) copyToOtherDomain(ctx context.Context, l *openSession, s *sample.Sample, raw []byte, age time.Duration, doneBelow uint64) bool {
+func (r *Runner) copyToOtherDomain(ctx context.Context, o *openSession, s *sample.Sample, raw []byte, age time.Duration, doneBelow uint64) bool {
 	view := r.Members.View()
 	for _, m := range view.TopOutside(view.Self.FailureDomain, copyPlacementKey(s.Trainer, s.Step), maxCopyTargets) {
 		if m.ID == view.Self.ID {
@@ -38,7 +38,7 @@
 		var reply copystore.KeepReply
 		err := r.callInstance(ctx, m, "Keeper.Keep", copystore.KeepArgs{
 			Trainer:   s.Trainer,
-			Session:   l.state.Number,
+			Session:   o.state.Number,
 			Key:       s.Key,
 			Raw:       raw,
 			Oldest:    s.Oldest(),
--- a/internal/rollout/runner/open_session.go
+++ b/internal/rollout/runner/open_session.go
@@ -67,8 +67,8 @@
 		state: session.Session{
 			Trainer: trainer,
 			Number:  number,
-			OnDeliver: func(deployment string, k session.FinishedSample) {
-				r.Metrics.observeStaleness(k.Oldest.Behind(r.stalenessBound(deployment, nil).Newest))
+			OnDeliver: func(deployment string, finished session.FinishedSample) {
+				r.Metrics.observeStaleness(finished.Oldest.Behind(r.stalenessBound(deployment, nil).Newest))
 			},
 		},
 		changed:  make(chan struct{}),
@@ -77,36 +77,36 @@
 }
 
 // stop ends the session and cancels its attempts.
-func (l *openSession) stop() { l.cancel() }
+func (o *openSession) stop() { o.cancel() }
 
 // drain makes waiting reads return.
-func (l *openSession) drain() { l.drainOnce.Do(func() { close(l.drained) }) }
+func (o *openSession) drain() { o.drainOnce.Do(func() { close(o.drained) }) }
 
 // fence ends the session because the trainer opened a later one on another
 // instance. Reads then fail with problem.SessionFenced.
-func (l *openSession) fence() {
-	l.mu.Lock()
-	l.isFenced = true
-	l.mu.Unlock()
-	l.cancel()
+func (o *openSession) fence() {
+	o.mu.Lock()
+	o.isFenced = true
+	o.mu.Unlock()
+	o.cancel()
 }
 
-func (l *openSession) fenced() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.isFenced
+func (o *openSession) fenced() bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.isFenced
 }
 
 // run dispatches attempts until the session ends.
-func (l *openSession) run() error {
-	tick := l.runner.Timer.Every(dispatchInterval)
+func (o *openSession) run() error {
+	tick := o.runner.Timer.Every(dispatchInterval)
 	defer tick.Close()
 	for {
-		l.dispatch()
+		o.dispatch()
 		select {
 		case <-tick.C:
-		case <-l.wake:
-		case <-l.ctx.Done():
+		case <-o.wake:
+		case <-o.ctx.Done():
 			return nil
 		}
 	}
@@ -114,31 +114,31 @@
 
 // dispatch drops overdue steps, publishes the trainer's demand, and starts
 // attempts until the session has none to start or the router refuses one.
-func (l *openSession) dispatch() {
-	now := l.runner.Timer.Now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, n := range l.state.DropOverdue(now) {
-		l.runner.Journal.Decision("drop_step", log.Fields{
-			"trainer": l.state.Trainer,
+func (o *openSession) dispatch() {
+	now := o.runner.Timer.Now()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for _, n := range o.state.DropOverdue(now) {
+		o.runner.Journal.Decision("drop_step", log.Fields{
+			"trainer": o.state.Trainer,
 			"step":    n,
 			"reason":  "drop_time_passed",
 		})
-		maps.DeleteFunc(l.progress, func(key sample.Key, _ *progress) bool { return key.Step == n })
-		l.notifyReaders()
+		maps.DeleteFunc(o.progress, func(key sample.Key, _ *progress) bool { return key.Step == n })
+		o.notifyReaders()
 	}
-	l.publishDemand(now)
-	if now < l.admissionRetryAt {
+	o.publishDemand(now)
+	if now < o.admissionRetryAt {
 		return
 	}
 	for {
-		work, ok := l.state.Next(l.limits(), now)
+		work, ok := o.state.Next(o.limits(), now)
 		if !ok {
 			return
 		}
-		if !l.startAttempt(work) {
-			l.state.UndoNext(work)
-			l.admissionRetryAt = now.Add(admissionBackoff)
+		if !o.startAttempt(work) {
+			o.state.UndoNext(work)
+			o.admissionRetryAt = now.Add(admissionBackoff)
 			return
 		}
 	}
@@ -151,23 +151,23 @@
 
 // publishDemand publishes to the fleet when the trainer becomes busy or idle.
 // The caller holds the lock.
-func (l *openSession) publishDemand(now timer.Instant) {
-	deployment := l.state.Deployment()
-	busy := l.state.Busy()
+func (o *openSession) publishDemand(now timer.Instant) {
+	deployment := o.state.Deployment()
+	busy := o.state.Busy()
 	if busy {
-		l.lastBusyAt = now
+		o.lastBusyAt = now
 	}
-	busy = busy || (l.publishedBusy && now.Sub(l.lastBusyAt) < idleDelay)
-	if busy == l.publishedBusy || (busy && deployment == "") {
+	busy = busy || (o.publishedBusy && now.Sub(o.lastBusyAt) < idleDelay)
+	if busy == o.publishedBusy || (busy && deployment == "") {
 		return
 	}
-	l.publishedBusy = busy
-	l.runner.Demand.Publish(demand.Demand{
-		Trainer:    l.state.Trainer,
-		Session:    l.state.Number,
-		Instance:   l.runner.Members.Self().ID,
+	o.publishedBusy = busy
+	o.runner.Demand.Publish(demand.Demand{
+		Trainer:    o.state.Trainer,
+		Session:    o.state.Number,
+		Instance:   o.runner.Members.Self().ID,
 		Deployment: deployment,
-		Weight:     l.weight(),
+		Weight:     o.weight(),
 		Busy:       busy,
 	})
 }
@@ -176,23 +176,23 @@
 // caller holds the lock. Admission takes place here and not in the goroutine of
 // the attempt, so that work that is not admitted keeps its place in the
 // session's order instead of waiting in many goroutines.
-func (l *openSession) startAttempt(work session.Attempt) bool {
-	l.attemptCount++
+func (o *openSession) startAttempt(work session.Attempt) bool {
+	o.attemptCount++
 	a := &attempt{
-		session: l,
+		session: o,
 		work:    work,
-		rec:     l.resumeRecorder(work),
+		rec:     o.resumeRecorder(work),
 	}
-	a.task = l.newTask(work, a.rec)
-	if p, ok := l.progress[work.Key]; ok && work.Second {
+	a.task = o.newTask(work, a.rec)
+	if p, ok := o.progress[work.Key]; ok && work.Second {
 		a.task.Avoid = slices.Clone(p.upstreams)
 	}
-	a.task.OnChosen = func(upstream string) { l.recordUpstream(work.Key, upstream) }
-	dispatch, err := l.runner.Generator.Admit(a.task)
+	a.task.OnChosen = func(upstream string) { o.recordUpstream(work.Key, upstream) }
+	dispatch, err := o.runner.Generator.Admit(a.task)
 	if err != nil {
 		return false
 	}
-	l.runner.Tomb.Go(func() error {
+	o.runner.Tomb.Go(func() error {
 		a.run(dispatch)
 		return nil
 	})
@@ -201,8 +201,8 @@
 
 // limits returns the limits from the configuration of the oldest open step's
 // deployment. The caller holds the lock.
-func (l *openSession) limits() session.Limits {
-	d, err := l.runner.deployment(l.state.Deployment())
+func (o *openSession) limits() session.Limits {
+	d, err := o.runner.deployment(o.state.Deployment())
 	if err != nil {
 		return session.Limits{}
 	}
@@ -214,51 +214,51 @@
 }
 
 // notifyReaders wakes waiting reads. The caller holds the lock.
-func (l *openSession) notifyReaders() {
-	close(l.changed)
-	l.changed = make(chan struct{})
+func (o *openSession) notifyReaders() {
+	close(o.changed)
+	o.changed = make(chan struct{})
 }
 
 // wakeDispatcher makes run dispatch without waiting for its next tick.
-func (l *openSession) wakeDispatcher() {
+func (o *openSession) wakeDispatcher() {
 	select {
-	case l.wake <- struct{}{}:
+	case o.wake <- struct{}{}:
 	default:
 	}
 }
 
 // submit adds a step and its samples recovered from copies.
-func (l *openSession) submit(spec session.Spec, dropAfter time.Duration, copies []copystore.Copy) (session.Status, error) {
-	now := l.runner.Timer.Now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if err := l.state.Submit(spec, dropAfter, now); err != nil {
+func (o *openSession) submit(spec session.Spec, dropAfter time.Duration, copies []copystore.Copy) (session.Status, error) {
+	now := o.runner.Timer.Now()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if err := o.state.Submit(spec, dropAfter, now); err != nil {
 		return session.Status{}, err
 	}
 	for _, c := range copies {
-		recovered := l.state.Recover(c.Key, session.FinishedSample{
+		recovered := o.state.Recover(c.Key, session.FinishedSample{
 			Raw:          c.Raw,
 			Oldest:       c.Oldest,
 			FirstTokenAt: now.Add(-c.Age),
 		})
 		if recovered {
-			l.runner.Metrics.count(fateRecovered)
+			o.runner.Metrics.count(fateRecovered)
 		}
 	}
-	l.notifyReaders()
-	l.wakeDispatcher()
-	status, _ := l.state.Find(spec.Step)
+	o.notifyReaders()
+	o.wakeDispatcher()
+	status, _ := o.state.Find(spec.Step)
 	return status, nil
 }
 
 // read waits until there are entries to return, for at most the time in args
 // and maxReadWait.
-func (l *openSession) read(ctx context.Context, args ReadArgs) (session.Batch, error) {
+func (o *openSession) read(ctx context.Context, args ReadArgs) (session.Batch, error) {
 	wait := min(time.Duration(args.WaitMS)*time.Millisecond, maxReadWait)
-	timeout := l.runner.Timer.Once(wait)
+	timeout := o.runner.Timer.Once(wait)
 	defer timeout.Close()
 	for {
-		batch, changed, err := l.tryRead(args)
+		batch, changed, err := o.tryRead(args)
 		if err != nil || len(batch.Entries) > 0 || wait <= 0 {
 			return batch, err
 		}
@@ -266,12 +266,12 @@
 		case <-changed:
 		case <-timeout.C:
 			return batch, nil
-		case <-l.drained:
+		case <-o.drained:
 			return batch, nil
 		case <-ctx.Done():
 			return batch, nil
-		case <-l.ctx.Done():
-			if l.fenced() {
+		case <-o.ctx.Done():
+			if o.fenced() {
 				return batch, problem.SessionFenced.Withf("a session above %d was opened", args.Session)
 			}
 			return batch, nil
@@ -281,35 +281,35 @@
 
 // tryRead reads without waiting. The returned channel is closed when another
 // read may return more.
-func (l *openSession) tryRead(args ReadArgs) (session.Batch, <-chan struct{}, error) {
-	now := l.runner.Timer.Now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	changed := l.changed
-	if l.isFenced {
+func (o *openSession) tryRead(args ReadArgs) (session.Batch, <-chan struct{}, error) {
+	now := o.runner.Timer.Now()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	changed := o.changed
+	if o.isFenced {
 		return session.Batch{}, changed, problem.SessionFenced.Withf("a session above %d was opened", args.Session)
 	}
-	before := l.state.Discarded()
-	batch, err := l.state.Read(args.Cursor, args.Max, func(deployment string) session.StalenessBound {
-		return l.runner.stalenessBound(deployment, args.Newest)
+	before := o.state.Discarded()
+	batch, err := o.state.Read(args.Cursor, args.Max, func(deployment string) session.StalenessBound {
+		return o.runner.stalenessBound(deployment, args.Newest)
 	}, now)
-	if n := l.state.Discarded() - before; n > 0 {
-		l.wakeDispatcher()
+	if n := o.state.Discarded() - before; n > 0 {
+		o.wakeDispatcher()
 		for range n {
-			l.runner.Metrics.count(fateDiscarded)
+			o.runner.Metrics.count(fateDiscarded)
 		}
 	}
 	return batch, changed, err
 }
 
 // overview returns the state of the session for operators.
-func (l *openSession) overview() Overview {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (o *openSession) overview() Overview {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	return Overview{
-		Trainer: l.state.Trainer,
-		Session: l.state.Number,
-		Fenced:  l.isFenced,
-		Steps:   l.state.Steps(),
+		Trainer: o.state.Trainer,
+		Session: o.state.Number,
+		Fenced:  o.isFenced,
+		Steps:   o.state.Steps(),
 	}
 }
--- a/internal/rollout/runner/progress.go
+++ b/internal/rollout/runner/progress.go
@@ -19,28 +19,28 @@
 
 // progressOf returns the progress of a sample, creating it if there is none.
 // The caller holds the lock.
-func (l *openSession) progressOf(key sample.Key) *progress {
-	p, ok := l.progress[key]
+func (o *openSession) progressOf(key sample.Key) *progress {
+	p, ok := o.progress[key]
 	if !ok {
 		p = &progress{}
-		l.progress[key] = p
+		o.progress[key] = p
 	}
 	return p
 }
 
 // recordUpstream records the upstream that was chosen for an attempt at a
 // sample.
-func (l *openSession) recordUpstream(key sample.Key, upstream string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	p := l.progressOf(key)
+func (o *openSession) recordUpstream(key sample.Key, upstream string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	p := o.progressOf(key)
 	p.upstreams = append(p.upstreams, upstream)
 }
 
 // recordProgress keeps a copy of rec if no attempt at the sample has more tokens.
 // The caller holds the lock.
-func (l *openSession) recordProgress(key sample.Key, rec *sample.Recorder, now timer.Instant) {
-	p := l.progressOf(key)
+func (o *openSession) recordProgress(key sample.Key, rec *sample.Recorder, now timer.Instant) {
+	p := o.progressOf(key)
 	if p.longest == nil || len(p.longest.Texts) < len(rec.Texts) {
 		p.longest = rec.Clone()
 	}
@@ -52,12 +52,12 @@
 // resumeRecorder returns the tokens of earlier attempts that the next attempt at
 // a sample resumes from. It is empty if any of them has become too old to resume
 // from. The caller holds the lock.
-func (l *openSession) resumeRecorder(work session.Attempt) *sample.Recorder {
-	p, ok := l.progress[work.Key]
+func (o *openSession) resumeRecorder(work session.Attempt) *sample.Recorder {
+	p, ok := o.progress[work.Key]
 	if !ok || p.longest == nil {
 		return &sample.Recorder{}
 	}
-	bound := l.runner.stalenessBound(work.Deployment, nil)
+	bound := o.runner.stalenessBound(work.Deployment, nil)
 	for _, span := range p.longest.Spans {
 		if span.Version.Behind(bound.Newest) >= max(1, bound.MaxVersions) {
 			p.longest, p.firstTokenAt = nil, 0
--- a/internal/rollout/runner/runner.go
+++ b/internal/rollout/runner/runner.go
@@ -127,9 +127,9 @@
 	if r.sessions == nil {
 		r.sessions = make(map[string]*openSession)
 	}
-	l := newOpenSession(r, trainer, number)
-	r.sessions[trainer] = l
-	r.Tomb.Go(l.run)
+	o := newOpenSession(r, trainer, number)
+	r.sessions[trainer] = o
+	r.Tomb.Go(o.run)
 	r.Journal.Info("session_open", log.Fields{
 		"trainer": trainer,
 		"session": number,
@@ -142,22 +142,22 @@
 func (r *Runner) findSession(trainer string, number uint64) (*openSession, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l, ok := r.sessions[trainer]
+	o, ok := r.sessions[trainer]
 	switch {
 	case !ok:
 		return nil, problem.SessionUnknown.Withf("no session of trainer %q is open here", trainer)
-	case number < l.state.Number, number == l.state.Number && l.fenced():
+	case number < o.state.Number, number == o.state.Number && o.fenced():
 		return nil, problem.SessionFenced.Withf("a session above %d of trainer %q was opened", number, trainer)
-	case number > l.state.Number:
+	case number > o.state.Number:
 		return nil, problem.SessionUnknown.Withf("session %d of trainer %q is not open here", number, trainer)
 	}
-	return l, nil
+	return o, nil
 }
 
 // Submit adds a step to a session and recovers those of its samples that other
 // instances hold copies of.
 func (r *Runner) Submit(ctx context.Context, trainer string, number uint64, spec session.Spec) (session.Status, error) {
-	l, err := r.findSession(trainer, number)
+	o, err := r.findSession(trainer, number)
 	if err != nil {
 		return session.Status{}, err
 	}
@@ -173,10 +173,10 @@
 	}
 	copies, fenced := r.gatherCopies(ctx, trainer, number, spec.Step)
 	if fenced {
-		l.fence()
+		o.fence()
 		return session.Status{}, problem.SessionFenced.Withf("a session above %d of trainer %q was opened elsewhere", number, trainer)
 	}
-	return l.submit(spec, time.Duration(d.Rounds.DropAfterMS)*time.Millisecond, copies)
+	return o.submit(spec, time.Duration(d.Rounds.DropAfterMS)*time.Millisecond, copies)
 }
 
 // ReadArgs are the arguments of a trainer's read.
@@ -207,11 +207,11 @@
 	if args.Max < 1 || args.Max > maxRead {
 		return session.Batch{}, problem.BadRequest.Withf("max: expected 1 to %d, got %d", maxRead, args.Max)
 	}
-	l, err := r.findSession(trainer, args.Session)
+	o, err := r.findSession(trainer, args.Session)
 	if err != nil {
 		return session.Batch{}, err
 	}
-	return l.read(ctx, args)
+	return o.read(ctx, args)
 }
 
 // deployment returns the configuration of a deployment.
@@ -256,8 +256,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	list := make([]Overview, 0, len(r.sessions))
-	for _, l := range r.sessions {
-		list = append(list, l.overview())
+	for _, o := range r.sessions {
+		list = append(list, o.overview())
 	}
 	return list
 }
@@ -267,7 +267,7 @@
 func (r *Runner) Drain() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, l := range r.sessions {
-		l.drain()
+	for _, o := range r.sessions {
+		o.drain()
 	}
 }
--- a/internal/rollout/session/session.go
+++ b/internal/rollout/session/session.go
@@ -18,7 +18,7 @@
 	Number  uint64
 	// OnDeliver, if not nil, is called with each sample when it is first put into
 	// a batch.
-	OnDeliver func(deployment string, k FinishedSample)
+	OnDeliver func(deployment string, finished FinishedSample)
 
 	steps map[uint64]*step
 	// stepsByNumber holds the same steps in ascending order of their numbers.
@@ -44,12 +44,12 @@
 	MaxAge time.Duration
 }
 
-// TooOld reports whether k is too old to be delivered now.
-func (b StalenessBound) TooOld(k FinishedSample, now timer.Instant) bool {
-	if k.Oldest.Behind(b.Newest) > b.MaxVersions {
+// TooOld reports whether finished is too old to be delivered now.
+func (b StalenessBound) TooOld(finished FinishedSample, now timer.Instant) bool {
+	if finished.Oldest.Behind(b.Newest) > b.MaxVersions {
 		return true
 	}
-	return b.MaxAge > 0 && now.Sub(k.FirstTokenAt) > b.MaxAge
+	return b.MaxAge > 0 && now.Sub(finished.FirstTokenAt) > b.MaxAge
 }
 
 // Submit adds a step, which is dropped after dropAfter unless the spec sets
--- a/internal/rollout/session/work.go
+++ b/internal/rollout/session/work.go
@@ -211,14 +211,14 @@
 
 // Finish takes the result of an attempt and reports whether it was accepted. A
 // result is ignored if another attempt finished first or the step was dropped.
-func (s *Session) Finish(key sample.Key, k FinishedSample, now timer.Instant) bool {
+func (s *Session) Finish(key sample.Key, finished FinishedSample, now timer.Instant) bool {
 	s.runningAttempts--
 	it, ok := s.findItem(key)
 	if !ok || it.state != running {
 		return false
 	}
-	it.step.tokenTimes = append(it.step.tokenTimes, now.Sub(it.firstAttemptAt)/time.Duration(max(1, k.Tokens)))
-	s.makeReady(it, k)
+	it.step.tokenTimes = append(it.step.tokenTimes, now.Sub(it.firstAttemptAt)/time.Duration(max(1, finished.Tokens)))
+	s.makeReady(it, finished)
 	return true
 }
 
@@ -254,20 +254,20 @@
 
 // Recover takes a finished sample from a copy on another instance. It reports
 // whether the sample was accepted, which it is only while it is pending.
-func (s *Session) Recover(key sample.Key, k FinishedSample) bool {
+func (s *Session) Recover(key sample.Key, finished FinishedSample) bool {
 	it, ok := s.findItem(key)
 	if !ok || it.state != pending {
 		return false
 	}
 	it.step.status.Recovered++
-	s.makeReady(it, k)
+	s.makeReady(it, finished)
 	return true
 }
 
 // makeReady sets the result of an item and queues it for delivery.
-func (s *Session) makeReady(it *item, k FinishedSample) {
+func (s *Session) makeReady(it *item, finished FinishedSample) {
 	it.state = ready
-	it.result = k
+	it.result = finished
 	s.ready = append(s.ready, it)
 }
 
--- a/internal/rollout/stream/generator.go
+++ b/internal/rollout/stream/generator.go
@@ -108,7 +108,7 @@
 // Run generates to the end of the stream, passes each new token to emit, and
 // closes dispatch. The deadline is that of ctx.
 func (g *Generator) Run(ctx context.Context, dispatch *router.Dispatch, task Task, emit func(engine.Token) error) (Result, error) {
-	r := &generation{
+	gen := &generation{
 		generator:  g,
 		dispatch:   dispatch,
 		task:       task,
@@ -118,8 +118,8 @@
 	for _, id := range task.Avoid {
 		dispatch.Exclude(id)
 	}
-	result, err := r.runAttempts(ctx)
-	dispatch.Close(r.limitResult(err))
+	result, err := gen.runAttempts(ctx)
+	dispatch.Close(gen.limitResult(err))
 	return result, err
 }
 
@@ -152,29 +152,29 @@
 
 // runAttempts makes attempts until one reaches the end of the stream or no other
 // may be made.
-func (r *generation) runAttempts(ctx context.Context) (Result, error) {
+func (g *generation) runAttempts(ctx context.Context) (Result, error) {
 	var lastErr error
 	for {
-		u, err := r.dispatch.NextUpstream()
+		u, err := g.dispatch.NextUpstream()
 		if err != nil {
-			return Result{}, r.finalError(err, lastErr)
+			return Result{}, g.finalError(err, lastErr)
 		}
-		if r.task.OnChosen != nil {
-			r.task.OnChosen(u.ID)
+		if g.task.OnChosen != nil {
+			g.task.OnChosen(u.ID)
 		}
-		reason, err := r.attempt(ctx, u)
+		reason, err := g.attempt(ctx, u)
 		if err == nil {
 			return Result{
 				Reason:    reason,
-				Upstreams: r.upstreams,
+				Upstreams: g.upstreams,
 			}, nil
 		}
 		lastErr = err
 		if errors.Is(err, errStaleVersion) {
 			continue
 		}
-		if ctx.Err() != nil || errors.Is(err, errConsumer) || !r.dispatch.MayRetry() {
-			return Result{}, r.finalError(nil, lastErr)
+		if ctx.Err() != nil || errors.Is(err, errConsumer) || !g.dispatch.MayRetry() {
+			return Result{}, g.finalError(nil, lastErr)
 		}
 	}
 }
@@ -192,76 +192,76 @@
 var errConsumer = errors.New("consumer of the stream failed")
 
 // attempt makes one attempt, which continues after the last token so far.
-func (r *generation) attempt(ctx context.Context, u *upstream.Upstream) (string, error) {
-	started := r.generator.Timer.Now()
-	before := len(r.tokenTexts)
-	r.version = version.Version{}
-	r.upstreams = append(r.upstreams, u.ID)
-	finish, err := r.generator.Engine.Generate(ctx, u.Address, engine.Request{
-		ID:        r.task.RequestID,
-		Attempt:   r.task.RequestID + "." + strconv.Itoa(r.dispatch.Attempts()),
-		Model:     r.task.Deployment,
-		Prompt:    r.task.Prompt,
-		MaxTokens: r.task.MaxTokens,
-		Seed:      r.task.Seed,
-		Priority:  r.task.Priority.EnginePriority(),
-		Resume:    r.tokenTexts,
-	}, func(t engine.Token) error { return r.handleToken(u, t) })
-	now := r.generator.Timer.Now()
-	tokens := len(r.tokenTexts) - before
+func (g *generation) attempt(ctx context.Context, u *upstream.Upstream) (string, error) {
+	started := g.generator.Timer.Now()
+	before := len(g.tokenTexts)
+	g.version = version.Version{}
+	g.upstreams = append(g.upstreams, u.ID)
+	finish, err := g.generator.Engine.Generate(ctx, u.Address, engine.Request{
+		ID:        g.task.RequestID,
+		Attempt:   g.task.RequestID + "." + strconv.Itoa(g.dispatch.Attempts()),
+		Model:     g.task.Deployment,
+		Prompt:    g.task.Prompt,
+		MaxTokens: g.task.MaxTokens,
+		Seed:      g.task.Seed,
+		Priority:  g.task.Priority.EnginePriority(),
+		Resume:    g.tokenTexts,
+	}, func(t engine.Token) error { return g.handleToken(u, t) })
+	now := g.generator.Timer.Now()
+	tokens := len(g.tokenTexts) - before
 	if finish.Report != nil {
 		u.RecordReport(*finish.Report, now)
 	}
-	r.recordOutcome(ctx, u, err, now.Sub(started), tokens, now)
+	g.recordOutcome(ctx, u, err, now.Sub(started), tokens, now)
 	return finish.Reason, err
 }
 
 // handleToken checks the version of a token against the staleness bound and emits
 // the token.
-func (r *generation) handleToken(u *upstream.Upstream, t engine.Token) error {
-	if t.Version != r.version || t.Index == 0 {
-		r.version = t.Version
+func (g *generation) handleToken(u *upstream.Upstream, t engine.Token) error {
+	if t.Version != g.version || t.Index == 0 {
+		g.version = t.Version
 		u.RecordVersion(t.Version)
-		if _, oldest, ok := r.dispatch.VersionBounds(0); ok && t.Version.Less(oldest) {
+		if _, oldest, ok := g.dispatch.VersionBounds(0); ok && t.Version.Less(oldest) {
 			return errStaleVersion
 		}
 	}
-	if err := r.emit(t); err != nil {
+	if err := g.emit(t); err != nil {
 		return errors.Join(errConsumer, err)
 	}
-	r.mayHaveRun = true
-	r.tokenTexts = append(r.tokenTexts, t.Text)
+	g.mayHaveRun = true
+	g.tokenTexts = append(g.tokenTexts, t.Text)
 	return nil
 }
 
 // recordOutcome records the result of an attempt in the state of its upstream.
-func (r *generation) recordOutcome(ctx context.Context, u *upstream.Upstream, err error, took time.Duration, tokens int, now timer.Instant) {
+func (g *generation) recordOutcome(ctx context.Context, u *upstream.Upstream, err error, took time.Duration, tokens int, now timer.Instant) {
 	var refused *engine.RefusedError
 	switch {
 	case err == nil:
 		u.Succeeded(took / time.Duration(max(1, tokens)))
 	case errors.As(err, &refused):
-		r.wasRefused = true
+		g.wasRefused = true
 		u.Cancelled()
 	case ctx.Err() != nil, errors.Is(err, errConsumer), errors.Is(err, errStaleVersion):
 		u.Cancelled()
 	default:
 		if !errors.Is(err, engine.ErrNotSent) {
-			r.mayHaveRun = true
+			g.mayHaveRun = true
 		}
 		if errors.Is(err, engine.ErrIncompleteResponse) {
-			r.dispatch.ReportCutOff(u)
+			g.dispatch.ReportCutOff(u)
 		}
 		u.Failed(now)
 	}
 }
 
 // limitResult returns the result of the generation for admission control.
-func (r *generation) limitResult(err error) limit.Result {
+func (g *generation) limitResult(err error) limit.Result {
 	switch {
 	case err == nil:
 		return limit.Succeeded
-	case r.wasRefused:
+	case g.wasRefused:
 		return limit.Overloaded
 	}
 	return limit.Ignored
@@ -270,7 +270,7 @@
 // finalError returns the error for the caller: choiceErr if no attempt was made,
 // or else one for lastErr. A generation is always safe to repeat, so the error
 // only has to tell whether it is certain that none of it ran.
-func (r *generation) finalError(choiceErr, lastErr error) error {
+func (g *generation) finalError(choiceErr, lastErr error) error {
 	if lastErr == nil {
 		return choiceErr
 	}
@@ -283,7 +283,7 @@
 		kind = problem.UpstreamTimeout
 	}
 	e := kind.With(lastErr)
-	if r.mayHaveRun {
+	if g.mayHaveRun {
 		e = e.WithOutcome(problem.Unknown)
 	}
 	if e.Kind.Status >= http.StatusInternalServerError {
