--- a/internal/fleet/confirmation/confirmer.go
+++ b/internal/fleet/confirmation/confirmer.go
@@ -90,14 +90,14 @@
 }
 
 // Run keeps the configuration confirmed until t dies.
-func (k *Confirmer) Run(t *tomb.Tomb) error {
+func (c *Confirmer) Run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
 	var b backoff
-	for timer.Wait(k.Timer, k.checkDelay(), t.Dying()) {
-		now := k.Timer.Now()
-		if k.due(now) && now >= b.until {
-			err := k.Confirm(ctx)
-			b = b.next(err, k.Timer.Now(), k.IsRelay())
+	for timer.Wait(c.Timer, c.checkDelay(), t.Dying()) {
+		now := c.Timer.Now()
+		if c.due(now) && now >= b.until {
+			err := c.Confirm(ctx)
+			b = b.next(err, c.Timer.Now(), c.IsRelay())
 		}
 	}
 	return nil
@@ -105,9 +105,9 @@
 
 // checkDelay returns the time until the next check. It is short before the first
 // confirmation if one is or may become needed.
-func (k *Confirmer) checkDelay() time.Duration {
-	_, confirmed := k.Record.Age(k.Timer.Now())
-	if !confirmed && (k.HeldRevision() == 0 || k.Needed()) {
+func (c *Confirmer) checkDelay() time.Duration {
+	_, confirmed := c.Record.Age(c.Timer.Now())
+	if !confirmed && (c.HeldRevision() == 0 || c.Needed()) {
 		return startupCheckInterval
 	}
 	return checkInterval
@@ -122,11 +122,11 @@
 // next returns the pause after a confirmation with the result err. An instance that
 // relays confirmations does not pause: the others learn from it that the service is
 // back.
-func (r backoff) next(err error, now timer.Instant, relays bool) backoff {
+func (b backoff) next(err error, now timer.Instant, relays bool) backoff {
 	if err == nil || relays {
 		return backoff{}
 	}
-	delay := min(max(minBackoff, 2*r.delay), maxBackoff)
+	delay := min(max(minBackoff, 2*b.delay), maxBackoff)
 	return backoff{
 		delay: delay,
 		until: now.Add(delay),
@@ -134,62 +134,62 @@
 }
 
 // due reports whether this instance should confirm by itself now.
-func (k *Confirmer) due(now timer.Instant) bool {
-	if !k.Needed() || k.HeldRevision() == 0 {
+func (c *Confirmer) due(now timer.Instant) bool {
+	if !c.Needed() || c.HeldRevision() == 0 {
 		return false
 	}
-	if k.heldSince == 0 {
-		k.heldSince = now
+	if c.heldSince == 0 {
+		c.heldSince = now
 	}
-	age, ok := k.Record.Age(now)
+	age, ok := c.Record.Age(now)
 	switch {
-	case !ok && !k.IsRelay():
-		return now.Sub(k.heldSince) >= firstConfirmDelay
+	case !ok && !c.IsRelay():
+		return now.Sub(c.heldSince) >= firstConfirmDelay
 	case !ok:
 		return true
-	case k.IsRelay():
+	case c.IsRelay():
 		return age >= relayConfirmAge
 	}
 	return age >= followerConfirmAge
 }
 
 // Confirm confirms the configuration with the key-value service now.
-func (k *Confirmer) Confirm(ctx context.Context) error {
-	k.confirming.Lock()
-	defer k.confirming.Unlock()
-	err := k.confirmLocked(ctx)
-	k.logTransition(err)
+func (c *Confirmer) Confirm(ctx context.Context) error {
+	c.confirming.Lock()
+	defer c.confirming.Unlock()
+	err := c.confirmLocked(ctx)
+	c.logTransition(err)
 	return err
 }
 
 // confirmLocked reads the changes since the configuration in force and applies them.
 // The confirmation counts from the start of the call, as the answer describes that
 // instant or a later one. The caller holds confirming.
-func (k *Confirmer) confirmLocked(ctx context.Context) error {
+func (c *Confirmer) confirmLocked(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	k.checkedRevision = max(k.checkedRevision, k.HeldRevision())
-	started := k.Timer.Now()
-	changes, checkedRevision, err := k.Source.ChangesSince(ctx, k.Key, k.checkedRevision)
+	c.checkedRevision = max(c.checkedRevision, c.HeldRevision())
+	started := c.Timer.Now()
+	changes, checkedRevision, err := c.Source.ChangesSince(ctx, c.Key, c.checkedRevision)
 	if errors.Is(err, keyvalue.ErrCompacted) {
-		changes, checkedRevision, err = k.readCurrent(ctx)
+		changes, checkedRevision, err = c.readCurrent(ctx)
 	}
 	if err != nil {
 		return err
 	}
 	if len(changes) > 0 {
-		k.Apply(changes)
+		c.Apply(changes)
 	}
-	for _, c := range changes {
-		if c.Key == k.Key && !c.Removed && c.Revision > k.HeldRevision() {
+	for _, change := range changes {
+		if change.Key == c.Key && !change.Removed && change.Revision > c.HeldRevision() {
 			// A configuration that could not be put in force must not count as current.
 			return errNotApplied
 		}
 	}
-	k.checkedRevision = max(k.checkedRevision, checkedRevision)
-	k.Record.Confirm(started)
-	if k.OnConfirm != nil {
-		k.OnConfirm(started, k.HeldRevision())
+	c.checkedRevision = max(c.checkedRevision, checkedRevision)
+	c.Record.Confirm(started)
+	if c.OnConfirm != nil {
+		c.OnConfirm(started, c.HeldRevision())
 	}
 	return nil
 }
@@ -198,8 +198,8 @@
 
 // readCurrent reads the configuration itself when the service no longer has the
 // changes.
-func (k *Confirmer) readCurrent(ctx context.Context) ([]keyvalue.Change, uint64, error) {
-	item, err := k.Source.Get(ctx, k.Key)
+func (c *Confirmer) readCurrent(ctx context.Context) ([]keyvalue.Change, uint64, error) {
+	item, err := c.Source.Get(ctx, c.Key)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -208,48 +208,48 @@
 
 // Refresh confirms the configuration for a request with an unknown key, unless a
 // Refresh did so within minRefreshInterval or a confirmation is in progress.
-func (k *Confirmer) Refresh(ctx context.Context) {
-	now := k.Timer.Now()
-	k.mu.Lock()
-	recent := k.lastRefresh != 0 && now.Sub(k.lastRefresh) < minRefreshInterval
+func (c *Confirmer) Refresh(ctx context.Context) {
+	now := c.Timer.Now()
+	c.mu.Lock()
+	recent := c.lastRefresh != 0 && now.Sub(c.lastRefresh) < minRefreshInterval
 	if !recent {
-		k.lastRefresh = now
+		c.lastRefresh = now
 	}
-	k.mu.Unlock()
-	if recent || !k.confirming.TryLock() {
+	c.mu.Unlock()
+	if recent || !c.confirming.TryLock() {
 		return
 	}
-	defer k.confirming.Unlock()
+	defer c.confirming.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
-	k.logTransition(k.confirmLocked(ctx))
+	c.logTransition(c.confirmLocked(ctx))
 }
 
 // AcceptRemote records the confirmation of another instance that a revision was current at an
 // instant. It is ignored if the configuration in force is older than that revision.
-func (k *Confirmer) AcceptRemote(at timer.Instant, revision uint64) {
-	if k.HeldRevision() >= revision {
-		k.Record.Confirm(at)
+func (c *Confirmer) AcceptRemote(at timer.Instant, revision uint64) {
+	if c.HeldRevision() >= revision {
+		c.Record.Confirm(at)
 	}
 }
 
 // logTransition logs when confirmations start to fail and when they succeed again.
-func (k *Confirmer) logTransition(err error) {
-	k.mu.Lock()
-	wasFailing := k.failing
-	k.failing = err != nil
-	k.mu.Unlock()
+func (c *Confirmer) logTransition(err error) {
+	c.mu.Lock()
+	wasFailing := c.failing
+	c.failing = err != nil
+	c.mu.Unlock()
 	if wasFailing == (err != nil) {
 		return
 	}
-	age, _ := k.Record.Age(k.Timer.Now())
+	age, _ := c.Record.Age(c.Timer.Now())
 	fields := log.Fields{
-		"revision": k.HeldRevision(),
+		"revision": c.HeldRevision(),
 		"age_ms":   age.Milliseconds(),
 	}
 	if err != nil {
-		k.Journal.Warn("configuration not confirmed", err, fields)
+		c.Journal.Warn("configuration not confirmed", err, fields)
 		return
 	}
-	k.Journal.Info("configuration confirmed", fields)
+	c.Journal.Info("configuration confirmed", fields)
 }
--- a/internal/fleet/crashnotice/board.go
+++ b/internal/fleet/crashnotice/board.go
@@ -42,7 +42,7 @@
 	InstanceCount func() int
 	// RunsTrial reports whether this instance runs the trials of a quarantined request. Nil
 	// means never.
-	RunsTrial func(p fingerprint.Fingerprint) bool
+	RunsTrial func(f fingerprint.Fingerprint) bool
 	Timer     timer.Service
 	Journal   *journal.Journal
 	Metrics   *Metrics
@@ -74,12 +74,12 @@
 	if secret == nil {
 		return poison.Verdict{}
 	}
-	print := digest().Keyed(secret)
+	f := digest().Keyed(secret)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Timer.Now()
-	v := b.evidence.Judge(print, now)
-	if v.Trial && !b.allowTrial(print, now) {
+	v := b.evidence.Judge(f, now)
+	if v.Trial && !b.allowTrial(f, now) {
 		v.RetryAfter = trialRetryAfter
 	}
 	return v
@@ -96,14 +96,14 @@
 
 // allowTrial reports whether this instance may run a quarantined request once, to see
 // whether upstreams still crash, and records the trial. b.mu must be held.
-func (b *Board) allowTrial(p fingerprint.Fingerprint, now timer.Instant) bool {
-	if at, ok := b.trials[p]; ok && now.Sub(at) < trialInterval || b.RunsTrial == nil || !b.RunsTrial(p) {
+func (b *Board) allowTrial(f fingerprint.Fingerprint, now timer.Instant) bool {
+	if at, ok := b.trials[f]; ok && now.Sub(at) < trialInterval || b.RunsTrial == nil || !b.RunsTrial(f) {
 		return false
 	}
 	if b.trials == nil {
 		b.trials = make(map[fingerprint.Fingerprint]timer.Instant)
 	}
-	b.trials[p] = now
+	b.trials[f] = now
 	return true
 }
 
@@ -136,26 +136,26 @@
 	if secret == nil {
 		return
 	}
-	print := digest().Keyed(secret)
+	f := digest().Keyed(secret)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Timer.Now()
-	crashes := b.evidence.CrashCount(print)
+	crashes := b.evidence.CrashCount(f)
 	if crashes == 0 {
 		return
 	}
-	b.evidence.Clear(print, now)
-	delete(b.trials, print)
+	b.evidence.Clear(f, now)
+	delete(b.trials, f)
 	unpublished := 0
 	b.own = slices.DeleteFunc(b.own, func(n notice) bool {
-		if n.Print == print && !n.published {
+		if n.Print == f && !n.published {
 			unpublished++
 		}
-		return n.Print == print
+		return n.Print == f
 	})
 	if crashes > unpublished {
 		b.addOwn(notice{
-			Print: print,
+			Print: f,
 			at:    now,
 		})
 	}
--- a/internal/fleet/crashnotice/part.go
+++ b/internal/fleet/crashnotice/part.go
@@ -81,10 +81,10 @@
 func (p *crashNoticePart) Stop() {}
 
 // ReportCrash records a crash that a crash.Reporter found, and returns the log fields for it.
-func (b *Board) ReportCrash(c crash.Cut, print fingerprint.Fingerprint) log.Fields {
+func (b *Board) ReportCrash(c crash.Cut, f fingerprint.Fingerprint) log.Fields {
 	return b.RecordCrash(poison.Crash{
 		Incarnation: c.Incarnation,
-		Fingerprint: print,
+		Fingerprint: f,
 		At:          c.At,
 		Consecutive: c.Consecutive,
 	}).Fields()
--- a/internal/fleet/crashnotice/publish.go
+++ b/internal/fleet/crashnotice/publish.go
@@ -47,12 +47,12 @@
 
 // reserve takes a token for the next write and returns how long the caller must wait
 // before it. instances is the number of instances that share the service.
-func (p *writeLimiter) reserve(now timer.Instant, instances int) time.Duration {
+func (l *writeLimiter) reserve(now timer.Instant, instances int) time.Duration {
 	pause := max(minWritePause, time.Duration(instances)*writePausePerInstance)
-	p.spent = max(0, p.spent-float64(now.Sub(p.at))/float64(pause))
-	p.at = now
-	p.spent++
-	return time.Duration(max(0, p.spent-writeBurst) * float64(pause))
+	l.spent = max(0, l.spent-float64(now.Sub(l.at))/float64(pause))
+	l.at = now
+	l.spent++
+	return time.Duration(max(0, l.spent-writeBurst) * float64(pause))
 }
 
 // Run publishes the notices of this instance and removes expired ones until t dies.
@@ -150,9 +150,9 @@
 		}
 		return expired
 	})
-	for print, at := range b.trials {
+	for f, at := range b.trials {
 		if now.Sub(at) >= trialInterval {
-			delete(b.trials, print)
+			delete(b.trials, f)
 		}
 	}
 	b.updateHasEvidence()
--- a/internal/fleet/kvfallback/call.go
+++ b/internal/fleet/kvfallback/call.go
@@ -104,22 +104,22 @@
 }
 
 // Err returns the answer's error.
-func (a Reply) Err() error {
-	switch a.Failure {
+func (r Reply) Err() error {
+	switch r.Failure {
 	case FailureNone:
 		return nil
 	case FailureConflict:
 		return &keyvalue.ConflictError{
-			Items: a.Compared,
+			Items: r.Compared,
 		}
 	}
-	err, ok := failures[a.Failure]
+	err, ok := failures[r.Failure]
 	if !ok {
 		err = keyvalue.ErrOutcomeUnknown
 	}
 	return &remoteError{
 		kind: err,
-		text: a.Text,
+		text: r.Text,
 	}
 }
 
@@ -130,15 +130,15 @@
 }
 
 // Error implements error.
-func (t *remoteError) Error() string {
-	if t.text == "" {
-		return t.kind.Error()
+func (e *remoteError) Error() string {
+	if e.text == "" {
+		return e.kind.Error()
 	}
-	return t.text
+	return e.text
 }
 
 // Unwrap returns the error of package keyvalue.
-func (t *remoteError) Unwrap() error { return t.kind }
+func (e *remoteError) Unwrap() error { return e.kind }
 
 // timeout returns how long the call may take on one path. usual is the timeout of all
 // kinds but KindRange.
@@ -160,34 +160,34 @@
 
 // MakeAt makes the call to a key-value service and returns its result and error.
 func (c Call) MakeAt(ctx context.Context, s keyvalue.TransactionalStore) Reply {
-	var a Reply
+	var reply Reply
 	var err error
 	wait := time.Duration(c.WaitMS) * time.Millisecond
 	switch c.Kind {
 	case KindGet:
-		a.Item, err = s.Get(ctx, c.Key)
+		reply.Item, err = s.Get(ctx, c.Key)
 	case KindRange:
-		a.Listing, err = s.Range(ctx, c.Key, keyvalue.Consistency(c.Stale))
+		reply.Listing, err = s.Range(ctx, c.Key, keyvalue.Consistency(c.Stale))
 	case KindWatch:
-		a.Changes, a.Revision, err = s.Watch(ctx, c.Key, c.After, wait)
+		reply.Changes, reply.Revision, err = s.Watch(ctx, c.Key, c.After, wait)
 	case KindCommit:
-		a.Revision, err = s.Commit(ctx, c.Transaction)
+		reply.Revision, err = s.Commit(ctx, c.Transaction)
 	case KindGrant:
-		a.Lease, err = s.Grant(ctx, wait)
+		reply.Lease, err = s.Grant(ctx, wait)
 	case KindKeepAlive:
 		err = s.KeepAlive(ctx, c.Lease)
 	case KindRevoke:
 		err = s.Revoke(ctx, c.Lease)
 	}
-	a.Failure = failureOf(err)
+	reply.Failure = failureOf(err)
 	if err != nil {
-		a.Text = err.Error()
+		reply.Text = err.Error()
 	}
 	var conflict *keyvalue.ConflictError
 	if errors.As(err, &conflict) {
-		a.Compared = conflict.Items
+		reply.Compared = conflict.Items
 	}
-	return a
+	return reply
 }
 
 // receiver is the name under which Server is registered for calls between instances.
@@ -207,9 +207,9 @@
 }
 
 // Call makes one call. It fails at once while the direct path is known to be broken.
-func (s *Server) Call(c *Call, a *Reply) error {
+func (s *Server) Call(c *Call, reply *Reply) error {
 	if !s.store.TriesDirectFirst() {
-		a.Failure = FailureDown
+		reply.Failure = FailureDown
 		return nil
 	}
 	timeout := c.timeout(peerTimeout) + c.transferTime()
@@ -218,9 +218,9 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	*a = c.MakeAt(ctx, s.store.Direct)
+	*reply = c.MakeAt(ctx, s.store.Direct)
 	if c.Kind != KindWatch {
-		s.store.recordDirect(a.Err())
+		s.store.recordDirect(reply.Err())
 	}
 	return nil
 }
@@ -232,10 +232,10 @@
 
 // Call implements Peers.
 func (p *PeerClient) Call(ctx context.Context, address string, c Call) (Reply, error) {
-	var a Reply
-	err := p.Client.Call(ctx, address, receiver+".Call", &c, &a)
+	var reply Reply
+	err := p.Client.Call(ctx, address, receiver+".Call", &c, &reply)
 	if err != nil {
-		return a, fmt.Errorf("%w: %w", keyvalue.ErrOutcomeUnknown, err)
+		return reply, fmt.Errorf("%w: %w", keyvalue.ErrOutcomeUnknown, err)
 	}
-	return a, nil
+	return reply, nil
 }
--- a/internal/fleet/kvfallback/store.go
+++ b/internal/fleet/kvfallback/store.go
@@ -173,9 +173,9 @@
 	}
 	var errs []error
 	for _, path := range paths {
-		a, err := path(ctx, c)
+		reply, err := path(ctx, c)
 		if !unavailable(err) {
-			return a, err
+			return reply, err
 		}
 		errs = append(errs, err)
 		if ctx.Err() != nil {
@@ -203,16 +203,16 @@
 	var errs []error
 	for _, address := range s.pickPeers() {
 		callCtx, cancel := context.WithTimeout(ctx, c.timeout(peerTimeout)+c.transferTime())
-		a, err := s.Peers.Call(callCtx, address, c)
+		reply, err := s.Peers.Call(callCtx, address, c)
 		cancel()
 		if err != nil {
 			s.avoidPeer(address)
-		} else if err = a.Err(); !unavailable(err) {
+		} else if err = reply.Err(); !unavailable(err) {
 			s.Journal.Debug("detour", log.Fields{
 				"call":    c.Kind.String(),
 				"through": address,
 			})
-			return a, err
+			return reply, err
 		}
 		errs = append(errs, err)
 		if ctx.Err() != nil {
@@ -229,12 +229,12 @@
 func (s *Store) callDirect(ctx context.Context, c Call) (Reply, error) {
 	callCtx, cancel := context.WithTimeout(ctx, c.timeout(directTimeout)+c.transferTime())
 	defer cancel()
-	a := c.MakeAt(callCtx, s.Direct)
-	err := a.Err()
+	reply := c.MakeAt(callCtx, s.Direct)
+	err := reply.Err()
 	if ctx.Err() == nil || err == nil {
 		s.recordDirect(err)
 	}
-	return a, err
+	return reply, err
 }
 
 // pickPeers returns up to maxPeersTried other instances in random order, without those
@@ -278,8 +278,8 @@
 		case <-ctx.Done():
 		}
 	}()
-	a := c.MakeAt(ctx, s.Direct)
-	return a.Changes, a.Revision, a.Err()
+	reply := c.MakeAt(ctx, s.Direct)
+	return reply.Changes, reply.Revision, reply.Err()
 }
 
 // watchAtPeer watches through one other instance, for peerWatchWait at most.
@@ -291,60 +291,60 @@
 	c.WaitMS = min(c.WaitMS, peerWatchWait.Milliseconds())
 	ctx, cancel := context.WithTimeout(ctx, peerWatchWait+peerTimeout)
 	defer cancel()
-	a, err := s.Peers.Call(ctx, peers[0], c)
+	reply, err := s.Peers.Call(ctx, peers[0], c)
 	if err != nil {
 		s.avoidPeer(peers[0])
 		return nil, 0, err
 	}
-	return a.Changes, a.Revision, a.Err()
+	return reply.Changes, reply.Revision, reply.Err()
 }
 
 // Get implements keyvalue.TransactionalStore.
 func (s *Store) Get(ctx context.Context, key string) (keyvalue.Item, error) {
-	a, err := s.do(ctx, Call{
+	reply, err := s.do(ctx, Call{
 		Kind: KindGet,
 		Key:  key,
 	})
-	return a.Item, err
+	return reply.Item, err
 }
 
 // Range implements keyvalue.TransactionalStore.
-func (s *Store) Range(ctx context.Context, prefix string, f keyvalue.Consistency) (keyvalue.Listing, error) {
-	a, err := s.do(ctx, Call{
+func (s *Store) Range(ctx context.Context, prefix string, consistency keyvalue.Consistency) (keyvalue.Listing, error) {
+	reply, err := s.do(ctx, Call{
 		Kind:  KindRange,
 		Key:   prefix,
-		Stale: bool(f),
+		Stale: bool(consistency),
 	})
-	return a.Listing, err
+	return reply.Listing, err
 }
 
 // ChangesSince returns the changes below a prefix after a revision without waiting, and the
 // revision up to which they are complete.
 func (s *Store) ChangesSince(ctx context.Context, prefix string, after uint64) ([]keyvalue.Change, uint64, error) {
-	a, err := s.do(ctx, Call{
+	reply, err := s.do(ctx, Call{
 		Kind:  KindWatch,
 		Key:   prefix,
 		After: after,
 	})
-	return a.Changes, a.Revision, err
+	return reply.Changes, reply.Revision, err
 }
 
 // Commit implements keyvalue.TransactionalStore.
 func (s *Store) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
-	a, err := s.do(ctx, Call{
+	reply, err := s.do(ctx, Call{
 		Kind:        KindCommit,
 		Transaction: tx,
 	})
-	return a.Revision, err
+	return reply.Revision, err
 }
 
 // Grant implements keyvalue.TransactionalStore.
 func (s *Store) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	a, err := s.do(ctx, Call{
+	reply, err := s.do(ctx, Call{
 		Kind:   KindGrant,
 		WaitMS: ttl.Milliseconds(),
 	})
-	return a.Lease, err
+	return reply.Lease, err
 }
 
 // KeepAlive implements keyvalue.TransactionalStore.
--- a/internal/fleet/mirror/mirror.go
+++ b/internal/fleet/mirror/mirror.go
@@ -212,7 +212,7 @@
 // revisions. Removals just after an outage are delayed.
 func (m *Mirror) apply(changes []keyvalue.Change) {
 	var seen, applied []keyvalue.Change
-	var suspects []string
+	var delayed []string
 	slices.SortStableFunc(changes, func(a, b keyvalue.Change) int { return cmp.Compare(a.Revision, b.Revision) })
 	for _, c := range changes {
 		if !strings.HasPrefix(c.Key, m.Prefix) || c.Revision <= m.keyRevisions[c.Key] {
@@ -222,7 +222,7 @@
 		if c.Removed && m.delaysRemovals() {
 			if _, waits := m.removeAt[c.Key]; !waits {
 				m.removeAt[c.Key] = m.Timer.Now().Add(m.RemovalDelay)
-				suspects = append(suspects, c.Key)
+				delayed = append(delayed, c.Key)
 			}
 			continue
 		}
@@ -240,8 +240,8 @@
 	if len(applied) > 0 {
 		m.OnChange(applied)
 	}
-	if len(suspects) > 0 && m.OnRemovalDelayed != nil {
-		m.OnRemovalDelayed(suspects)
+	if len(delayed) > 0 && m.OnRemovalDelayed != nil {
+		m.OnRemovalDelayed(delayed)
 	}
 }
 
--- a/internal/fleet/registry/lease.go
+++ b/internal/fleet/registry/lease.go
@@ -89,7 +89,7 @@
 	return ok
 }
 
-// LeaseRenewedWithin returns the number of this instance's lease, and whether it was renewed
+// LeaseRenewedWithin returns the ID of this instance's lease, and whether it was renewed
 // less than within ago.
 func (r *Registry) LeaseRenewedWithin(within time.Duration) (uint64, bool) {
 	at := r.renewedAt.Load()
--- a/internal/fleet/secret/stored.go
+++ b/internal/fleet/secret/stored.go
@@ -25,30 +25,30 @@
 }
 
 // Value returns the secret, or nil while this instance does not know it.
-func (k *StoredSecret) Value() []byte {
-	if s := k.known.Load(); s != nil {
-		return *s
+func (s *StoredSecret) Value() []byte {
+	if secret := s.known.Load(); secret != nil {
+		return *secret
 	}
 	return nil
 }
 
 // Set sets the secret to the value stored in the key-value service.
-func (k *StoredSecret) Set(value []byte) error {
-	var s []byte
-	if err := json.Unmarshal(value, &s); err != nil {
+func (s *StoredSecret) Set(value []byte) error {
+	var secret []byte
+	if err := json.Unmarshal(value, &secret); err != nil {
 		return fmt.Errorf("decode secret: %w", err)
 	}
-	if len(s) != secretLength {
-		return fmt.Errorf("secret has %d bytes, expected %d", len(s), secretLength)
+	if len(secret) != secretLength {
+		return fmt.Errorf("secret has %d bytes, expected %d", len(secret), secretLength)
 	}
-	k.known.Store(&s)
+	s.known.Store(&secret)
 	return nil
 }
 
 // Get returns the secret and creates it if the key-value service has none.
-func (k *StoredSecret) Get(ctx context.Context) ([]byte, error) {
-	if s := k.Value(); s != nil {
-		return s, nil
+func (s *StoredSecret) Get(ctx context.Context) ([]byte, error) {
+	if secret := s.Value(); secret != nil {
+		return secret, nil
 	}
 	fresh := make([]byte, secretLength)
 	_, _ = rand.Read(fresh) // never fails
@@ -56,23 +56,23 @@
 	if err != nil {
 		return nil, err
 	}
-	_, err = k.Store.Commit(ctx, keyvalue.Transaction{
+	_, err = s.Store.Commit(ctx, keyvalue.Transaction{
 		Expects: []keyvalue.Condition{
-			{Key: k.Key},
+			{Key: s.Key},
 		},
 		Writes: []keyvalue.Write{
-			{Key: k.Key, Value: value},
+			{Key: s.Key, Value: value},
 		},
 	})
 	var conflict *keyvalue.ConflictError
 	switch {
 	case err == nil:
 	case errors.As(err, &conflict):
-		value = conflict.Item(k.Key).Value
+		value = conflict.Item(s.Key).Value
 	case errors.Is(err, keyvalue.ErrOutcomeUnknown):
 		// The write may have been applied or may still be applied later, so only the
 		// stored value is valid.
-		item, err := k.Store.Get(ctx, k.Key)
+		item, err := s.Store.Get(ctx, s.Key)
 		if err != nil {
 			return nil, err
 		}
@@ -80,8 +80,8 @@
 	default:
 		return nil, err
 	}
-	if err := k.Set(value); err != nil {
+	if err := s.Set(value); err != nil {
 		return nil, err
 	}
-	return k.Value(), nil
+	return s.Value(), nil
 }
--- a/internal/fleet/timeofday/clock.go
+++ b/internal/fleet/timeofday/clock.go
@@ -87,13 +87,13 @@
 // Adopt takes over the estimate of another instance, which was made at the given
 // instant or shortly after. An estimate from fewer than minClocks clocks is ignored, as
 // it is no better than this instance's own.
-func (c *Clock) Adopt(r Estimate, at timer.Instant) {
-	if r.Clocks < minClocks {
+func (c *Clock) Adopt(estimate Estimate, at timer.Instant) {
+	if estimate.Clocks < minClocks {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.adopted = newSample(time.UnixMicro(r.UnixMicro), at)
+	c.adopted = newSample(time.UnixMicro(estimate.UnixMicro), at)
 }
 
 // Estimate returns the estimate of the current time from this instance's own clock and
--- a/internal/fleet/usage/reporter.go
+++ b/internal/fleet/usage/reporter.go
@@ -243,8 +243,8 @@
 // total returns the number of requests of all organisations.
 func total(c Counts) int {
 	n := 0
-	for _, k := range c {
-		n += k
+	for _, requests := range c {
+		n += requests
 	}
 	return n
 }
--- a/internal/fleet/watchrelay/poller.go
+++ b/internal/fleet/watchrelay/poller.go
@@ -42,45 +42,45 @@
 
 // next returns the next changes of a prefix after a revision, or none if the next
 // poll returns none.
-func (f *watcherPoller) next(ctx context.Context, s *Relay, prefix string, after uint64) (PrefixChanges, error) {
+func (p *watcherPoller) next(ctx context.Context, relay *Relay, prefix string, after uint64) (PrefixChanges, error) {
 	for {
-		f.mu.Lock()
-		if f.cursors == nil {
-			f.cursors = make(map[string]uint64)
-			f.buffered = make(map[string]PrefixChanges)
+		p.mu.Lock()
+		if p.cursors == nil {
+			p.cursors = make(map[string]uint64)
+			p.buffered = make(map[string]PrefixChanges)
 		}
-		if after > f.cursors[prefix] {
+		if after > p.cursors[prefix] {
 			// The caller has listed the prefix at a newer revision than the watcher's.
-			f.cursors[prefix] = after
-			f.dropUpTo(prefix, after)
+			p.cursors[prefix] = after
+			p.dropUpTo(prefix, after)
 		}
-		if n, ok := f.buffered[prefix]; ok {
-			delete(f.buffered, prefix)
-			f.mu.Unlock()
-			return n, nil
+		if polled, ok := p.buffered[prefix]; ok {
+			delete(p.buffered, prefix)
+			p.mu.Unlock()
+			return polled, nil
 		}
-		if after < f.cursors[prefix] {
+		if after < p.cursors[prefix] {
 			// The changes in between went to an earlier call and are no longer
-			// buffered: polls for them again.
-			f.cursors[prefix] = after
+			// buffered: poll for them again.
+			p.cursors[prefix] = after
 		}
-		if !f.running {
-			f.running = true
-			f.pollDone = make(chan struct{})
-			go f.run(s)
+		if !p.running {
+			p.running = true
+			p.pollDone = make(chan struct{})
+			go p.run(relay)
 		}
-		f.hasWaiter = true
-		pollDone := f.pollDone
-		f.mu.Unlock()
+		p.hasWaiter = true
+		pollDone := p.pollDone
+		p.mu.Unlock()
 		select {
 		case <-pollDone:
 		case <-ctx.Done():
 			return PrefixChanges{}, ctx.Err()
 		}
-		f.mu.Lock()
-		err := f.err
-		_, ok := f.buffered[prefix]
-		f.mu.Unlock()
+		p.mu.Lock()
+		err := p.err
+		_, ok := p.buffered[prefix]
+		p.mu.Unlock()
 		if err != nil {
 			return PrefixChanges{}, err
 		}
@@ -93,83 +93,83 @@
 }
 
 // recordRevision records the revision up to which a prefix was read.
-func (f *watcherPoller) recordRevision(prefix string, revision uint64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.revisions == nil {
-		f.revisions = make(map[string]uint64)
+func (p *watcherPoller) recordRevision(prefix string, revision uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.revisions == nil {
+		p.revisions = make(map[string]uint64)
 	}
-	f.revisions[prefix] = max(f.revisions[prefix], revision)
+	p.revisions[prefix] = max(p.revisions[prefix], revision)
 }
 
 // lastRevision returns the newest revision up to which a prefix was read.
-func (f *watcherPoller) lastRevision(prefix string) uint64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return max(f.revisions[prefix], f.cursors[prefix])
+func (p *watcherPoller) lastRevision(prefix string) uint64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return max(p.revisions[prefix], p.cursors[prefix])
 }
 
-// dropUpTo drops the buffered changes up to a revision. f.mu must be held.
-func (f *watcherPoller) dropUpTo(prefix string, after uint64) {
-	n, ok := f.buffered[prefix]
+// dropUpTo drops the buffered changes up to a revision. p.mu must be held.
+func (p *watcherPoller) dropUpTo(prefix string, after uint64) {
+	polled, ok := p.buffered[prefix]
 	if !ok {
 		return
 	}
 	var left []keyvalue.Change
-	for _, c := range n.Changes {
+	for _, c := range polled.Changes {
 		if c.Revision > after {
 			left = append(left, c)
 		}
 	}
-	n.Changes = left
-	n.Behind = false
-	f.buffered[prefix] = n
+	polled.Changes = left
+	polled.Behind = false
+	p.buffered[prefix] = polled
 	if len(left) == 0 {
-		delete(f.buffered, prefix)
+		delete(p.buffered, prefix)
 	}
 }
 
 // run polls until a poll fails or nobody waits for the result.
-func (f *watcherPoller) run(s *Relay) {
+func (p *watcherPoller) run(relay *Relay) {
 	for {
-		r, err := f.pollWatchers(s)
-		f.mu.Lock()
-		for prefix, n := range r.News {
-			n.Changes = append(f.buffered[prefix].Changes, n.Changes...)
-			f.buffered[prefix] = n
-			f.cursors[prefix] = max(f.cursors[prefix], n.Revision)
+		reply, err := p.pollWatchers(relay)
+		p.mu.Lock()
+		for prefix, polled := range reply.News {
+			polled.Changes = append(p.buffered[prefix].Changes, polled.Changes...)
+			p.buffered[prefix] = polled
+			p.cursors[prefix] = max(p.cursors[prefix], polled.Revision)
 		}
-		f.err = err
-		close(f.pollDone)
-		f.pollDone = make(chan struct{})
-		f.running = f.hasWaiter && err == nil
-		f.hasWaiter = false
-		running := f.running
-		f.mu.Unlock()
+		p.err = err
+		close(p.pollDone)
+		p.pollDone = make(chan struct{})
+		p.running = p.hasWaiter && err == nil
+		p.hasWaiter = false
+		running := p.running
+		p.mu.Unlock()
 		if !running {
 			return
 		}
-		if len(r.News) > 0 {
-			timer.Wait(s.Timer, coalesceDelay, nil)
+		if len(reply.News) > 0 {
+			timer.Wait(relay.Timer, coalesceDelay, nil)
 		}
 	}
 }
 
 // pollWatchers polls the watchers in order until one answers.
-func (f *watcherPoller) pollWatchers(s *Relay) (Reply, error) {
-	f.mu.Lock()
+func (p *watcherPoller) pollWatchers(relay *Relay) (Reply, error) {
+	p.mu.Lock()
 	q := Query{
-		After:  maps.Clone(f.cursors),
+		After:  maps.Clone(p.cursors),
 		WaitMS: pollWait.Milliseconds(),
 	}
-	f.mu.Unlock()
-	if s.NeedsConfirmation != nil && s.NeedsConfirmation() {
+	p.mu.Unlock()
+	if relay.NeedsConfirmation != nil && relay.NeedsConfirmation() {
 		q.WaitMS = eagerPollWait.Milliseconds()
 	}
-	for _, m := range s.watchersToAsk() {
-		r, err := s.poll(context.Background(), m, q)
+	for _, m := range relay.watchersToAsk() {
+		reply, err := relay.poll(context.Background(), m, q)
 		if err == nil {
-			return r, nil
+			return reply, nil
 		}
 		if !errors.Is(err, errStale) {
 			// The failed call may have used up the wait, so the next watcher answers
--- a/internal/fleet/watchrelay/relay.go
+++ b/internal/fleet/watchrelay/relay.go
@@ -64,7 +64,7 @@
 	Estimate() timeofday.Estimate
 	// Adopt takes over the estimate of another instance, which was made at or just
 	// after the given instant.
-	Adopt(r timeofday.Estimate, at timer.Instant)
+	Adopt(estimate timeofday.Estimate, at timer.Instant)
 }
 
 // Query asks for the changes of several prefixes, each after a revision.
@@ -140,19 +140,19 @@
 
 // AddCopy adds a copy of a prefix, to be filled by the caller. All copies must be
 // added before the Relay is used.
-func (s *Relay) AddCopy(prefix string) *Copy {
-	if s.copies == nil {
-		s.copies = make(map[string]*Copy)
+func (r *Relay) AddCopy(prefix string) *Copy {
+	if r.copies == nil {
+		r.copies = make(map[string]*Copy)
 	}
 	c := &Copy{}
-	s.copies[prefix] = c
+	r.copies[prefix] = c
 	return c
 }
 
 // EndWaits ends the waits of all queries at this instance. It is called when the
 // connection to the service is lost.
-func (s *Relay) EndWaits() {
-	for _, c := range s.copies {
+func (r *Relay) EndWaits() {
+	for _, c := range r.copies {
 		c.EndWaits()
 	}
 }
@@ -184,8 +184,8 @@
 }
 
 // IsWatcher reports whether this instance is a watcher.
-func (s *Relay) IsWatcher() bool {
-	return contains(Watchers(s.Registry.Members()), s.Registry.Self().Name)
+func (r *Relay) IsWatcher() bool {
+	return contains(Watchers(r.Registry.Members()), r.Registry.Self().Name)
 }
 
 func contains(members []registry.Member, name string) bool {
@@ -194,9 +194,9 @@
 
 // watchersToAsk returns the watchers to query, in order, or nothing if this instance
 // is a watcher itself.
-func (s *Relay) watchersToAsk() []registry.Member {
-	self := s.Registry.Self().Name
-	watchers := Watchers(s.Registry.Members())
+func (r *Relay) watchersToAsk() []registry.Member {
+	self := r.Registry.Self().Name
+	watchers := Watchers(r.Registry.Members())
 	if contains(watchers, self) {
 		return nil
 	}
@@ -205,20 +205,20 @@
 }
 
 // Watch implements keyvalue.TransactionalStore.
-func (s *Relay) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]keyvalue.Change, uint64, error) {
-	if s.copies[prefix] == nil {
-		return s.TransactionalStore.Watch(ctx, prefix, after, wait)
+func (r *Relay) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]keyvalue.Change, uint64, error) {
+	if r.copies[prefix] == nil {
+		return r.TransactionalStore.Watch(ctx, prefix, after, wait)
 	}
-	if len(s.watchersToAsk()) == 0 {
-		changes, revision, err := s.TransactionalStore.Watch(ctx, prefix, after, wait)
+	if len(r.watchersToAsk()) == 0 {
+		changes, revision, err := r.TransactionalStore.Watch(ctx, prefix, after, wait)
 		if err == nil {
-			s.poller.recordRevision(prefix, revision)
+			r.poller.recordRevision(prefix, revision)
 		}
 		return changes, revision, err
 	}
-	polled, err := s.poller.next(ctx, s, prefix, after)
+	polled, err := r.poller.next(ctx, r, prefix, after)
 	if errors.Is(err, errNoWatcher) {
-		return s.TransactionalStore.Watch(ctx, prefix, after, min(wait, pollWait))
+		return r.TransactionalStore.Watch(ctx, prefix, after, min(wait, pollWait))
 	}
 	if err == nil && polled.Behind {
 		err = keyvalue.ErrCompacted
@@ -227,21 +227,21 @@
 }
 
 // Range implements keyvalue.TransactionalStore.
-func (s *Relay) Range(ctx context.Context, prefix string, f keyvalue.Consistency) (keyvalue.Listing, error) {
-	if s.copies[prefix] != nil {
-		for _, m := range s.watchersToAsk() {
+func (r *Relay) Range(ctx context.Context, prefix string, consistency keyvalue.Consistency) (keyvalue.Listing, error) {
+	if r.copies[prefix] != nil {
+		for _, m := range r.watchersToAsk() {
 			callCtx, cancel := context.WithTimeout(ctx, listTimeout)
-			reply, err := s.Peers.List(callCtx, m.PeerAddress, prefix)
+			reply, err := r.Peers.List(callCtx, m.PeerAddress, prefix)
 			cancel()
-			if err == nil && !reply.Stale && reply.Listing.Revision >= s.poller.lastRevision(prefix) {
-				s.poller.recordRevision(prefix, reply.Listing.Revision)
+			if err == nil && !reply.Stale && reply.Listing.Revision >= r.poller.lastRevision(prefix) {
+				r.poller.recordRevision(prefix, reply.Listing.Revision)
 				return reply.Listing, nil
 			}
 		}
 	}
-	listing, err := s.TransactionalStore.Range(ctx, prefix, f)
-	if err == nil && s.copies[prefix] != nil {
-		s.poller.recordRevision(prefix, listing.Revision)
+	listing, err := r.TransactionalStore.Range(ctx, prefix, consistency)
+	if err == nil && r.copies[prefix] != nil {
+		r.poller.recordRevision(prefix, listing.Revision)
 	}
 	return listing, err
 }
@@ -250,24 +250,24 @@
 
 // poll sends a query to one watcher and passes on the time of day and the
 // confirmations in its reply.
-func (s *Relay) poll(ctx context.Context, m registry.Member, q Query) (Reply, error) {
+func (r *Relay) poll(ctx context.Context, m registry.Member, q Query) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(q.WaitMS)*time.Millisecond+pollSlack)
 	defer cancel()
-	sent := s.Timer.Now()
-	r, err := s.Peers.Poll(ctx, m.PeerAddress, q)
+	sent := r.Timer.Now()
+	reply, err := r.Peers.Poll(ctx, m.PeerAddress, q)
 	if err != nil {
-		return r, err
+		return reply, err
 	}
-	if r.Stale {
-		return r, errStale
+	if reply.Stale {
+		return reply, errStale
 	}
-	if s.Clock != nil {
-		s.Clock.Adopt(r.Time, sent)
+	if r.Clock != nil {
+		r.Clock.Adopt(reply.Time, sent)
 	}
-	if s.OnConfirmed != nil {
-		for prefix, c := range r.Current {
-			s.OnConfirmed(prefix, c.Revision, sent.Add(c.Lead))
+	if r.OnConfirmed != nil {
+		for prefix, c := range reply.Current {
+			r.OnConfirmed(prefix, c.Revision, sent.Add(c.Lead))
 		}
 	}
-	return r, nil
+	return reply, nil
 }
--- a/internal/fleet/watchrelay/server.go
+++ b/internal/fleet/watchrelay/server.go
@@ -17,59 +17,59 @@
 }
 
 // Register makes the copies available to other instances.
-func (s *Relay) Register(server *peer.Server) error {
+func (r *Relay) Register(server *peer.Server) error {
 	return server.Register(receiver, &Server{
-		relay: s,
+		relay: r,
 	})
 }
 
 // canAnswer reports whether this instance is a watcher whose connection to the
 // service works.
-func (s *Relay) canAnswer() bool { return s.Connected() && len(s.watchersToAsk()) == 0 }
+func (r *Relay) canAnswer() bool { return r.Connected() && len(r.watchersToAsk()) == 0 }
 
 // Poll answers a query, at the latest after its wait.
-func (s *Server) Poll(q *Query, r *Reply) error {
+func (s *Server) Poll(q *Query, reply *Reply) error {
 	arrived := s.relay.Timer.Now()
 	if s.relay.Clock != nil {
-		r.Time = s.relay.Clock.Estimate()
+		reply.Time = s.relay.Clock.Estimate()
 	}
 	if !s.relay.canAnswer() {
-		r.Stale = true
+		reply.Stale = true
 		return nil
 	}
 	changes, signals := s.relay.changesFor(q)
 	if len(changes) == 0 && q.WaitMS > 0 {
 		s.relay.waitForChange(time.Duration(q.WaitMS)*time.Millisecond, signals)
 		if !s.relay.Connected() {
-			r.Stale = true
+			reply.Stale = true
 			return nil
 		}
 		changes, _ = s.relay.changesFor(q)
 	}
-	r.News = changes
-	r.Current = s.relay.confirmationsFor(q, arrived)
+	reply.News = changes
+	reply.Current = s.relay.confirmationsFor(q, arrived)
 	return nil
 }
 
 // List answers with the listing of a prefix.
-func (s *Server) List(prefix *string, w *ListReply) error {
+func (s *Server) List(prefix *string, reply *ListReply) error {
 	c := s.relay.copies[*prefix]
 	if c == nil || !s.relay.canAnswer() {
-		w.Stale = true
+		reply.Stale = true
 		return nil
 	}
 	var ok bool
-	w.Listing, ok = c.listing()
-	w.Stale = !ok
+	reply.Listing, ok = c.listing()
+	reply.Stale = !ok
 	return nil
 }
 
 // confirmationsFor returns the last confirmations of the copies that a query asks for.
 // arrived is the instant at which the query arrived.
-func (s *Relay) confirmationsFor(q *Query, arrived timer.Instant) map[string]Confirmation {
+func (r *Relay) confirmationsFor(q *Query, arrived timer.Instant) map[string]Confirmation {
 	var current map[string]Confirmation
 	for prefix := range q.After {
-		c := s.copies[prefix]
+		c := r.copies[prefix]
 		if c == nil {
 			continue
 		}
@@ -90,11 +90,11 @@
 
 // changesFor returns the changes that a query asks for, by prefix, and channels that
 // are closed at the next changes.
-func (s *Relay) changesFor(q *Query) (map[string]PrefixChanges, []<-chan struct{}) {
+func (r *Relay) changesFor(q *Query) (map[string]PrefixChanges, []<-chan struct{}) {
 	changesByPrefix := make(map[string]PrefixChanges)
 	var signals []<-chan struct{}
 	for prefix, after := range q.After {
-		c := s.copies[prefix]
+		c := r.copies[prefix]
 		if c == nil {
 			changesByPrefix[prefix] = PrefixChanges{
 				Behind: true,
@@ -116,16 +116,16 @@
 
 // waitForChange waits until one of the signals is closed or a duration has passed. It
 // uses the first maxCopies signals.
-func (s *Relay) waitForChange(d time.Duration, signals []<-chan struct{}) {
-	sub := s.Timer.Once(d)
-	defer sub.Close()
+func (r *Relay) waitForChange(d time.Duration, signals []<-chan struct{}) {
+	timeout := r.Timer.Once(d)
+	defer timeout.Close()
 	var c [maxCopies]<-chan struct{}
 	copy(c[:], signals)
 	select {
 	case <-c[0]:
 	case <-c[1]:
 	case <-c[2]:
-	case <-sub.C:
+	case <-timeout.C:
 	}
 }
 
@@ -136,14 +136,14 @@
 
 // Poll implements Peers.
 func (p *PeerClient) Poll(ctx context.Context, address string, q Query) (Reply, error) {
-	var r Reply
-	err := p.Client.Call(ctx, address, receiver+".Poll", &q, &r)
-	return r, err
+	var reply Reply
+	err := p.Client.Call(ctx, address, receiver+".Poll", &q, &reply)
+	return reply, err
 }
 
 // List implements Peers.
 func (p *PeerClient) List(ctx context.Context, address, prefix string) (ListReply, error) {
-	var w ListReply
-	err := p.Client.Call(ctx, address, receiver+".List", &prefix, &w)
-	return w, err
+	var reply ListReply
+	err := p.Client.Call(ctx, address, receiver+".List", &prefix, &reply)
+	return reply, err
 }
--- a/internal/fleet/weights/assign.go
+++ b/internal/fleet/weights/assign.go
@@ -68,7 +68,7 @@
 // that are filled least relative to their shares. A set that is below its share, as after
 // the loss of its engines, gets engines from the set that is filled most.
 func Assign(engines []Engine, models []string, latest map[string]uint64, demand Demand) map[string]string {
-	d := &assigner{
+	a := &assigner{
 		models:  models,
 		shares:  demand.shares(models),
 		total:   len(engines),
@@ -76,29 +76,29 @@
 		sizes:   make(map[string]int, len(models)),
 	}
 	if len(models) == 0 {
-		return d.modelOf
+		return a.modelOf
 	}
 	sorted := append([]Engine(nil), engines...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].ID < sorted[j].ID })
 	for _, e := range sorted {
-		if model := closestModel(e, models, latest); model != "" && d.sizes[model] < d.maxSize(model) {
-			d.assign(e, model)
+		if model := closestModel(e, models, latest); model != "" && a.sizes[model] < a.maxSize(model) {
+			a.assign(e, model)
 		}
 	}
 	for _, e := range sorted {
-		if d.modelOf[e.ID] == "" {
-			d.assign(e, d.leastFilled())
+		if a.modelOf[e.ID] == "" {
+			a.assign(e, a.leastFilled())
 		}
 	}
 	for {
-		to, from := d.leastFilled(), d.mostFilled()
-		if d.sizes[to] >= d.minSize(to) || d.sizes[from] <= d.minSize(from) {
-			return d.modelOf
+		to, from := a.leastFilled(), a.mostFilled()
+		if a.sizes[to] >= a.minSize(to) || a.sizes[from] <= a.minSize(from) {
+			return a.modelOf
 		}
 		for _, e := range sorted {
-			if d.modelOf[e.ID] == from {
-				d.sizes[from]--
-				d.assign(e, to)
+			if a.modelOf[e.ID] == from {
+				a.sizes[from]--
+				a.assign(e, to)
 				break
 			}
 		}
@@ -106,19 +106,19 @@
 }
 
 // assign adds an engine to a model's set.
-func (d *assigner) assign(e Engine, model string) {
-	d.modelOf[e.ID] = model
-	d.sizes[model]++
+func (a *assigner) assign(e Engine, model string) {
+	a.modelOf[e.ID] = model
+	a.sizes[model]++
 }
 
 // maxSize returns the share of a model in engines, rounded up.
-func (d *assigner) maxSize(model string) int {
-	return int(math.Ceil(d.shares[model]*float64(d.total) - roundingTolerance))
+func (a *assigner) maxSize(model string) int {
+	return int(math.Ceil(a.shares[model]*float64(a.total) - roundingTolerance))
 }
 
 // minSize returns the share of a model in engines, rounded down, but at least 1.
-func (d *assigner) minSize(model string) int {
-	return max(1, int(d.shares[model]*float64(d.total)+roundingTolerance))
+func (a *assigner) minSize(model string) int {
+	return max(1, int(a.shares[model]*float64(a.total)+roundingTolerance))
 }
 
 // roundingTolerance compensates for floating-point errors, so that a third of nine engines
@@ -126,13 +126,13 @@
 const roundingTolerance = 1e-9
 
 // fillRatio returns the size of a model's set relative to the model's share.
-func (d *assigner) fillRatio(model string) float64 { return float64(d.sizes[model]) / d.shares[model] }
+func (a *assigner) fillRatio(model string) float64 { return float64(a.sizes[model]) / a.shares[model] }
 
 // leastFilled returns the model with the lowest fillRatio.
-func (d *assigner) leastFilled() string {
-	best := d.models[0]
-	for _, m := range d.models[1:] {
-		if d.fillRatio(m) < d.fillRatio(best)-roundingTolerance {
+func (a *assigner) leastFilled() string {
+	best := a.models[0]
+	for _, m := range a.models[1:] {
+		if a.fillRatio(m) < a.fillRatio(best)-roundingTolerance {
 			best = m
 		}
 	}
@@ -140,10 +140,10 @@
 }
 
 // mostFilled returns the model with the highest fillRatio.
-func (d *assigner) mostFilled() string {
-	best := d.models[0]
-	for _, m := range d.models[1:] {
-		if d.fillRatio(m) > d.fillRatio(best)+roundingTolerance {
+func (a *assigner) mostFilled() string {
+	best := a.models[0]
+	for _, m := range a.models[1:] {
+		if a.fillRatio(m) > a.fillRatio(best)+roundingTolerance {
 			best = m
 		}
 	}
