--- a/internal/fleet/confirmation/confirmer_test.go
+++ b/internal/fleet/confirmation/confirmer_test.go
@@ -19,8 +19,8 @@
 }
 
 // ChangesSince implements Source.
-func (a storeSource) ChangesSince(ctx context.Context, prefix string, after uint64) ([]keyvalue.Change, uint64, error) {
-	return a.Watch(ctx, prefix, after, 0)
+func (s storeSource) ChangesSince(ctx context.Context, prefix string, after uint64) ([]keyvalue.Change, uint64, error) {
+	return s.Watch(ctx, prefix, after, 0)
 }
 
 // fixture is a Confirmer with a key-value service of its own.
@@ -35,31 +35,31 @@
 const key = "configuration"
 
 func newFixture(t *testing.T) *fixture {
-	d := &fixture{
+	f := &fixture{
 		clock: &timer.Manual{},
 	}
-	d.clock.Advance(time.Hour)
-	t.Cleanup(d.clock.Run(0, time.Millisecond))
-	d.store = &memorystore.Store{
-		Timer: d.clock,
-		Fault: func(memorystore.Operation) memorystore.Fault { return d.fault },
+	f.clock.Advance(time.Hour)
+	t.Cleanup(f.clock.Run(0, time.Millisecond))
+	f.store = &memorystore.Store{
+		Timer: f.clock,
+		Fault: func(memorystore.Operation) memorystore.Fault { return f.fault },
 	}
-	d.Confirmer = Confirmer{
+	f.Confirmer = Confirmer{
 		Record:       &Record{},
-		Source:       storeSource{d.store},
+		Source:       storeSource{f.store},
 		Key:          key,
-		HeldRevision: func() uint64 { return d.heldRevision },
-		Apply:        func(changes []keyvalue.Change) { d.heldRevision = changes[len(changes)-1].Revision },
+		HeldRevision: func() uint64 { return f.heldRevision },
+		Apply:        func(changes []keyvalue.Change) { f.heldRevision = changes[len(changes)-1].Revision },
 		Needed:       func() bool { return true },
 		IsRelay:      func() bool { return true },
-		Timer:        d.clock,
+		Timer:        f.clock,
 	}
-	return d
+	return f
 }
 
 // putConfiguration writes a configuration and returns its revision.
-func (d *fixture) putConfiguration(is *is.I) uint64 {
-	rev, err := d.store.Commit(context.Background(), keyvalue.Transaction{
+func (f *fixture) putConfiguration(is *is.I) uint64 {
+	rev, err := f.store.Commit(context.Background(), keyvalue.Transaction{
 		Writes: []keyvalue.Write{{Key: key, Value: []byte("c")}},
 	})
 	is.NoErr(err)
@@ -69,27 +69,27 @@
 // A confirmation that finds a newer configuration applies it and confirms that one.
 func TestConfirmAppliesNewerConfiguration(t *testing.T) {
 	is := is.New(t)
-	d := newFixture(t)
-	d.heldRevision = d.putConfiguration(is)
-	is.NoErr(d.Confirm(context.Background()))
-	is.True(d.Record.Within(d.clock.Now(), time.Millisecond))
-	newer := d.putConfiguration(is)
-	d.clock.Advance(time.Second)
-	is.NoErr(d.Confirm(context.Background()))
-	is.Equal(d.heldRevision, newer)
-	is.True(d.Record.Within(d.clock.Now(), time.Millisecond))
+	f := newFixture(t)
+	f.heldRevision = f.putConfiguration(is)
+	is.NoErr(f.Confirm(context.Background()))
+	is.True(f.Record.Within(f.clock.Now(), time.Millisecond))
+	newer := f.putConfiguration(is)
+	f.clock.Advance(time.Second)
+	is.NoErr(f.Confirm(context.Background()))
+	is.Equal(f.heldRevision, newer)
+	is.True(f.Record.Within(f.clock.Now(), time.Millisecond))
 }
 
 // Guards against a newer configuration that cannot be decoded: the keys of the previous
 // one, which stays in force, must not count as confirmed.
 func TestUnappliedConfigurationIsNotConfirmed(t *testing.T) {
 	is := is.New(t)
-	d := newFixture(t)
-	d.heldRevision = d.putConfiguration(is)
-	d.Apply = func([]keyvalue.Change) {}
-	d.putConfiguration(is)
-	is.True(d.Confirm(context.Background()) != nil)
-	_, ok := d.Record.Age(d.clock.Now())
+	f := newFixture(t)
+	f.heldRevision = f.putConfiguration(is)
+	f.Apply = func([]keyvalue.Change) {}
+	f.putConfiguration(is)
+	is.True(f.Confirm(context.Background()) != nil)
+	_, ok := f.Record.Age(f.clock.Now())
 	is.True(!ok)
 }
 
@@ -97,33 +97,33 @@
 // one as current.
 func TestAcceptIgnoresConfirmationOfNewerRevision(t *testing.T) {
 	is := is.New(t)
-	d := newFixture(t)
-	d.heldRevision = 4
-	d.AcceptRemote(d.clock.Now(), 5)
-	is.True(!d.Record.Within(d.clock.Now(), time.Second))
-	d.AcceptRemote(d.clock.Now(), 4)
-	is.True(d.Record.Within(d.clock.Now(), time.Second))
+	f := newFixture(t)
+	f.heldRevision = 4
+	f.AcceptRemote(f.clock.Now(), 5)
+	is.True(!f.Record.Within(f.clock.Now(), time.Second))
+	f.AcceptRemote(f.clock.Now(), 4)
+	is.True(f.Record.Within(f.clock.Now(), time.Second))
 }
 
 // Guards against requests with random keys that each cost a call of the key-value
 // service.
 func TestRefreshLimitsCallsForUnknownKeys(t *testing.T) {
 	is := is.New(t)
-	d := newFixture(t)
-	d.heldRevision = d.putConfiguration(is)
+	f := newFixture(t)
+	f.heldRevision = f.putConfiguration(is)
 	for range 1000 {
-		d.Refresh(context.Background())
-		d.clock.Advance(4 * time.Millisecond)
+		f.Refresh(context.Background())
+		f.clock.Advance(4 * time.Millisecond)
 	}
-	is.True(d.store.CallCount(memorystore.Watch) <= 3)
+	is.True(f.store.CallCount(memorystore.Watch) <= 3)
 }
 
 // Guards against a follower that calls the key-value service at each check while it is
 // down: every call is counted.
 func TestFollowerBacksOffDuringOutage(t *testing.T) {
 	is := is.New(t)
-	d := newFixture(t)
-	d.IsRelay = func() bool { return false }
+	f := newFixture(t)
+	f.IsRelay = func() bool { return false }
 	var b backoff
 	asked := 0
 	for second := range 12 {
@@ -143,33 +143,33 @@
 // started.
 func TestFirstConfirmationIsPrompt(t *testing.T) {
 	is := is.New(t)
-	d := newFixture(t)
-	d.heldRevision = d.putConfiguration(is)
+	f := newFixture(t)
+	f.heldRevision = f.putConfiguration(is)
 	var tomb tomb.Tomb
-	tomb.Go(func() error { return d.Run(&tomb) })
+	tomb.Go(func() error { return f.Run(&tomb) })
 	defer func() {
 		tomb.Kill(nil)
 		is.NoErr(tomb.Wait())
 	}()
-	began := d.clock.Now()
-	stop := d.clock.Run(10*time.Millisecond, time.Millisecond)
+	began := f.clock.Now()
+	stop := f.clock.Run(10*time.Millisecond, time.Millisecond)
 	defer stop()
 	is.True(timer.Poll(timer.Real{}, time.Millisecond, 10*time.Second, nil, func() bool {
-		_, ok := d.Record.Age(d.clock.Now())
+		_, ok := f.Record.Age(f.clock.Now())
 		return ok
 	}))
-	age, _ := d.Record.Age(d.clock.Now())
-	is.True(d.clock.Now().Sub(began)-age <= startupCheckInterval+100*time.Millisecond)
+	age, _ := f.Record.Age(f.clock.Now())
+	is.True(f.clock.Now().Sub(began)-age <= startupCheckInterval+100*time.Millisecond)
 }
 
 // Guards against an instance that wakes up many times a second for confirmations that
 // nothing needs.
 func TestConfirmerChecksLessOftenWhenNotNeeded(t *testing.T) {
 	is := is.New(t)
-	d := newFixture(t)
-	is.Equal(d.checkDelay(), startupCheckInterval) // unknown until there is a configuration
-	d.heldRevision = d.putConfiguration(is)
-	is.Equal(d.checkDelay(), startupCheckInterval)
-	d.Needed = func() bool { return false }
-	is.Equal(d.checkDelay(), checkInterval)
+	f := newFixture(t)
+	is.Equal(f.checkDelay(), startupCheckInterval) // unknown until there is a configuration
+	f.heldRevision = f.putConfiguration(is)
+	is.Equal(f.checkDelay(), startupCheckInterval)
+	f.Needed = func() bool { return false }
+	is.Equal(f.checkDelay(), checkInterval)
 }
--- a/internal/fleet/crashnotice/board_test.go
+++ b/internal/fleet/crashnotice/board_test.go
@@ -26,27 +26,27 @@
 }
 
 func newBoardFixture() *boardFixture {
-	d := &boardFixture{
+	f := &boardFixture{
 		clock: &timer.Manual{},
 	}
-	d.clock.Advance(time.Hour)
-	d.store = &memorystore.Store{
-		Timer: d.clock,
+	f.clock.Advance(time.Hour)
+	f.store = &memorystore.Store{
+		Timer: f.clock,
 	}
-	return d
+	return f
 }
 
-func (d *boardFixture) board(key string) *Board {
+func (f *boardFixture) board(key string) *Board {
 	return &Board{
 		Secret: fixedSecret{},
 		Key:    key,
 		Publisher: &KeyPublisher{
-			Store: d.store,
+			Store: f.store,
 			Name:  key,
-			Timer: d.clock,
+			Timer: f.clock,
 		},
 		InstanceCount: func() int { return 20 },
-		Timer:         d.clock,
+		Timer:         f.clock,
 	}
 }
 
@@ -56,13 +56,13 @@
 
 // crashUpstreams records that n upstreams crashed while they ran a request, one after the
 // other. Their incarnations are numbered starting with from.
-func (d *boardFixture) crashUpstreams(b *Board, body string, from, n int) {
+func (f *boardFixture) crashUpstreams(b *Board, body string, from, n int) {
 	for i := range n {
-		d.clock.Advance(time.Millisecond)
+		f.clock.Advance(time.Millisecond)
 		b.RecordCrash(poison.Crash{
 			Incarnation: crash.IncarnationOf("u", uint64(from+i)),
 			Fingerprint: digestOf(body).Keyed(fixedSecret{}.Value()),
-			At:          d.clock.Now(),
+			At:          f.clock.Now(),
 			Consecutive: judge(b, body).Crashes + 1,
 		})
 	}
@@ -79,8 +79,8 @@
 }
 
 // deliver passes the published notices of one board to another one.
-func (d *boardFixture) deliver(is *is.I, from, to *Board) {
-	item, err := d.store.Get(context.Background(), from.Key)
+func (f *boardFixture) deliver(is *is.I, from, to *Board) {
+	item, err := f.store.Get(context.Background(), from.Key)
 	is.NoErr(err)
 	to.Apply([]keyvalue.Change{{Item: item}})
 }
@@ -88,19 +88,19 @@
 // Guards against instances that count only the crashes that they observed themselves.
 func TestCrashesAddUpOverInstances(t *testing.T) {
 	is := is.New(t)
-	d := newBoardFixture()
-	a, b, c := d.board("a"), d.board("b"), d.board("c")
-	d.crashUpstreams(a, "deadly", 0, 2)
+	f := newBoardFixture()
+	a, b, c := f.board("a"), f.board("b"), f.board("c")
+	f.crashUpstreams(a, "deadly", 0, 2)
 	is.NoErr(a.publishNow(context.Background()))
-	d.deliver(is, a, b)
-	d.crashUpstreams(b, "deadly", 2, 2)
+	f.deliver(is, a, b)
+	f.crashUpstreams(b, "deadly", 2, 2)
 	is.NoErr(b.publishNow(context.Background()))
 	is.True(!judge(c, "deadly").Quarantined())
-	d.deliver(is, a, c)
-	d.deliver(is, b, c)
+	f.deliver(is, a, c)
+	f.deliver(is, b, c)
 	is.True(judge(c, "deadly").Quarantined())
 	is.True(!judge(c, "another").Suspected())
-	d.deliver(is, b, c) // the same notices again add nothing
+	f.deliver(is, b, c) // the same notices again add nothing
 	is.Equal(judge(c, "deadly").Crashes, 4)
 }
 
@@ -109,25 +109,25 @@
 // suspected at other instances.
 func TestAnswersArePublishedOnlyAfterCrashes(t *testing.T) {
 	is := is.New(t)
-	d := newBoardFixture()
-	a, b := d.board("a"), d.board("b")
-	d.crashUpstreams(a, "plain", 0, 1)
+	f := newBoardFixture()
+	a, b := f.board("a"), f.board("b")
+	f.crashUpstreams(a, "plain", 0, 1)
 	answer(a, "plain")
 	is.True(!a.hasUnpublished())
 	is.True(!a.hasEvidence.Load())
 
-	d.clock.Advance(time.Second)
-	d.crashUpstreams(a, "plain", 1, 3)
+	f.clock.Advance(time.Second)
+	f.crashUpstreams(a, "plain", 1, 3)
 	is.NoErr(a.publishNow(context.Background()))
-	d.deliver(is, a, b)
+	f.deliver(is, a, b)
 	is.Equal(judge(b, "plain").Crashes, 3)
-	d.clock.Advance(time.Second)
+	f.clock.Advance(time.Second)
 	answer(b, "plain")
 	is.True(b.hasUnpublished())
 	is.NoErr(b.publishNow(context.Background()))
-	d.deliver(is, b, a)
+	f.deliver(is, b, a)
 	is.True(!judge(a, "plain").Suspected())
-	d.deliver(is, a, b) // the old notice is ignored
+	f.deliver(is, a, b) // the old notice is ignored
 	is.True(!judge(b, "plain").Suspected())
 }
 
@@ -135,21 +135,21 @@
 // lease that expired while the service was unavailable.
 func TestNoticesOutliveTheirInstanceAndTheirLease(t *testing.T) {
 	is := is.New(t)
-	d := newBoardFixture()
-	a, b := d.board("a"), d.board("b")
-	d.crashUpstreams(a, "deadly", 0, 4)
+	f := newBoardFixture()
+	a, b := f.board("a"), f.board("b")
+	f.crashUpstreams(a, "deadly", 0, 4)
 	is.NoErr(a.publishNow(context.Background()))
-	d.deliver(is, a, b)
+	f.deliver(is, a, b)
 	gone := keyvalue.Change{Item: keyvalue.Item{Key: "a"}, Removed: true}
 	b.Apply([]keyvalue.Change{gone})
 	is.True(judge(b, "deadly").Quarantined())
 	is.True(!a.hasUnpublished())
-	d.store.ExpireLease(a.Publisher.(*KeyPublisher).lease)
+	f.store.ExpireLease(a.Publisher.(*KeyPublisher).lease)
 	a.Apply([]keyvalue.Change{gone})
 	is.True(a.hasUnpublished())
 	is.True(a.publishNow(context.Background()) != nil) // fails because the lease has expired
 	is.NoErr(a.publishNow(context.Background()))
-	_, err := d.store.Get(context.Background(), "a")
+	_, err := f.store.Get(context.Background(), "a")
 	is.NoErr(err)
 }
 
@@ -158,21 +158,21 @@
 // others serve.
 func TestStartingInstancesGetNoClearedCrashes(t *testing.T) {
 	is := is.New(t)
-	d := newBoardFixture()
-	a, b := d.board("a"), d.board("b")
-	d.crashUpstreams(a, "popular", 0, 4)
+	f := newBoardFixture()
+	a, b := f.board("a"), f.board("b")
+	f.crashUpstreams(a, "popular", 0, 4)
 	is.NoErr(a.publishNow(context.Background()))
-	d.deliver(is, a, b)
-	d.clock.Advance(time.Second)
+	f.deliver(is, a, b)
+	f.clock.Advance(time.Second)
 	answer(b, "popular")
 	is.NoErr(b.publishNow(context.Background()))
-	d.deliver(is, b, a)
+	f.deliver(is, b, a)
 	a.expire(context.Background())
 	is.True(a.hasUnpublished())
 	is.NoErr(a.publishNow(context.Background()))
 	is.True(!a.hasUnpublished())
-	started := d.board("c")
-	d.deliver(is, a, started)
+	started := f.board("c")
+	f.deliver(is, a, started)
 	is.True(!judge(started, "popular").Suspected())
 }
 
@@ -180,30 +180,30 @@
 // uses up the allowed rate of calls to the service.
 func TestFloodOfDifferentRequestsIsBounded(t *testing.T) {
 	is := is.New(t)
-	d := newBoardFixture()
-	a := d.board("a")
-	calls, begun := 0, d.clock.Now()
+	f := newBoardFixture()
+	a := f.board("a")
+	calls, begun := 0, f.clock.Now()
 	for i := range 3000 {
-		d.crashUpstreams(a, "deadly "+time.Duration(i).String(), 10*i, 1)
-		d.clock.Advance(20 * time.Millisecond)
+		f.crashUpstreams(a, "deadly "+time.Duration(i).String(), 10*i, 1)
+		f.clock.Advance(20 * time.Millisecond)
 		limiter := a.limiter
-		if limiter.reserve(d.clock.Now(), 20) == 0 {
+		if limiter.reserve(f.clock.Now(), 20) == 0 {
 			a.limiter = limiter
 			is.NoErr(a.publishNow(context.Background()))
 			calls++
 		}
 	}
 	pause := 20 * writePausePerInstance // at twenty instances
-	is.True(calls <= int(d.clock.Now().Sub(begun)/pause)+writeBurst+1)
+	is.True(calls <= int(f.clock.Now().Sub(begun)/pause)+writeBurst+1)
 	is.True(len(a.own) <= maxNotices)
 	is.True(a.evidence.Len() <= poison.MaxCrashes)
-	item, err := d.store.Get(context.Background(), "a")
+	item, err := f.store.Get(context.Background(), "a")
 	is.NoErr(err)
 	is.True(len(item.Value) < 100*maxNotices)
 	var list []notice
 	is.NoErr(json.Unmarshal(item.Value, &list))
 	is.True(!strings.Contains(string(item.Value), "deadly"))
-	d.clock.Advance(time.Hour)
+	f.clock.Advance(time.Hour)
 	a.expire(context.Background())
 	is.True(!a.hasEvidence.Load())
 	is.Equal(len(a.own), 0)
@@ -213,17 +213,17 @@
 // the chosen instance without a pause.
 func TestOnlyChosenInstanceRunsTrial(t *testing.T) {
 	is := is.New(t)
-	d := newBoardFixture()
-	a, b := d.board("a"), d.board("b")
+	f := newBoardFixture()
+	a, b := f.board("a"), f.board("b")
 	a.RunsTrial = func(fingerprint.Fingerprint) bool { return true }
-	d.crashUpstreams(a, "deadly", 0, 4)
-	d.crashUpstreams(b, "deadly", 0, 4)
+	f.crashUpstreams(a, "deadly", 0, 4)
+	f.crashUpstreams(b, "deadly", 0, 4)
 	is.True(judge(a, "deadly").Quarantined())
-	d.clock.Advance(time.Minute)
+	f.clock.Advance(time.Minute)
 	is.True(!judge(a, "deadly").Quarantined())
 	is.True(judge(a, "deadly").Quarantined())
 	is.True(judge(b, "deadly").Quarantined())
-	d.clock.Advance(trialInterval)
+	f.clock.Advance(trialInterval)
 	is.True(!judge(a, "deadly").Quarantined())
 	answer(a, "deadly")
 	is.True(!judge(a, "deadly").Suspected())
@@ -231,8 +231,8 @@
 
 // Guards against computing the digest of each request while no crash is known.
 func TestNoDigestWithoutEvidence(t *testing.T) {
-	d := newBoardFixture()
-	a := d.board("a")
+	f := newBoardFixture()
+	a := f.board("a")
 	digest := func() fingerprint.Digest {
 		t.Fatal("a digest was computed without evidence")
 		return fingerprint.Digest{}
@@ -245,16 +245,16 @@
 // writer.
 func TestBoardConcurrentUse(t *testing.T) {
 	is := is.New(t)
-	d := newBoardFixture()
-	a := d.board("a")
-	stop := d.clock.Run(50*time.Millisecond, time.Millisecond)
+	f := newBoardFixture()
+	a := f.board("a")
+	stop := f.clock.Run(50*time.Millisecond, time.Millisecond)
 	defer stop()
 	var tb tomb.Tomb
 	tb.Go(func() error { return a.Run(&tb) })
 	var wg sync.WaitGroup
 	for i := range 8 {
 		wg.Go(func() {
-			d.crashUpstreams(a, "deadly", 10*i, 1)
+			f.crashUpstreams(a, "deadly", 10*i, 1)
 			judge(a, "deadly")
 			a.Apply([]keyvalue.Change{{Item: keyvalue.Item{Key: "b", Value: []byte("[]")}}})
 		})
@@ -262,7 +262,7 @@
 	wg.Wait()
 	published := func() bool { return !a.hasUnpublished() }
 	is.True(timer.Poll(timer.Real{}, time.Millisecond, 10*time.Second, nil, published))
-	is.True(d.store.CallCount(memorystore.Commit) <= writeBurst)
+	is.True(f.store.CallCount(memorystore.Commit) <= writeBurst)
 	tb.Kill(nil)
 	is.NoErr(tb.Wait())
 }
--- a/internal/fleet/crashnotice/doc.go
+++ b/internal/fleet/crashnotice/doc.go
@@ -18,7 +18,7 @@
 // that this instance observed as a list of notices under one key for each incarnation of
 // the instance, through a Publisher: KeyPublisher writes them to the key-value service,
 // GossipPublisher sends them to other instances directly. The others receive the notices
-// by Board.Apply. A key expires some minutes after its last change, so that its notices
+// by Board.Apply. A key expires some minutes after its last renewal, so that its notices
 // outlive the instance. A crash is not published if another upstream answers the request
 // soon after.
 package crashnotice
--- a/internal/fleet/crashnotice/gossip_test.go
+++ b/internal/fleet/crashnotice/gossip_test.go
@@ -14,19 +14,19 @@
 // against an entry that does not expire.
 func TestGossipDeliversEachNoticeOnce(t *testing.T) {
 	is := is.New(t)
-	d := newBoardFixture()
+	f := newBoardFixture()
 	var state gossip.State
-	a, b := d.board("a"), d.board("b")
+	a, b := f.board("a"), f.board("b")
 	a.Publisher = &GossipPublisher{State: &state, Key: "a"}
 	b.Publisher = &GossipPublisher{State: &state, Key: "b"}
 	listener := Listener{State: &state, Board: b}
-	d.crashUpstreams(a, "deadly", 0, 4)
+	f.crashUpstreams(a, "deadly", 0, 4)
 	is.NoErr(a.publishNow(context.Background()))
 	changes := listener.newEntries()
 	is.Equal(len(changes), 1)
 	b.Apply(changes)
 	is.True(judge(b, "deadly").Quarantined())
-	d.crashUpstreams(b, "other", 10, 1)
+	f.crashUpstreams(b, "other", 10, 1)
 	is.NoErr(b.publishNow(context.Background()))
 	is.Equal(len(listener.newEntries()), 0) // only its own entry changed
 	is.NoErr(a.Publisher.Renew(context.Background()))
--- a/internal/fleet/kvfallback/store_test.go
+++ b/internal/fleet/kvfallback/store_test.go
@@ -22,12 +22,12 @@
 }
 
 // Call implements Peers.
-func (l *peersStub) Call(ctx context.Context, _ string, c Call) (Reply, error) {
-	l.calls++
-	if l.fail != nil {
-		return Reply{}, l.fail
+func (p *peersStub) Call(ctx context.Context, _ string, c Call) (Reply, error) {
+	p.calls++
+	if p.fail != nil {
+		return Reply{}, p.fail
 	}
-	return c.MakeAt(ctx, l.store), nil
+	return c.MakeAt(ctx, p.store), nil
 }
 
 // newDownStore returns a service that is down for all calls.
--- a/internal/fleet/listing/table.go
+++ b/internal/fleet/listing/table.go
@@ -38,11 +38,11 @@
 	}
 	all := t.decoded.List(t.State, gossip.KindUpstream, decodeEntry)
 	list := make([]roster.Instance, 0, len(all))
-	for _, p := range all {
-		if p.Gone {
+	for _, entry := range all {
+		if entry.Gone {
 			continue
 		}
-		in := p.Instance
+		in := entry.Instance
 		in.Leaving = leaving[in.ID] >= in.Incarnation && leaving[in.ID] > 0
 		list = append(list, in)
 	}
@@ -118,16 +118,16 @@
 
 // mergeEntry writes an entry with the given minor version and expiry, a Unix time in
 // seconds, to the gossip state.
-func (t *Table) mergeEntry(p upstreamEntry, minor uint64, expires int64) bool {
-	value, err := json.Marshal(p)
+func (t *Table) mergeEntry(entry upstreamEntry, minor uint64, expires int64) bool {
+	value, err := json.Marshal(entry)
 	if err != nil {
 		return false
 	}
 	return t.State.Merge(gossip.Entry{
 		Kind: gossip.KindUpstream,
-		Key:  p.Instance.ID,
+		Key:  entry.Instance.ID,
 		Version: gossip.Version{
-			Major: p.Instance.Incarnation,
+			Major: entry.Instance.Incarnation,
 			Minor: minor,
 		},
 		Value:   value,
@@ -136,9 +136,9 @@
 }
 
 func decodeEntry(e gossip.Entry) (upstreamEntry, bool) {
-	var p upstreamEntry
-	if json.Unmarshal(e.Value, &p) != nil {
+	var entry upstreamEntry
+	if json.Unmarshal(e.Value, &entry) != nil {
 		return upstreamEntry{}, false
 	}
-	return p, true
+	return entry, true
 }
--- a/internal/fleet/member/part.go
+++ b/internal/fleet/member/part.go
@@ -28,11 +28,11 @@
 }
 
 // Set sets the function that measures the load, from 0 to 1.
-func (g *LoadSource) Set(read func() float64) { g.read.Store(&read) }
+func (s *LoadSource) Set(read func() float64) { s.read.Store(&read) }
 
 // Load returns the current load, from 0 to 1.
-func (g *LoadSource) Load() float64 {
-	read := g.read.Load()
+func (s *LoadSource) Load() float64 {
+	read := s.read.Load()
 	if read == nil {
 		return 0
 	}
--- a/internal/fleet/mirror/mirror_test.go
+++ b/internal/fleet/mirror/mirror_test.go
@@ -30,55 +30,55 @@
 }
 
 func newFixture(t *testing.T, removalDelay time.Duration) *fixture {
-	b := &fixture{
+	f := &fixture{
 		clock:   &timer.Manual{},
 		values:  make(map[string]string),
 		changed: make(chan struct{}, 100),
 	}
-	b.store = &memorystore.Store{
-		Timer: b.clock,
+	f.store = &memorystore.Store{
+		Timer: f.clock,
 	}
-	b.store.Fault = func(memorystore.Operation) memorystore.Fault {
-		if b.down.Load() {
+	f.store.Fault = func(memorystore.Operation) memorystore.Fault {
+		if f.down.Load() {
 			return memorystore.Down
 		}
 		return memorystore.None
 	}
 	m := &mirror.Mirror{
-		Store:        b.store,
+		Store:        f.store,
 		Prefix:       "p/",
-		OnChange:     b.recordChanges,
-		Timer:        b.clock,
+		OnChange:     f.recordChanges,
+		Timer:        f.clock,
 		RemovalDelay: removalDelay,
 		OnRemovalDelayed: func(keys []string) {
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			b.suspects = append(b.suspects, keys...)
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			f.suspects = append(f.suspects, keys...)
 		},
 	}
-	b.tomb.Go(func() error { return m.Run(&b.tomb) })
+	f.tomb.Go(func() error { return m.Run(&f.tomb) })
 	t.Cleanup(func() {
-		b.tomb.Kill(nil)
-		_ = b.tomb.Wait()
+		f.tomb.Kill(nil)
+		_ = f.tomb.Wait()
 	})
-	return b
+	return f
 }
 
-func (b *fixture) recordChanges(changes []keyvalue.Change) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (f *fixture) recordChanges(changes []keyvalue.Change) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	for _, c := range changes {
 		if c.Removed {
-			delete(b.values, c.Key)
+			delete(f.values, c.Key)
 			continue
 		}
-		b.values[c.Key] = string(c.Value)
+		f.values[c.Key] = string(c.Value)
 	}
-	b.changed <- struct{}{}
+	f.changed <- struct{}{}
 }
 
-func (b *fixture) put(key, value string, lease uint64) error {
-	_, err := b.store.Commit(context.Background(), keyvalue.Transaction{
+func (f *fixture) put(key, value string, lease uint64) error {
+	_, err := f.store.Commit(context.Background(), keyvalue.Transaction{
 		Writes: []keyvalue.Write{
 			{Key: key, Value: []byte(value), Lease: lease},
 		},
@@ -88,16 +88,16 @@
 
 // waitForValue advances the clock until a key has the wanted value, or is absent if want
 // is empty, and reports whether it got there.
-func (b *fixture) waitForValue(key, want string) bool {
+func (f *fixture) waitForValue(key, want string) bool {
 	for range 2000 {
-		b.mu.Lock()
-		got := b.values[key]
-		b.mu.Unlock()
+		f.mu.Lock()
+		got := f.values[key]
+		f.mu.Unlock()
 		if got == want {
 			return true
 		}
-		if timer.Wait(timer.Real{}, time.Millisecond, b.changed) {
-			b.clock.Advance(10 * time.Millisecond)
+		if timer.Wait(timer.Real{}, time.Millisecond, f.changed) {
+			f.clock.Advance(10 * time.Millisecond)
 		}
 	}
 	return false
@@ -108,21 +108,21 @@
 // seconds ago.
 func TestListsAgainAfterCompaction(t *testing.T) {
 	is := is.New(t)
-	b := newFixture(t, 0)
-	is.NoErr(b.put("p/a", "1", 0))
-	is.True(b.waitForValue("p/a", "1"))
-	b.down.Store(true)
-	is.NoErr(b.passOutage())
-	b.down.Store(false)
-	is.NoErr(b.put("p/a", "2", 0))
-	b.store.Compact()
-	is.True(b.waitForValue("p/a", "2"))
+	f := newFixture(t, 0)
+	is.NoErr(f.put("p/a", "1", 0))
+	is.True(f.waitForValue("p/a", "1"))
+	f.down.Store(true)
+	is.NoErr(f.passOutage())
+	f.down.Store(false)
+	is.NoErr(f.put("p/a", "2", 0))
+	f.store.Compact()
+	is.True(f.waitForValue("p/a", "2"))
 }
 
 // passOutage advances the clock until the mirror has noticed an outage.
-func (b *fixture) passOutage() error {
+func (f *fixture) passOutage() error {
 	for range 300 {
-		b.clock.Advance(100 * time.Millisecond)
+		f.clock.Advance(100 * time.Millisecond)
 		timer.Wait(timer.Real{}, time.Millisecond, nil)
 	}
 	return nil
@@ -133,30 +133,30 @@
 // upstream at the end of the outage, so that callers are refused.
 func TestKeepsEntriesLapsedInOutage(t *testing.T) {
 	is := is.New(t)
-	b := newFixture(t, 2*time.Second)
-	lease, err := b.store.Grant(context.Background(), time.Hour)
+	f := newFixture(t, 2*time.Second)
+	lease, err := f.store.Grant(context.Background(), time.Hour)
 	is.NoErr(err)
-	is.NoErr(b.put("p/a", "1", lease))
-	is.True(b.waitForValue("p/a", "1"))
-	b.down.Store(true)
-	is.NoErr(b.passOutage())
-	b.down.Store(false)
-	b.store.ExpireLease(lease)
-	is.NoErr(b.put("p/b", "1", 0))
-	is.True(b.waitForValue("p/b", "1")) // the mirror follows again
-	b.mu.Lock()
-	kept := b.values["p/a"]
-	b.mu.Unlock()
+	is.NoErr(f.put("p/a", "1", lease))
+	is.True(f.waitForValue("p/a", "1"))
+	f.down.Store(true)
+	is.NoErr(f.passOutage())
+	f.down.Store(false)
+	f.store.ExpireLease(lease)
+	is.NoErr(f.put("p/b", "1", 0))
+	is.True(f.waitForValue("p/b", "1")) // the mirror follows again
+	f.mu.Lock()
+	kept := f.values["p/a"]
+	f.mu.Unlock()
 	is.Equal(kept, "1")
 	// OnRemovalDelayed is called after OnChange, so it may still be missing here.
 	var suspects []string
 	timer.Poll(timer.Real{}, time.Millisecond, 5*time.Second, nil, func() bool {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		suspects = b.suspects
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		suspects = f.suspects
 		return len(suspects) > 0
 	})
 	// The caller can ask the owner without waiting for RemovalDelay.
 	is.Equal(suspects, []string{"p/a"})
-	is.True(b.waitForValue("p/a", "")) // removed after RemovalDelay
+	is.True(f.waitForValue("p/a", "")) // removed after RemovalDelay
 }
--- a/internal/fleet/registry/doc.go
+++ b/internal/fleet/registry/doc.go
@@ -6,9 +6,9 @@
 //
 //	r := &registry.Registry{
 //		Store: store,
-//		Self:  self,
 //		Timer: clock,
 //	}
+//	r.SetSelf(self)
 //	t.Go(func() error { return r.Run(t) })
 //	for _, m := range r.Members() { ... }
 //
--- a/internal/fleet/timeofday/clock_test.go
+++ b/internal/fleet/timeofday/clock_test.go
@@ -30,17 +30,17 @@
 // Guards against a request that is counted in the wrong window because a clock jumped.
 func TestMedianIgnoresClocksThatJump(t *testing.T) {
 	is := is.New(t)
-	c, svc := newClock(4 * time.Second)
-	is.Equal(c.Now(), trueNow(svc).Add(4*time.Second)) // no other clock is known
-	c.AddSample("a", trueNow(svc).Add(4*time.Second))
-	c.AddSample("b", trueNow(svc))
-	c.AddSample("c", trueNow(svc))
-	c.AddSample("d", trueNow(svc))
-	is.Equal(c.Now(), trueNow(svc))
+	c, clock := newClock(4 * time.Second)
+	is.Equal(c.Now(), trueNow(clock).Add(4*time.Second)) // no other clock is known
+	c.AddSample("a", trueNow(clock).Add(4*time.Second))
+	c.AddSample("b", trueNow(clock))
+	c.AddSample("c", trueNow(clock))
+	c.AddSample("d", trueNow(clock))
+	is.Equal(c.Now(), trueNow(clock))
 	is.Equal(c.Estimate().Clocks, 5)
-	svc.Advance(sampleTTL / 2)
-	is.Equal(c.Now(), trueNow(svc)) // the estimate advances with the timer
-	svc.Advance(sampleTTL)
+	clock.Advance(sampleTTL / 2)
+	is.Equal(c.Now(), trueNow(clock)) // the estimate advances with the timer
+	clock.Advance(sampleTTL)
 	is.Equal(c.Estimate().Clocks, 1) // the samples have expired
 }
 
@@ -48,18 +48,18 @@
 // alone, though another one has an estimate from enough clocks.
 func TestAdoptNeedsEnoughClocks(t *testing.T) {
 	is := is.New(t)
-	c, svc := newClock(-4 * time.Second)
+	c, clock := newClock(-4 * time.Second)
 	estimate := Estimate{
-		UnixMicro: trueNow(svc).UnixMicro(),
+		UnixMicro: trueNow(clock).UnixMicro(),
 		Clocks:    minClocks - 1,
 	}
-	c.Adopt(estimate, svc.Now())
-	is.Equal(c.Now(), trueNow(svc).Add(-4*time.Second)) // too few clocks to adopt
+	c.Adopt(estimate, clock.Now())
+	is.Equal(c.Now(), trueNow(clock).Add(-4*time.Second)) // too few clocks to adopt
 	estimate.Clocks = minClocks
-	c.Adopt(estimate, svc.Now())
-	is.Equal(c.Now(), trueNow(svc))
-	svc.Advance(time.Minute)
-	is.Equal(c.Now(), trueNow(svc))
+	c.Adopt(estimate, clock.Now())
+	is.Equal(c.Now(), trueNow(clock))
+	clock.Advance(time.Minute)
+	is.Equal(c.Now(), trueNow(clock))
 }
 
 // Checks that the estimate is within 5 ms of the true time as long as most clocks are,
@@ -68,7 +68,7 @@
 	property.Check(t, func(t *rapid.T) {
 		good := rapid.IntRange(1, 20).Draw(t, "good")
 		wrong := rapid.IntRange(0, good-1).Draw(t, "wrong")
-		c, svc := newClock(0)
+		c, clock := newClock(0)
 		small := rapid.IntRange(-5, 5)
 		large := rapid.IntRange(-9000, 9000)
 		for i := range good + wrong {
@@ -76,9 +76,9 @@
 			if i >= good {
 				off = large.Draw(t, "jump")
 			}
-			c.AddSample(string(rune('a'+i)), trueNow(svc).Add(time.Duration(off)*time.Millisecond))
+			c.AddSample(string(rune('a'+i)), trueNow(clock).Add(time.Duration(off)*time.Millisecond))
 		}
-		if d := c.Now().Sub(trueNow(svc)).Abs(); d > 5*time.Millisecond {
+		if d := c.Now().Sub(trueNow(clock)).Abs(); d > 5*time.Millisecond {
 			t.Fatalf("off by %s with %d good and %d wrong clocks", d, good, wrong)
 		}
 	})
--- a/internal/fleet/watchrelay/relay_test.go
+++ b/internal/fleet/watchrelay/relay_test.go
@@ -40,28 +40,28 @@
 // Poll implements Peers.
 func (f *fleet) Poll(ctx context.Context, address string, q Query) (Reply, error) {
 	f.mu.Lock()
-	s, unreachable := f.relays[address], f.unreachable[address]
+	relay, unreachable := f.relays[address], f.unreachable[address]
 	f.polls++
 	f.mu.Unlock()
 	if unreachable {
 		return Reply{}, errors.New("no answer")
 	}
-	var r Reply
-	err := (&Server{relay: s}).Poll(&q, &r)
-	return r, errors.Join(err, ctx.Err())
+	var reply Reply
+	err := (&Server{relay: relay}).Poll(&q, &reply)
+	return reply, errors.Join(err, ctx.Err())
 }
 
 // List implements Peers.
 func (f *fleet) List(ctx context.Context, address, prefix string) (ListReply, error) {
 	f.mu.Lock()
-	s, unreachable := f.relays[address], f.unreachable[address]
+	relay, unreachable := f.relays[address], f.unreachable[address]
 	f.mu.Unlock()
 	if unreachable {
 		return ListReply{}, errors.New("no answer")
 	}
-	var w ListReply
-	err := (&Server{relay: s}).List(&prefix, &w)
-	return w, errors.Join(err, ctx.Err())
+	var reply ListReply
+	err := (&Server{relay: relay}).List(&prefix, &reply)
+	return reply, errors.Join(err, ctx.Err())
 }
 
 // newFleet returns a fleet of n instances, each with a loaded copy of prefix "p/".
@@ -79,7 +79,7 @@
 		})
 	}
 	for _, m := range members {
-		s := &Relay{
+		relay := &Relay{
 			TransactionalStore: store,
 			Registry: &view{
 				members: members,
@@ -89,8 +89,8 @@
 			Timer:     clock,
 			Connected: func() bool { return true },
 		}
-		s.AddCopy("p/").Apply(nil, 1)
-		f.relays[m.Name] = s
+		relay.AddCopy("p/").Apply(nil, 1)
+		f.relays[m.Name] = relay
 	}
 	return f, members
 }
@@ -212,11 +212,11 @@
 			{Item: keyvalue.Item{Key: "p/gone", Revision: rev}, Removed: true},
 		}, rev)
 	}
-	l, err := follower.Range(ctx, "p/", keyvalue.Fresh)
+	listing, err := follower.Range(ctx, "p/", keyvalue.Fresh)
 	is.NoErr(err)
-	is.Equal(len(l.Items), 1)
-	is.Equal(string(l.Items[0].Value), "v")
-	is.Equal(l.Revision, rev)
+	is.Equal(len(listing.Items), 1)
+	is.Equal(string(listing.Items[0].Value), "v")
+	is.Equal(listing.Revision, rev)
 	is.Equal(store.CallCount(memorystore.Range), 0)
 
 	// A follower that has read a newer revision than its watchers asks the service:
--- a/internal/fleet/weights/orderer_test.go
+++ b/internal/fleet/weights/orderer_test.go
@@ -54,12 +54,12 @@
 		orders:  3,
 		version: 4,
 	}
-	book := &catalog.Upstreams{
+	upstreams := &catalog.Upstreams{
 		Timer: clock,
 	}
-	book.Update([]catalog.Entry{{ID: "e", Service: "s", Address: "e", Slots: 8, Versions: map[string]uint64{"m": 4}}}, nil)
+	upstreams.Update([]catalog.Entry{{ID: "e", Service: "s", Address: "e", Slots: 8, Versions: map[string]uint64{"m": 4}}}, nil)
 	o := &Orderer{
-		Upstreams:   book,
+		Upstreams:   upstreams,
 		Engines:     engine,
 		Timer:       clock,
 		latest:      map[string]uint64{"m": 6},
--- a/internal/rollout/session/oracle_test.go
+++ b/internal/rollout/session/oracle_test.go
@@ -30,16 +30,16 @@
 		w.t.Fatalf("read %d: %v", w.cursor, err)
 	}
 	w.checkRedelivery(batch)
-	a := response{
+	r := response{
 		batch:  batch,
 		newest: w.newestVersion,
 	}
 	switch outcome {
 	case "lost":
 	case "late":
-		w.lateResponses = append(w.lateResponses, a)
+		w.lateResponses = append(w.lateResponses, r)
 	default:
-		w.acceptResponse(a)
+		w.acceptResponse(r)
 	}
 }
 
@@ -64,19 +64,19 @@
 		return
 	}
 	i := pick % len(w.lateResponses)
-	a := w.lateResponses[i]
+	r := w.lateResponses[i]
 	w.lateResponses = append(w.lateResponses[:i], w.lateResponses[i+1:]...)
 	// The trainer gave this read up and does not wait for its response any
 	// more, so it ignores it.
 	if w.disabled.acceptLateResponses {
-		w.acceptResponse(a)
+		w.acceptResponse(r)
 	}
 }
 
 // acceptResponse is the test oracle. It checks that no sample is delivered twice
 // and that none was too old when it was delivered.
-func (w *simulation) acceptResponse(a response) {
-	for _, e := range a.batch.Entries {
+func (w *simulation) acceptResponse(r response) {
+	for _, e := range r.batch.Entries {
 		if e.Withdrawn != nil {
 			continue
 		}
@@ -90,13 +90,13 @@
 		if w.received[got.Key] {
 			w.t.Fatalf("sample %v reached the trainer twice", got.Key)
 		}
-		if age := got.Oldest.Behind(a.newest); age > maxVersions {
+		if age := got.Oldest.Behind(r.newest); age > maxVersions {
 			w.t.Fatalf("sample %v was %d versions old at its delivery", got.Key, age)
 		}
 		w.received[got.Key] = true
 	}
-	w.cursor = a.batch.Cursor
+	w.cursor = r.batch.Cursor
 	if w.disabled.keepCursor {
-		w.cursor = a.batch.From
+		w.cursor = r.batch.From
 	}
 }
