--- a/internal/fleet/secret/stored_test.go
+++ b/internal/fleet/secret/stored_test.go
@@ -42,15 +42,15 @@
 // key-value service.
 func TestNoSecretWhileTheServiceIsAway(t *testing.T) {
 	is := is.New(t)
-	k := StoredSecret{
+	s := StoredSecret{
 		Store: &memorystore.Store{
 			Timer: &timer.Manual{},
 			Fault: func(memorystore.Operation) memorystore.Fault { return memorystore.Down },
 		},
 		Key: "k",
 	}
-	_, err := k.Get(context.Background())
+	_, err := s.Get(context.Background())
 	is.True(err != nil)
-	is.Equal(k.Value(), nil)
-	is.True(k.Set([]byte(`"c2hvcnQ="`)) != nil)
+	is.Equal(s.Value(), nil)
+	is.True(s.Set([]byte(`"c2hvcnQ="`)) != nil)
 }
--- a/internal/fleet/weights/assignment.go
+++ b/internal/fleet/weights/assignment.go
@@ -50,25 +50,25 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.Timer.Now()
-	if d, ok := o.assignments[service]; ok && d.complete == complete && now.Sub(d.computedAt) < assignmentTTL {
-		return d.modelOf
+	if cached, ok := o.assignments[service]; ok && cached.complete == complete && now.Sub(cached.computedAt) < assignmentTTL {
+		return cached.modelOf
 	}
 	models := cfg.Services[service].Engine.Models
 	if complete {
 		models = o.activeModels(models, now)
 	}
-	d := cachedAssignment{
+	cached := cachedAssignment{
 		computedAt: now,
 		complete:   complete,
 	}
 	if len(models) > 1 {
-		d.modelOf = o.assign(service, models)
+		cached.modelOf = o.assign(service, models)
 	}
 	if o.assignments == nil {
 		o.assignments = make(map[string]cachedAssignment)
 	}
-	o.assignments[service] = d
-	return d.modelOf
+	o.assignments[service] = cached
+	return cached.modelOf
 }
 
 // activeModels returns the models with a step requested within activeWindow. The caller
--- a/internal/rollout/demand/table_test.go
+++ b/internal/rollout/demand/table_test.go
@@ -30,10 +30,10 @@
 		Incarnation: 1,
 	}
 	table.State.Merge(there.Entry(0))
-	b := &demand.Table{
+	demands := &demand.Table{
 		State: table.State,
 	}
-	share := func() float64 { return b.Share("plan", "saddle", 3, table.View()) }
+	share := func() float64 { return demands.Share("plan", "saddle", 3, table.View()) }
 	is.Equal(share(), 1.0) // alone
 	other := demand.Demand{
 		Trainer:    "bag",
@@ -43,15 +43,15 @@
 		Weight:     1,
 		Busy:       true,
 	}
-	b.Publish(other)
+	demands.Publish(other)
 	is.Equal(share(), 0.75)
 	other.Busy = false
-	b.Publish(other)
+	demands.Publish(other)
 	is.Equal(share(), 1.0)
 	other.Session, other.Busy = 2, true
-	b.Publish(other)
+	demands.Publish(other)
 	other.Session, other.Busy = 1, false
-	b.Publish(other) // late update of the old session
+	demands.Publish(other) // late update of the old session
 	is.Equal(share(), 0.75)
 	table.State.Merge(there.WithStatus(member.Dead).Entry(1 << 40))
 	is.Equal(share(), 1.0)
--- a/internal/rollout/session/work.go
+++ b/internal/rollout/session/work.go
@@ -238,14 +238,14 @@
 }
 
 // UndoNext undoes a Next whose attempt was not admitted.
-func (s *Session) UndoNext(w Attempt) {
+func (s *Session) UndoNext(work Attempt) {
 	s.runningAttempts--
-	it, ok := s.findItem(w.Key)
+	it, ok := s.findItem(work.Key)
 	if !ok || it.state != running {
 		return
 	}
 	it.attempts--
-	if w.Second {
+	if work.Second {
 		it.step.status.SecondAttempts--
 		return
 	}
