--- a/internal/batch/coordinator/adopt_test.go
+++ b/internal/batch/coordinator/adopt_test.go
@@ -30,7 +30,7 @@
 // trainer retries at another instance, which finds the batch accepted.
 func TestUnawareOwnerIsToldToAdoptItsBatch(t *testing.T) {
 	is := is.New(t)
-	d, store := newCoordinator(t, nil)
+	c, store := newCoordinator(t, nil)
 	owner := &ledger.Ledger{
 		Store: store,
 		Self: ledger.Owner{
@@ -47,20 +47,20 @@
 	peers := unawarePeers{
 		adopted: make(chan string, 1),
 	}
-	d.Peers = peers
-	is.NoErr(d.Accept(context.Background(), sub, catalog.Route{}))
+	c.Peers = peers
+	is.NoErr(c.Accept(context.Background(), sub, catalog.Route{}))
 	is.Equal(<-peers.adopted, "other:1 b")
 }
 
 // The batch has ended in the meantime: no instance is asked to adopt it.
 func TestEndedBatchIsNotAdopted(t *testing.T) {
 	is := is.New(t)
-	d, _ := newCoordinator(t, nil)
+	c, _ := newCoordinator(t, nil)
 	peers := unawarePeers{
 		adopted: make(chan string, 1),
 	}
-	d.Peers = peers
-	d.ensureOwnerRuns("gone")
+	c.Peers = peers
+	c.ensureOwnerRuns("gone")
 	is.Equal(len(peers.adopted), 0)
 }
 
@@ -69,16 +69,16 @@
 // not begin it and may report "not run".
 func TestHomeDoesNotReportPreparedBatchAsNotRun(t *testing.T) {
 	is := is.New(t)
-	d, _ := newCoordinator(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
+	c, _ := newCoordinator(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
 	sub := &submission.Submission{
 		ID:    "b",
 		Model: "m",
 	}
-	self := d.Registry.Self()
+	self := c.Registry.Self()
 	self.Cores = 1
-	d.Registry.SetSelf(self)
-	is.True(d.isHome(sub))
-	err := d.Accept(context.Background(), sub, catalog.Route{})
+	c.Registry.SetSelf(self)
+	is.True(c.isHome(sub))
+	err := c.Accept(context.Background(), sub, catalog.Route{})
 	is.Equal(problem.From(err).Kind.Outcome, problem.Unknown)
 
 	// The home keeps trying to store the step, so a separate coordinator serves as the other
--- a/internal/batch/coordinator/cache.go
+++ b/internal/batch/coordinator/cache.go
@@ -19,12 +19,12 @@
 }
 
 // get returns the record of a batch, or nil if it is not cached.
-func (s *recordCache) get(id string) *ledger.Record {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for i := range s.ids {
-		if s.ids[i] == id {
-			return s.recs[i]
+func (c *recordCache) get(id string) *ledger.Record {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for i := range c.ids {
+		if c.ids[i] == id {
+			return c.recs[i]
 		}
 	}
 	return nil
@@ -32,9 +32,9 @@
 
 // add caches a batch that is ended or all of whose results are listed, in place of the
 // oldest one.
-func (s *recordCache) add(id string, rec *ledger.Record) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.ids[s.next], s.recs[s.next] = id, rec
-	s.next = (s.next + 1) % recordCacheSize
+func (c *recordCache) add(id string, rec *ledger.Record) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.ids[c.next], c.recs[c.next] = id, rec
+	c.next = (c.next + 1) % recordCacheSize
 }
--- a/internal/batch/coordinator/cleanup_test.go
+++ b/internal/batch/coordinator/cleanup_test.go
@@ -16,25 +16,25 @@
 func TestEndedBatchesAreRemovedAfterRetention(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	d, store := newCoordinator(t, nil)
+	c, store := newCoordinator(t, nil)
 	for _, id := range []string{"old", "open"} {
-		claim, err := d.Ledger.Accept(ctx, &submission.Submission{ID: id})
+		claim, err := c.Ledger.Accept(ctx, &submission.Submission{ID: id})
 		is.NoErr(err)
-		_, err = d.Ledger.Append(ctx, claim, []submission.Result{{Item: "x"}}, []submission.Progress{{Item: "y"}})
+		_, err = c.Ledger.Append(ctx, claim, []submission.Result{{Item: "x"}}, []submission.Progress{{Item: "y"}})
 		is.NoErr(err)
 	}
 	now := time.Now()
-	is.NoErr(d.Ledger.End(ctx, "old", now))
+	is.NoErr(c.Ledger.End(ctx, "old", now))
 	before, err := store.Range(ctx, "", keyvalue.Fresh)
 	is.NoErr(err)
-	d.cleanUp(ctx, now.Add(endedRetention-time.Second))
+	c.cleanUp(ctx, now.Add(endedRetention-time.Second))
 	still, err := store.Range(ctx, "", keyvalue.Fresh)
 	is.NoErr(err)
 	is.Equal(len(still.Items), len(before.Items))
-	d.cleanUp(ctx, now.Add(endedRetention+time.Second))
+	c.cleanUp(ctx, now.Add(endedRetention+time.Second))
 	after, err := store.Range(ctx, "", keyvalue.Fresh)
 	is.NoErr(err)
 	is.Equal(len(before.Items)-len(after.Items), 5) // its part, chunk, progress and two end keys
-	_, err = d.Ledger.Load(ctx, "open")
+	_, err = c.Ledger.Load(ctx, "open")
 	is.NoErr(err)
 }
--- a/internal/batch/coordinator/coordinator_test.go
+++ b/internal/batch/coordinator/coordinator_test.go
@@ -84,8 +84,8 @@
 // it and does not answer, and then the key-value service is unavailable.
 func TestUnknownOutcomeAtHomeIsNotReportedAsNotRun(t *testing.T) {
 	is := is.New(t)
-	d, _ := newCoordinator(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
-	err := d.outcomeAfterHome(d.Accept(context.Background(), &submission.Submission{ID: "b"}, catalog.Route{}))
+	c, _ := newCoordinator(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
+	err := c.outcomeAfterHome(c.Accept(context.Background(), &submission.Submission{ID: "b"}, catalog.Route{}))
 	is.True(err != nil)
 	is.Equal(problem.From(err).Kind.Outcome, problem.Unknown)
 }
@@ -94,8 +94,8 @@
 // that was read shows that there is no such batch.
 func TestNotFoundOnlyIfLedgerWasRead(t *testing.T) {
 	is := is.New(t)
-	d, _ := newCoordinator(t, nil)
-	_, err := d.Read(context.Background(), "nothing", 0, 0)
+	c, _ := newCoordinator(t, nil)
+	_, err := c.Read(context.Background(), "nothing", 0, 0)
 	is.True(problem.Is(err, problem.NotFound))
 	unavailable, _ := newCoordinator(t, func(memorystore.Operation) memorystore.Fault { return memorystore.Down })
 	_, err = unavailable.Read(context.Background(), "nothing", 0, 0)
@@ -107,7 +107,7 @@
 func TestBatchOfSilentOwnerIsReadFromLedger(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	d, store := newCoordinator(t, nil)
+	c, store := newCoordinator(t, nil)
 	owner := &ledger.Ledger{
 		Store: store,
 		Self:  ledger.Owner{Instance: "other", Incarnation: "1"},
@@ -120,17 +120,17 @@
 	is.NoErr(err)
 	_, err = owner.Append(ctx, claim, []submission.Result{{Item: "x", State: submission.Completed}}, nil)
 	is.NoErr(err)
-	page, err := d.Read(ctx, "b", 0, 0)
+	page, err := c.Read(ctx, "b", 0, 0)
 	is.NoErr(err)
 	is.Equal(page.Total, 2)
 	is.Equal(len(page.Results), 1)
-	body, err := d.Body(ctx, "b", "y")
+	body, err := c.Body(ctx, "b", "y")
 	is.NoErr(err)
 	is.Equal(string(body), "by")
-	_, err = d.Body(ctx, "b", "x") // its result is listed
+	_, err = c.Body(ctx, "b", "x") // its result is listed
 	is.True(problem.Is(err, problem.NotFound))
-	is.NoErr(d.End(ctx, "b"))
-	is.NoErr(d.End(ctx, "b")) // idempotent
+	is.NoErr(c.End(ctx, "b"))
+	is.NoErr(c.End(ctx, "b")) // idempotent
 	_, err = owner.Append(ctx, claim, []submission.Result{{Item: "y"}}, nil)
 	is.True(errors.Is(err, ledger.ErrFenced))
 }
@@ -174,11 +174,11 @@
 func TestLiveOwnerKeepsItsBatch(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	d, store := newCoordinator(t, nil)
+	c, store := newCoordinator(t, nil)
 	peers := livePeers{
 		asked: make(chan struct{}, 1),
 	}
-	d.Peers = peers
+	c.Peers = peers
 	owner := &ledger.Ledger{
 		Store: store,
 		Self:  ledger.Owner{Instance: "other", Incarnation: "1", Address: "other"},
@@ -187,11 +187,11 @@
 	claim, err := owner.Accept(ctx, &submission.Submission{ID: "b", Items: []submission.Item{{ID: "x", Path: "/x"}}})
 	is.NoErr(err)
 	began := time.Now()
-	is.True(!d.ownerAlive(claim)) // it never appears in the registry
+	is.True(!c.ownerAlive(claim)) // it never appears in the registry
 	is.True(time.Since(began) >= ownerProbePause)
 
 	var tb tomb.Tomb
-	tb.Go(func() error { return d.Registry.Run(&tb) })
+	tb.Go(func() error { return c.Registry.Run(&tb) })
 	defer func() { tb.Kill(nil); _ = tb.Wait() }()
 	go func() {
 		<-peers.asked
@@ -207,10 +207,10 @@
 			panic(err)
 		}
 	}()
-	d.Registry.AwaitView(&tb, time.Second)
-	is.True(d.ownerAlive(claim))
-	d.Peers = silentPeers{}
-	is.True(!d.ownerAlive(claim)) // a dead owner is not waited for
+	c.Registry.AwaitView(&tb, time.Second)
+	is.True(c.ownerAlive(claim))
+	c.Peers = silentPeers{}
+	is.True(!c.ownerAlive(claim)) // a dead owner is not waited for
 }
 
 // eventually reports whether a condition holds within 5 s.
@@ -226,7 +226,7 @@
 	is := is.New(t)
 	ctx := context.Background()
 	var down atomic.Bool
-	d, store := newCoordinator(t, func(memorystore.Operation) memorystore.Fault {
+	c, store := newCoordinator(t, func(memorystore.Operation) memorystore.Fault {
 		if down.Load() {
 			return memorystore.Down
 		}
@@ -243,11 +243,11 @@
 	})
 	is.NoErr(err)
 	var tb tomb.Tomb
-	tb.Go(func() error { return d.Registry.Run(&tb) })
+	tb.Go(func() error { return c.Registry.Run(&tb) })
 	defer func() { tb.Kill(nil); _ = tb.Wait() }()
 	claim := ledger.Claim{Batch: "b", Owner: ledger.Owner{Instance: "other", Incarnation: "1"}}
-	is.True(eventually(func() bool { return d.Registry.Present("other") }))
-	is.True(!d.shouldTakeOver(claim))
+	is.True(eventually(func() bool { return c.Registry.Present("other") }))
+	is.True(!c.shouldTakeOver(claim))
 	cut, err := store.Grant(ctx, time.Hour)
 	is.NoErr(err)
 	_, err = store.Commit(ctx, keyvalue.Transaction{
@@ -261,8 +261,8 @@
 	timer.Wait(timer.Real{}, 2*time.Second, nil) // longer than an entry may be overdue
 	store.ExpireLease(lease)
 	down.Store(false)
-	is.True(eventually(func() bool { return d.shouldTakeOver(claim) }))
-	is.True(d.Registry.Present("other")) // still in the view
+	is.True(eventually(func() bool { return c.shouldTakeOver(claim) }))
+	is.True(c.Registry.Present("other")) // still in the view
 }
 
 // Guards against a take-over that fails and is retried only with the next regular sweep,
@@ -273,34 +273,34 @@
 	is := is.New(t)
 	ctx := context.Background()
 	var failing atomic.Bool
-	d, _ := newCoordinator(t, func(c memorystore.Operation) memorystore.Fault {
-		if c == memorystore.Range && failing.CompareAndSwap(true, false) {
+	c, _ := newCoordinator(t, func(operation memorystore.Operation) memorystore.Fault {
+		if operation == memorystore.Range && failing.CompareAndSwap(true, false) {
 			return memorystore.Down
 		}
 		return memorystore.None
 	})
-	claim, err := d.Ledger.Accept(ctx, &submission.Submission{
+	claim, err := c.Ledger.Accept(ctx, &submission.Submission{
 		ID:          "b",
 		SubmittedMS: time.Now().UnixMilli(),
 		Items:       []submission.Item{{ID: "x", Path: "/x"}},
 	})
 	is.NoErr(err)
-	is.Equal(claim.Owner, d.Ledger.Self)
+	is.Equal(claim.Owner, c.Ledger.Self)
 	var tb tomb.Tomb
 	gone := make(chan struct{}, 1)
-	tb.Go(func() error { return d.Registry.Run(&tb) })
-	tb.Go(func() error { return d.Run(&tb, gone) })
+	tb.Go(func() error { return c.Registry.Run(&tb) })
+	tb.Go(func() error { return c.Run(&tb, gone) })
 	defer func() { tb.Kill(nil); _ = tb.Wait() }()
-	d.Registry.AwaitView(&tb, time.Second)
+	c.Registry.AwaitView(&tb, time.Second)
 	gone <- struct{}{}
 	timer.Wait(timer.Real{}, 2*goneDebounce, nil)
-	is.True(!d.Runner.Has("b")) // there is no configuration yet
+	is.True(!c.Runner.Has("b")) // there is no configuration yet
 	failing.Store(true)         // fails the listing or the load of the batch
 	began := time.Now()
 	cfg := catalog.Configuration{Version: 1}.WithIndex()
-	d.Config.Update(cfg)
-	d.Runner.Configuration.Update(cfg)
-	is.True(eventually(func() bool { return d.Runner.Has("b") }))
+	c.Config.Update(cfg)
+	c.Runner.Configuration.Update(cfg)
+	is.True(eventually(func() bool { return c.Runner.Has("b") }))
 	is.True(time.Since(began) < sweepInterval/2)
 }
 
--- a/internal/batch/coordinator/doc.go
+++ b/internal/batch/coordinator/doc.go
@@ -1,9 +1,9 @@
 // Package coordinator serves calls about batches at any instance and takes over the
 // batches of lost instances.
 //
-//	err := d.Submit(ctx, sub, route)
-//	page, err := d.Read(ctx, id, after, wait)
-//	err = d.End(ctx, id)
+//	err := c.Submit(ctx, sub, route)
+//	page, err := c.Read(ctx, id, after, wait)
+//	err = c.End(ctx, id)
 //
 // Coordinator is the main type. Each model has a home, the eligible instance that ranks
 // first for it by rendezvous hashing. All batches of the model are accepted and run
--- a/internal/batch/coordinator/end_test.go
+++ b/internal/batch/coordinator/end_test.go
@@ -39,7 +39,7 @@
 func TestNewOwnerIsToldOfTheEnd(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	d, store := newCoordinator(t, nil)
+	c, store := newCoordinator(t, nil)
 	other := &ledger.Ledger{
 		Store: store,
 		Self: ledger.Owner{
@@ -55,8 +55,8 @@
 		asked: &atomic.Int32{},
 		ended: make(chan struct{}, 1),
 	}
-	d.Peers = peers
-	is.NoErr(d.End(ctx, "b"))
+	c.Peers = peers
+	is.NoErr(c.End(ctx, "b"))
 	<-peers.ended
 }
 
@@ -64,15 +64,15 @@
 func TestEndedBatchIsNotTakenOver(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	d, _ := newCoordinator(t, nil)
-	claim, err := d.Ledger.Accept(ctx, &submission.Submission{
+	c, _ := newCoordinator(t, nil)
+	claim, err := c.Ledger.Accept(ctx, &submission.Submission{
 		ID: "b",
 	})
 	is.NoErr(err)
-	is.NoErr(d.Ledger.End(ctx, "b", time.Now()))
-	d.Runner.Configuration.Update(catalog.Configuration{
+	is.NoErr(c.Ledger.End(ctx, "b", time.Now()))
+	c.Runner.Configuration.Update(catalog.Configuration{
 		Version: 1,
 	}.WithIndex())
-	is.True(errors.Is(d.Runner.Adopt(ctx, claim), ledger.ErrFenced))
-	is.Equal(d.Runner.Has("b"), false)
+	is.True(errors.Is(c.Runner.Adopt(ctx, claim), ledger.ErrFenced))
+	is.Equal(c.Runner.Has("b"), false)
 }
--- a/internal/batch/coordinator/prepare_test.go
+++ b/internal/batch/coordinator/prepare_test.go
@@ -33,26 +33,26 @@
 	is := is.New(t)
 	var down atomic.Bool
 	down.Store(true)
-	d, _ := newCoordinator(t, func(memorystore.Operation) memorystore.Fault {
+	c, _ := newCoordinator(t, func(memorystore.Operation) memorystore.Fault {
 		if down.Load() {
 			return memorystore.Down
 		}
 		return memorystore.None
 	})
-	self := d.Registry.Self()
+	self := c.Registry.Self()
 	self.Cores = 1
-	d.Registry.SetSelf(self)
+	c.Registry.SetSelf(self)
 	sub := newStep("b")
 	began := time.Now()
-	err := d.Accept(context.Background(), sub, catalog.Route{})
+	err := c.Accept(context.Background(), sub, catalog.Route{})
 	is.True(errors.Is(err, ErrPrepared))
 	is.Equal(problem.From(err).Kind.Outcome, problem.Unknown)
 	is.True(time.Since(began) < homeTimeout) // the instance that forwarded it still waits
-	is.True(d.Runner.RunsUnstored("b"))
+	is.True(c.Runner.RunsUnstored("b"))
 	down.Store(false)
-	is.True(eventually(func() bool { return d.Runner.Has("b") }))
-	d.Runner.Configuration.Update(catalog.Configuration{Version: 1}.WithIndex())
-	is.NoErr(d.Accept(context.Background(), sub, catalog.Route{})) // the trainer retries
+	is.True(eventually(func() bool { return c.Runner.Has("b") }))
+	c.Runner.Configuration.Update(catalog.Configuration{Version: 1}.WithIndex())
+	is.NoErr(c.Accept(context.Background(), sub, catalog.Route{})) // the trainer retries
 }
 
 // preparedHome is a home that has begun a batch and can't store it.
@@ -70,31 +70,31 @@
 // Guards against an instance that accepts a step at once although its home has begun it.
 func TestHomeIsAskedTwiceBeforeBatchIsAcceptedElsewhere(t *testing.T) {
 	is := is.New(t)
-	d, _ := newCoordinator(t, nil)
+	c, _ := newCoordinator(t, nil)
 	var asked atomic.Int32
-	d.Peers = preparedHome{
+	c.Peers = preparedHome{
 		asked: &asked,
 	}
-	self := d.Registry.Self()
+	self := c.Registry.Self()
 	self.Cores = 0.1
-	d.Registry.SetSelf(self)
+	c.Registry.SetSelf(self)
 	var tb tomb.Tomb
 	home := &registry.Registry{
-		Store: d.Ledger.Store,
-		Timer: d.Timer,
+		Store: c.Ledger.Store,
+		Timer: c.Timer,
 	}
 	home.SetSelf(registry.Member{Name: "home", Incarnation: "1", Cores: 1, PeerAddress: "home:1"})
 	tb.Go(func() error { return home.Run(&tb) })
 	defer func() { tb.Kill(nil); _ = tb.Wait() }()
 	view := &registry.Registry{
-		Store: d.Ledger.Store,
-		Timer: d.Timer,
+		Store: c.Ledger.Store,
+		Timer: c.Timer,
 	}
 	view.SetSelf(self)
-	d.Registry = view
+	c.Registry = view
 	tb.Go(func() error { return view.Run(&tb) })
 	is.True(eventually(func() bool { return view.Present("home") && view.LeaseHeld() }))
-	is.NoErr(d.Submit(context.Background(), newStep("b"), catalog.Route{}))
+	is.NoErr(c.Submit(context.Background(), newStep("b"), catalog.Route{}))
 	is.Equal(asked.Load(), int32(2)) // asked twice before the batch is accepted here
-	is.True(d.Runner.Has("b"))
+	is.True(c.Runner.Has("b"))
 }
--- a/internal/batch/coordinator/takeover.go
+++ b/internal/batch/coordinator/takeover.go
@@ -50,24 +50,24 @@
 	// A random first delay spreads the sweeps of instances that start together.
 	next := d.Timer.Once(time.Duration(rand.Int64N(int64(sweepInterval))))
 	defer func() { next.Close() }()
-	freshness := keyvalue.Stale
+	consistency := keyvalue.Stale
 	for {
 		select {
 		case <-next.C:
 		case <-d.takeOverFailed.C():
-			freshness = keyvalue.Fresh
+			consistency = keyvalue.Fresh
 			timer.Wait(d.Timer, sweepRetryPause, t.Dying())
 		case <-gone:
-			freshness = keyvalue.Fresh
+			consistency = keyvalue.Fresh
 			timer.Wait(d.Timer, goneDebounce, t.Dying())
 		case <-t.Dying():
 			return nil
 		}
 		interval := sweepInterval
-		if err := d.sweep(ctx, freshness); err != nil && freshness == keyvalue.Fresh {
+		if err := d.sweep(ctx, consistency); err != nil && consistency == keyvalue.Fresh {
 			interval = sweepRetryPause
 		} else {
-			freshness = keyvalue.Stale
+			consistency = keyvalue.Stale
 		}
 		next.Close()
 		next = d.Timer.Once(interval)
@@ -80,7 +80,7 @@
 
 // sweep takes over the batches without a live owner whose successor is this instance.
 // After RecheckClaims it first drops the batches that this instance no longer owns.
-func (d *Coordinator) sweep(ctx context.Context, freshness keyvalue.Consistency) error {
+func (d *Coordinator) sweep(ctx context.Context, consistency keyvalue.Consistency) error {
 	if !d.Registry.Synced() || d.Leaving() || !d.Registry.Eligible() && len(d.Runner.Claims()) == 0 {
 		// Only eligible instances are successors; the sweep of any other would find
 		// nothing to take over.
@@ -91,10 +91,10 @@
 	}
 	uncertain := d.claimsUncertain.Load()
 	if uncertain {
-		freshness = keyvalue.Fresh
+		consistency = keyvalue.Fresh
 	}
 	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
-	claims, err := d.Ledger.OpenBatches(ctx, freshness)
+	claims, err := d.Ledger.OpenBatches(ctx, consistency)
 	cancel()
 	if err != nil {
 		d.Journal.Debug("open batches not listed", log.Fields{
--- a/internal/batch/coordinator/takeover_test.go
+++ b/internal/batch/coordinator/takeover_test.go
@@ -18,12 +18,12 @@
 func TestOnlyBatchesOfLostOwnerAreTakenOver(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	d, store := newCoordinator(t, nil)
+	c, store := newCoordinator(t, nil)
 	cfg := catalog.Configuration{
 		Version: 1,
 	}
-	d.Config.Update(cfg.WithIndex())
-	d.Runner.Configuration.Update(cfg.WithIndex())
+	c.Config.Update(cfg.WithIndex())
+	c.Runner.Configuration.Update(cfg.WithIndex())
 	lost := ledger.Owner{Instance: "other", Incarnation: "1", Address: "other"}
 	owner := &ledger.Ledger{
 		Store: store,
@@ -43,15 +43,15 @@
 	})
 	is.NoErr(err)
 	is.True(written > 0)
-	d.acquireFrom(lost, "b")
-	is.Equal(d.Runner.Has("b"), false) // the key of its owner exists
+	c.acquireFrom(lost, "b")
+	is.Equal(c.Runner.Has("b"), false) // the key of its owner exists
 	_, err = store.Commit(ctx, keyvalue.Transaction{
 		Removes: []string{registry.InstanceKey("other")},
 	})
 	is.NoErr(err)
-	d.acquireFrom(ledger.Owner{Instance: "third"}, "b")
-	is.Equal(d.Runner.Has("b"), false) // it has another owner
-	d.acquireFrom(lost, "gone")
-	d.AcquireFrom(lost, []string{"b"})
-	is.True(eventually(func() bool { return d.Runner.Has("b") }))
+	c.acquireFrom(ledger.Owner{Instance: "third"}, "b")
+	is.Equal(c.Runner.Has("b"), false) // it has another owner
+	c.acquireFrom(lost, "gone")
+	c.AcquireFrom(lost, []string{"b"})
+	is.True(eventually(func() bool { return c.Runner.Has("b") }))
 }
--- a/internal/batch/ledger/ledger.go
+++ b/internal/batch/ledger/ledger.go
@@ -260,8 +260,8 @@
 }
 
 // OpenBatches lists the open batches.
-func (l *Ledger) OpenBatches(ctx context.Context, f keyvalue.Consistency) ([]Claim, error) {
-	listing, err := l.Store.Range(ctx, openPrefix, f)
+func (l *Ledger) OpenBatches(ctx context.Context, consistency keyvalue.Consistency) ([]Claim, error) {
+	listing, err := l.Store.Range(ctx, openPrefix, consistency)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/batch/ledger/property_test.go
+++ b/internal/batch/ledger/property_test.go
@@ -22,9 +22,9 @@
 type unconditionalStore struct{ *memorystore.Store }
 
 // Commit implements keyvalue.TransactionalStore.
-func (c unconditionalStore) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
+func (s unconditionalStore) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
 	tx.Expects = nil
-	return c.Store.Commit(ctx, tx)
+	return s.Store.Commit(ctx, tx)
 }
 
 // process is one process with its ledger and its view of the batch.
@@ -37,13 +37,13 @@
 }
 
 // becomeOwner loads what the ledger has of a claimed batch.
-func (o *process) becomeOwner(t *rapid.T, c ledger.Claim) {
-	rec, err := o.ledger.Load(context.Background(), c.Batch)
+func (p *process) becomeOwner(t *rapid.T, c ledger.Claim) {
+	rec, err := p.ledger.Load(context.Background(), c.Batch)
 	if err != nil {
 		t.Fatalf("a claimed batch can't be loaded: %v", err)
 	}
 	c.Chunks = rec.Chunks
-	o.claim, o.listed, o.unconfirmed = &c, rec.Results, nil
+	p.claim, p.listed, p.unconfirmed = &c, rec.Results, nil
 }
 
 // runHistory lets three processes accept, take over, append to and end one batch while
--- a/internal/batch/runner/backoff.go
+++ b/internal/batch/runner/backoff.go
@@ -29,20 +29,20 @@
 
 // engineLost records that an engine's response broke off before any event of the
 // item.
-func (s *backoff) engineLost(now timer.Instant) {
-	s.losses++
-	if s.losses <= toleratedLosses {
+func (b *backoff) engineLost(now timer.Instant) {
+	b.losses++
+	if b.losses <= toleratedLosses {
 		return
 	}
-	wait := initialBackoff << min(s.losses-toleratedLosses-1, 10)
-	s.until = now.Add(min(wait, maxBackoff))
+	wait := initialBackoff << min(b.losses-toleratedLosses-1, 10)
+	b.until = now.Add(min(wait, maxBackoff))
 }
 
 // reset ends the delay after an event of the item.
-func (s *backoff) reset() { *s = backoff{} }
+func (b *backoff) reset() { *b = backoff{} }
 
 // ready reports whether the item may start.
-func (s *backoff) ready(now timer.Instant) bool { return now >= s.until }
+func (b *backoff) ready(now timer.Instant) bool { return now >= b.until }
 
 // nextReady returns the index in the queue of the item that starts next, or -1 if
 // there is none. The caller holds b.mu.
--- a/internal/batch/runner/backoff_test.go
+++ b/internal/batch/runner/backoff_test.go
@@ -19,8 +19,8 @@
 func TestItemThatCrashesEnginesIsDelayed(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int32
-	b := newTestBench(t, func(_ context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error {
-		if g.Item.ID == "bad" {
+	b := newTestBench(t, func(_ context.Context, u *catalog.Upstream, attempt Attempt, emit func(Event) error) error {
+		if attempt.Item.ID == "bad" {
 			runs.Add(1)
 			return engine.ErrConnectionLost
 		}
@@ -38,11 +38,11 @@
 // other, although it made progress at each.
 func TestItemWithProgressIsNotDelayed(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
-		if g.After == 9 {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, attempt Attempt, emit func(Event) error) error {
+		if attempt.After == 9 {
 			return emitEvents(9, 10, 5, emit)
 		}
-		if err := emitEvents(g.After, g.After+1, 5, emit); err != nil {
+		if err := emitEvents(attempt.After, attempt.After+1, 5, emit); err != nil {
 			return err
 		}
 		return engine.ErrIncompleteResponse
--- a/internal/batch/runner/changes_test.go
+++ b/internal/batch/runner/changes_test.go
@@ -30,11 +30,11 @@
 	is := is.New(t)
 	var mu sync.Mutex
 	after := map[string]int{}
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, attempt Attempt, emit func(Event) error) error {
 		mu.Lock()
-		after[g.Item.ID] = g.After
+		after[attempt.Item.ID] = attempt.After
 		mu.Unlock()
-		return emitEvents(g.After, 6, 5, emit)
+		return emitEvents(attempt.After, 6, 5, emit)
 	})
 	other := &ledger.Ledger{
 		Store: b.store,
@@ -119,8 +119,8 @@
 func TestChangesContainOnlyNewPieces(t *testing.T) {
 	is := is.New(t)
 	proceed := make(chan struct{})
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
-		if err := emitEvents(0, 3, 5, emit); err != nil || g.Item.ID == "x" {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, attempt Attempt, emit func(Event) error) error {
+		if err := emitEvents(0, 3, 5, emit); err != nil || attempt.Item.ID == "x" {
 			return err
 		}
 		<-proceed
--- a/internal/batch/runner/dispatch.go
+++ b/internal/batch/runner/dispatch.go
@@ -77,7 +77,7 @@
 	t.reserved = need.Memory
 	u.Reserve(t.reserved)
 	u.Begin()
-	g := Attempt{
+	attempt := Attempt{
 		Batch:         b.sub,
 		Item:          t.item,
 		Route:         b.route,
@@ -89,7 +89,7 @@
 	}
 	go func() {
 		defer cancel()
-		err := r.Generator.Generate(ctx, u, g, func(e Event) error { return r.handleEvent(b, t, e) })
+		err := r.Generator.Generate(ctx, u, attempt, func(e Event) error { return r.handleEvent(b, t, e) })
 		r.attemptEnded(b, t, u, err)
 	}()
 }
--- a/internal/batch/runner/move_test.go
+++ b/internal/batch/runner/move_test.go
@@ -19,11 +19,11 @@
 	is := is.New(t)
 	const length = 100
 	var b *testBench
-	b = newTestBench(t, func(ctx context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error {
+	b = newTestBench(t, func(ctx context.Context, u *catalog.Upstream, attempt Attempt, emit func(Event) error) error {
 		if u.ID != "old" {
-			return emitEvents(g.After, length, 5, emit)
+			return emitEvents(attempt.After, length, 5, emit)
 		}
-		for n := g.After + 1; n <= length; n++ {
+		for n := attempt.After + 1; n <= length; n++ {
 			if !timer.Wait(b.clock, 65*time.Millisecond, ctx.Done()) {
 				return ctx.Err()
 			}
@@ -92,12 +92,12 @@
 // each further item would stall there for a third of a second.
 func TestUnresponsiveEngineGetsNoMoreItems(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(ctx context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error {
+	b := newTestBench(t, func(ctx context.Context, u *catalog.Upstream, attempt Attempt, emit func(Event) error) error {
 		if u.ID == "one" {
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		return emitEvents(g.After, 4, 5, emit)
+		return emitEvents(attempt.After, 4, 5, emit)
 	})
 	is.NoErr(b.submit("x", "y", "z"))
 	is.Equal(len(b.waitForResults(3)), 3)
--- a/internal/batch/runner/prepare_property_test.go
+++ b/internal/batch/runner/prepare_property_test.go
@@ -28,8 +28,8 @@
 	property.CheckN(t, historyCount, func(rt *rapid.T) {
 		is := is.New(t)
 		ctx := context.Background()
-		b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
-			return emitEvents(g.After, 3, 5, emit)
+		b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, attempt Attempt, emit func(Event) error) error {
+			return emitEvents(attempt.After, 3, 5, emit)
 		})
 		var fault atomic.Int32
 		b.store.Fault = func(memorystore.Operation) memorystore.Fault { return memorystore.Fault(fault.Load()) }
--- a/internal/batch/runner/prepare_test.go
+++ b/internal/batch/runner/prepare_test.go
@@ -109,9 +109,9 @@
 }
 
 // Range implements keyvalue.TransactionalStore.
-func (s *endingStore) Range(ctx context.Context, prefix string, f keyvalue.Consistency) (keyvalue.Listing, error) {
+func (s *endingStore) Range(ctx context.Context, prefix string, consistency keyvalue.Consistency) (keyvalue.Listing, error) {
 	s.endBatch()
-	return s.Store.Range(ctx, prefix, f)
+	return s.Store.Range(ctx, prefix, consistency)
 }
 
 // A trainer's submission arrives again just as its batch ends. If the trainer
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -43,7 +43,7 @@
 // in order, and returns an error to end the attempt. A nil error means that the
 // engine has completed the text. Other errors are those of package engine.
 type Generator interface {
-	Generate(ctx context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error
+	Generate(ctx context.Context, u *catalog.Upstream, attempt Attempt, emit func(Event) error) error
 }
 
 // Scorer scores a finished text and returns the signature of its score, or
--- a/internal/batch/runner/runner_test.go
+++ b/internal/batch/runner/runner_test.go
@@ -24,15 +24,15 @@
 type scriptedGenerator struct {
 	mu       sync.Mutex
 	calls    []Attempt
-	generate func(ctx context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error
+	generate func(ctx context.Context, u *catalog.Upstream, attempt Attempt, emit func(Event) error) error
 }
 
 // Generate implements Generator.
-func (s *scriptedGenerator) Generate(ctx context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error {
+func (s *scriptedGenerator) Generate(ctx context.Context, u *catalog.Upstream, attempt Attempt, emit func(Event) error) error {
 	s.mu.Lock()
-	s.calls = append(s.calls, g)
+	s.calls = append(s.calls, attempt)
 	s.mu.Unlock()
-	return s.generate(ctx, u, g, emit)
+	return s.generate(ctx, u, attempt, emit)
 }
 
 // emitEvents emits the events after the given number, up to last.
@@ -67,7 +67,7 @@
 	route     catalog.Route
 }
 
-func newTestBench(t *testing.T, do func(ctx context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error) *testBench {
+func newTestBench(t *testing.T, do func(ctx context.Context, u *catalog.Upstream, attempt Attempt, emit func(Event) error) error) *testBench {
 	b := &testBench{
 		clock: &timer.Manual{},
 		generator: &scriptedGenerator{
@@ -177,12 +177,12 @@
 // and the versions that generated them.
 func TestTextContinuesAtAnotherEngine(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
-		if g.After == 0 {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, attempt Attempt, emit func(Event) error) error {
+		if attempt.After == 0 {
 			_ = emitEvents(0, 3, 4, emit)
 			return engine.ErrIncompleteResponse
 		}
-		return emitEvents(g.After, 6, 5, emit)
+		return emitEvents(attempt.After, 6, 5, emit)
 	})
 	is.NoErr(b.submit("x"))
 	got := b.waitForResults(1)
@@ -197,13 +197,13 @@
 // other one long before the step is due.
 func TestStreamLeavesUnresponsiveEngine(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(ctx context.Context, u *catalog.Upstream, g Attempt, emit func(Event) error) error {
-		if g.After == 0 {
+	b := newTestBench(t, func(ctx context.Context, u *catalog.Upstream, attempt Attempt, emit func(Event) error) error {
+		if attempt.After == 0 {
 			_ = emitEvents(0, 2, 5, emit)
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		return emitEvents(g.After, 4, 5, emit)
+		return emitEvents(attempt.After, 4, 5, emit)
 	})
 	is.NoErr(b.submit("x"))
 	got := b.waitForResults(1)
@@ -221,7 +221,7 @@
 	is := is.New(t)
 	first := true
 	var mu sync.Mutex
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, attempt Attempt, emit func(Event) error) error {
 		mu.Lock()
 		version := uint64(5)
 		if first {
@@ -229,7 +229,7 @@
 		}
 		first = false
 		mu.Unlock()
-		return emitEvents(g.After, 3, version, emit)
+		return emitEvents(attempt.After, 3, version, emit)
 	})
 	is.NoErr(b.submit("x"))
 	got := b.waitForResults(1)
@@ -241,8 +241,8 @@
 // as dead and not sent again; its group is whole all the same.
 func TestFailingItemEndsDead(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
-		if g.Item.ID == "bad" {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, attempt Attempt, emit func(Event) error) error {
+		if attempt.Item.ID == "bad" {
 			return engine.ErrAttemptFailed
 		}
 		return emitEvents(0, 1, 5, emit)
@@ -288,12 +288,12 @@
 }
 
 // Commit implements keyvalue.TransactionalStore.
-func (f *lossyStore) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
-	rev, err := f.Store.Commit(ctx, tx)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(tx.Writes) > 0 && strings.Contains(tx.Writes[0].Key, "/result/") && f.repliesToLose > 0 {
-		f.repliesToLose--
+func (s *lossyStore) Commit(ctx context.Context, tx keyvalue.Transaction) (uint64, error) {
+	rev, err := s.Store.Commit(ctx, tx)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(tx.Writes) > 0 && strings.Contains(tx.Writes[0].Key, "/result/") && s.repliesToLose > 0 {
+		s.repliesToLose--
 		return 0, keyvalue.ErrOutcomeUnknown
 	}
 	return rev, err
@@ -305,7 +305,7 @@
 // already read.
 func TestReadIsRefusedWhileWriteIsUnconfirmed(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, attempt Attempt, emit func(Event) error) error {
 		return emitEvents(0, 1, 5, emit)
 	})
 	b.runner.Ledger.Store = &lossyStore{
@@ -333,7 +333,7 @@
 // next.
 func TestEndDoesNotCancelWrite(t *testing.T) {
 	is := is.New(t)
-	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
+	b := newTestBench(t, func(_ context.Context, _ *catalog.Upstream, attempt Attempt, emit func(Event) error) error {
 		return emitEvents(0, 1, 5, emit)
 	})
 	store := &slowStore{
@@ -368,9 +368,9 @@
 	is := is.New(t)
 	reached := make(chan struct{})
 	var once sync.Once
-	b := newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, g Attempt, emit func(Event) error) error {
-		if g.After > 0 {
-			return emitEvents(g.After, 8, 5, emit)
+	b := newTestBench(t, func(ctx context.Context, _ *catalog.Upstream, attempt Attempt, emit func(Event) error) error {
+		if attempt.After > 0 {
+			return emitEvents(attempt.After, 8, 5, emit)
 		}
 		_ = emitEvents(0, 5, 5, emit)
 		once.Do(func() { close(reached) })
--- a/internal/batch/runner/timings.go
+++ b/internal/batch/runner/timings.go
@@ -28,25 +28,25 @@
 }
 
 // lap returns the time since the last lap ended and begins a new one.
-func (s *timings) lap(now timer.Instant) time.Duration {
-	d := now.Sub(s.lapStart)
-	s.lapStart = now
+func (t *timings) lap(now timer.Instant) time.Duration {
+	d := now.Sub(t.lapStart)
+	t.lapStart = now
 	return d
 }
 
 // addPause counts a pause between two events if it is much longer than usual.
-func (s *timings) addPause(pause, medianPace time.Duration) {
+func (t *timings) addPause(pause, medianPace time.Duration) {
 	if medianPace > 0 && pause > stallFactor*medianPace {
-		s.stalled += pause - medianPace
+		t.stalled += pause - medianPace
 	}
 }
 
 // addFields adds the timings to the fields of a log line.
-func (s *timings) addFields(fields log.Fields) {
-	fields["waited_ms"] = s.waited.Milliseconds()
-	fields["ran_ms"] = s.ran.Milliseconds()
-	fields["stood_ms"] = s.stalled.Milliseconds()
-	fields["scored_ms"] = s.scored.Milliseconds()
-	fields["remade"] = s.regenerated
-	fields["restored"] = s.restored
+func (t *timings) addFields(fields log.Fields) {
+	fields["waited_ms"] = t.waited.Milliseconds()
+	fields["ran_ms"] = t.ran.Milliseconds()
+	fields["stood_ms"] = t.stalled.Milliseconds()
+	fields["scored_ms"] = t.scored.Milliseconds()
+	fields["remade"] = t.regenerated
+	fields["restored"] = t.restored
 }
--- a/internal/batch/standby/copies.go
+++ b/internal/batch/standby/copies.go
@@ -52,44 +52,44 @@
 }
 
 // Apply applies a heartbeat. It returns ErrGap if events before it are missing.
-func (c *Copies) Apply(b Heartbeat, now timer.Instant) error {
+func (c *Copies) Apply(h Heartbeat, now timer.Instant) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.batches == nil {
 		c.batches = make(map[string]*batchCopy)
 		c.owners = make(map[string]LastHeartbeat)
 	}
-	deltas := b.Deltas
-	b.Deltas = nil
-	c.owners[b.Owner.Instance] = LastHeartbeat{
-		Heartbeat: b,
+	deltas := h.Deltas
+	h.Deltas = nil
+	c.owners[h.Owner.Instance] = LastHeartbeat{
+		Heartbeat: h,
 		At:        now,
 	}
-	c.dropStale(b, now)
+	c.dropStale(h, now)
 	for _, d := range deltas {
-		k := c.batches[d.Batch]
+		held := c.batches[d.Batch]
 		if d.Whole {
-			k = &batchCopy{
-				owner:    b.Owner,
+			held = &batchCopy{
+				owner:    h.Owner,
 				results:  make(map[string]submission.Result),
 				progress: make(map[string]submission.Progress),
 			}
-			c.batches[d.Batch] = k
+			c.batches[d.Batch] = held
 		}
-		if k == nil || k.owner != b.Owner {
+		if held == nil || held.owner != h.Owner {
 			return ErrGap
 		}
-		k.renewedAt = now
+		held.renewedAt = now
 		for _, p := range d.Pieces {
-			if !k.apply(p) {
+			if !held.apply(p) {
 				delete(c.batches, d.Batch)
 				return ErrGap
 			}
 		}
 	}
 	c.evictOldest()
-	for _, id := range b.Open {
-		if k := c.batches[id]; k == nil || k.owner != b.Owner {
+	for _, id := range h.Open {
+		if held := c.batches[id]; held == nil || held.owner != h.Owner {
 			return ErrGap
 		}
 	}
@@ -99,13 +99,13 @@
 // dropStale drops the batches that the sender no longer runs, and copies older than copyTTL.
 // Copies of an instance's previous incarnation stay, since the new incarnation fetches
 // them. c.mu is held.
-func (c *Copies) dropStale(b Heartbeat, now timer.Instant) {
-	for id, k := range c.batches {
+func (c *Copies) dropStale(h Heartbeat, now timer.Instant) {
+	for id, held := range c.batches {
 		switch {
-		case k.owner == b.Owner && !slices.Contains(b.Open, id), now.Sub(k.renewedAt) > copyTTL:
+		case held.owner == h.Owner && !slices.Contains(h.Open, id), now.Sub(held.renewedAt) > copyTTL:
 			delete(c.batches, id)
-		case k.owner == b.Owner:
-			k.renewedAt = now
+		case held.owner == h.Owner:
+			held.renewedAt = now
 		}
 	}
 }
@@ -115,8 +115,8 @@
 func (c *Copies) evictOldest() {
 	for len(c.batches) > maxCopies {
 		oldest := ""
-		for id, k := range c.batches {
-			if oldest == "" || k.renewedAt < c.batches[oldest].renewedAt {
+		for id, held := range c.batches {
+			if oldest == "" || held.renewedAt < c.batches[oldest].renewedAt {
 				oldest = id
 			}
 		}
@@ -125,14 +125,14 @@
 }
 
 // apply applies the changes of one item. It returns false if events before them are missing.
-func (k *batchCopy) apply(p ItemDelta) bool {
-	old := k.progress[p.Item].Events
+func (c *batchCopy) apply(p ItemDelta) bool {
+	old := c.progress[p.Item].Events
 	if p.From > len(old) {
 		return false
 	}
 	events := append(old[:p.From:p.From], p.Events...)
 	if p.Result == nil {
-		k.progress[p.Item] = submission.Progress{
+		c.progress[p.Item] = submission.Progress{
 			Item:     p.Item,
 			Events:   events,
 			Versions: p.Versions,
@@ -144,8 +144,8 @@
 	if end.Text == "" {
 		end.Text = submission.JoinEvents(events)
 	}
-	k.results[p.Item] = end
-	delete(k.progress, p.Item)
+	c.results[p.Item] = end
+	delete(c.progress, p.Item)
 	return true
 }
 
@@ -153,15 +153,15 @@
 func (c *Copies) Find(batch string) (Copy, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := c.batches[batch]
-	if k == nil {
+	held := c.batches[batch]
+	if held == nil {
 		return Copy{}, false
 	}
 	var found Copy
-	for _, r := range k.results {
+	for _, r := range held.results {
 		found.Results = append(found.Results, r)
 	}
-	for _, p := range k.progress {
+	for _, p := range held.progress {
 		found.Progress = append(found.Progress, p)
 	}
 	return found, true
--- a/internal/batch/standby/peers.go
+++ b/internal/batch/standby/peers.go
@@ -30,7 +30,7 @@
 type Peers interface {
 	// Send sends a heartbeat to a successor. It returns ErrGap if the successor lacks
 	// earlier events.
-	Send(ctx context.Context, address string, b Heartbeat) error
+	Send(ctx context.Context, address string, h Heartbeat) error
 	// Ask asks an instance whether it is the given incarnation.
 	Ask(ctx context.Context, address, incarnation string) Answer
 	// Observe has another instance, the observer, ask.
@@ -74,30 +74,30 @@
 }
 
 // Send applies a heartbeat.
-func (c *rpcMethods) Send(b *Heartbeat, r *Reply) error {
-	err := c.server.Copies.Apply(*b, c.server.Timer.Now())
-	if c.server.OnHeartbeat != nil {
-		c.server.OnHeartbeat(b.Owner.Instance, time.UnixMicro(b.UnixMicro))
+func (m *rpcMethods) Send(h *Heartbeat, r *Reply) error {
+	err := m.server.Copies.Apply(*h, m.server.Timer.Now())
+	if m.server.OnHeartbeat != nil {
+		m.server.OnHeartbeat(h.Owner.Instance, time.UnixMicro(h.UnixMicro))
 	}
 	r.Gap = errors.Is(err, ErrGap)
 	return nil
 }
 
 // Ask returns the incarnation of this instance.
-func (c *rpcMethods) Ask(_ *AskRequest, r *Reply) error {
-	r.Life = c.server.Incarnation
+func (m *rpcMethods) Ask(_ *AskRequest, r *Reply) error {
+	r.Life = m.server.Incarnation
 	return nil
 }
 
 // Observe asks another instance on behalf of the caller.
-func (c *rpcMethods) Observe(q *AskRequest, r *Reply) error {
-	r.Answer = c.server.Peers.Ask(context.Background(), q.Address, q.Incarnation)
+func (m *rpcMethods) Observe(q *AskRequest, r *Reply) error {
+	r.Answer = m.server.Peers.Ask(context.Background(), q.Address, q.Incarnation)
 	return nil
 }
 
 // Fetch returns the copy of a batch.
-func (c *rpcMethods) Fetch(batch *string, r *Reply) error {
-	r.Copy, r.Found = c.server.Copies.Find(*batch)
+func (m *rpcMethods) Fetch(batch *string, r *Reply) error {
+	r.Copy, r.Found = m.server.Copies.Find(*batch)
 	return nil
 }
 
@@ -115,8 +115,8 @@
 }
 
 // Send implements Peers.
-func (p *PeerClient) Send(ctx context.Context, address string, b Heartbeat) error {
-	r, err := p.call(ctx, sendTimeout, address, "Send", &b)
+func (p *PeerClient) Send(ctx context.Context, address string, h Heartbeat) error {
+	r, err := p.call(ctx, sendTimeout, address, "Send", &h)
 	if err == nil && r.Gap {
 		return ErrGap
 	}
--- a/internal/batch/steptime/log.go
+++ b/internal/batch/steptime/log.go
@@ -34,7 +34,7 @@
 }
 
 // Error implements error.
-func (f BadLine) Error() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Reason) }
+func (b BadLine) Error() string { return fmt.Sprintf("%s:%d: %s", b.File, b.Line, b.Reason) }
 
 type itemKey struct{ batch, item string }
 
--- a/internal/batch/steptime/report.go
+++ b/internal/batch/steptime/report.go
@@ -53,7 +53,7 @@
 	if len(l.begins) == 0 {
 		return nil, ErrNoSteps
 	}
-	d := &Report{
+	report := &Report{
 		Sums:     make(map[Cause]int64),
 		BadLines: l.badLines,
 	}
@@ -62,7 +62,7 @@
 		slices.SortFunc(begins, func(a, b beginRecord) int { return a.at.Compare(b.at) })
 		step, reason := l.newStep(batch, begins, paces)
 		if reason != "" {
-			d.IncompleteSteps = append(d.IncompleteSteps, IncompleteStep{
+			report.IncompleteSteps = append(report.IncompleteSteps, IncompleteStep{
 				Batch:     batch,
 				Model:     step.Model,
 				Step:      step.Step,
@@ -71,14 +71,16 @@
 			})
 			continue
 		}
-		d.Steps = append(d.Steps, step)
+		report.Steps = append(report.Steps, step)
 		for cause, spent := range step.Spent {
-			d.Sums[cause] += spent
+			report.Sums[cause] += spent
 		}
 	}
-	sort.Slice(d.Steps, func(i, j int) bool { return d.Steps[i].Submitted.Before(d.Steps[j].Submitted) })
-	sort.Slice(d.IncompleteSteps, func(i, j int) bool { return d.IncompleteSteps[i].Submitted.Before(d.IncompleteSteps[j].Submitted) })
-	return d, nil
+	sort.Slice(report.Steps, func(i, j int) bool { return report.Steps[i].Submitted.Before(report.Steps[j].Submitted) })
+	sort.Slice(report.IncompleteSteps, func(i, j int) bool {
+		return report.IncompleteSteps[i].Submitted.Before(report.IncompleteSteps[j].Submitted)
+	})
+	return report, nil
 }
 
 // newStep returns the account of a step, or the reason why there is none.
