--- a/internal/route/catalog/upstreams.go
+++ b/internal/route/catalog/upstreams.go
@@ -106,11 +106,11 @@
 // it creates a new upstream, which takes over neither the counts nor the leaving mark. initial
 // reports whether b was empty, in which case a new upstream skips the slow start. The
 // caller holds b.mu.
-func (b *Upstreams) upsert(l *Entry, initial bool) {
-	u := b.byID[l.ID]
+func (b *Upstreams) upsert(entry *Entry, initial bool) {
+	u := b.byID[entry.ID]
 	if u != nil {
 		old := u.Listed()
-		if old.Address != l.Address || old.Born != l.Born || old.Service != l.Service {
+		if old.Address != entry.Address || old.Born != entry.Born || old.Service != entry.Service {
 			u.MarkLeaving()
 			u = nil
 		}
@@ -118,11 +118,11 @@
 	if u == nil {
 		u = &Upstream{
 			Upstream: &upstream.Upstream{
-				ID:            l.ID,
-				Address:       l.Address,
-				FailureDomain: l.FailureDomain,
-				Incarnation:   uint64(l.Born),
-				Slots:         l.Slots,
+				ID:            entry.ID,
+				Address:       entry.Address,
+				FailureDomain: entry.FailureDomain,
+				Incarnation:   uint64(entry.Born),
+				Slots:         entry.Slots,
 			},
 		}
 		since := b.Timer.Now()
@@ -130,10 +130,10 @@
 			since = since.Add(-time.Minute)
 		}
 		u.SetSlowStart(since)
-		b.byID[l.ID] = u
+		b.byID[entry.ID] = u
 	}
-	u.entry.Store(l)
-	if l.Leaving {
+	u.entry.Store(entry)
+	if entry.Leaving {
 		u.MarkLeaving()
 	}
 }
--- a/internal/route/crash/reporter.go
+++ b/internal/route/crash/reporter.go
@@ -67,7 +67,7 @@
 	Metrics *Metrics
 	// OnCrash, if not nil, is called for each request that was cut off by a crash. It returns
 	// additional fields for the log line.
-	OnCrash func(c Cut, print fingerprint.Fingerprint) log.Fields
+	OnCrash func(c Cut, fp fingerprint.Fingerprint) log.Fields
 	// Dial opens a connection to an address and closes it; nil does so over TCP.
 	Dial func(ctx context.Context, address string) error
 
@@ -195,12 +195,12 @@
 		})
 		return
 	}
-	print := c.Digest.Keyed(secret)
-	fields["fingerprint"] = print.String()
+	fp := c.Digest.Keyed(secret)
+	fields["fingerprint"] = fp.String()
 	if !crashed || r.OnCrash == nil {
 		return
 	}
-	for name, value := range r.OnCrash(c, print) {
+	for name, value := range r.OnCrash(c, fp) {
 		fields[name] = value
 	}
 }
--- a/internal/route/fingerprint/doc.go
+++ b/internal/route/fingerprint/doc.go
@@ -6,7 +6,7 @@
 //		Target: r.URL.RequestURI(),
 //		Body:   body,
 //	})
-//	print := sum.Keyed(secret)
+//	fp := sum.Keyed(secret)
 //
 // A Digest is a plain digest and must stay in the process that made it. A Fingerprint is
 // keyed with a secret that no caller knows, so it may be logged and sent to other
--- a/internal/route/fingerprint/fingerprint.go
+++ b/internal/route/fingerprint/fingerprint.go
@@ -50,7 +50,7 @@
 // instances share.
 type Fingerprint [fingerprintBytes]byte
 
-// Keyed returns the fingerprint of s keyed with secret.
+// Keyed returns the fingerprint of d keyed with secret.
 func (d Digest) Keyed(secret []byte) Fingerprint {
 	h := hmac.New(sha256.New, secret)
 	h.Write(d[:])
--- a/internal/route/forward/forward_test.go
+++ b/internal/route/forward/forward_test.go
@@ -33,8 +33,8 @@
 )
 
 // ran reports whether an upstream with this behaviour runs the request.
-func (f behaviour) ran() bool {
-	return f == answers || f == fails || f == breaks || f == cuts || f == hangs
+func (b behaviour) ran() bool {
+	return b == answers || b == fails || b == breaks || b == cuts || b == hangs
 }
 
 // sender is a Sender whose attempts behave as listed, in order, the last one for all
--- a/internal/route/forward/poison_test.go
+++ b/internal/route/forward/poison_test.go
@@ -33,22 +33,22 @@
 }
 
 // Judge implements PoisonDetector.
-func (c *fakeDetector) Judge(func() fingerprint.Digest) poison.Verdict {
-	return c.verdict
+func (d *fakeDetector) Judge(func() fingerprint.Digest) poison.Verdict {
+	return d.verdict
 }
 
 // RecordAnswer implements PoisonDetector.
-func (c *fakeDetector) RecordAnswer(func() fingerprint.Digest) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.cleared++
+func (d *fakeDetector) RecordAnswer(func() fingerprint.Digest) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.cleared++
 }
 
 // ReportCutOff implements CrashReporter.
-func (c *fakeDetector) ReportCutOff(crash.Cut) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.cuts++
+func (d *fakeDetector) ReportCutOff(crash.Cut) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.cuts++
 }
 
 // counts is how many attempts a sender got and how many of them ran.
@@ -65,10 +65,10 @@
 }
 
 // send forwards one repeatable request with up to that many attempts.
-func (c *fakeDetector) send(s *sender, attempts int) (*Answer, error) {
+func (d *fakeDetector) send(s *sender, attempts int) (*Answer, error) {
 	f, stop := newForwarder(s, 6)
 	defer stop()
-	f.CrashReporter, f.PoisonDetector = c, c
+	f.CrashReporter, f.PoisonDetector = d, d
 	r := route(catalog.Idempotent)
 	r.Attempts = attempts
 	return f.Do(context.Background(), Request{
@@ -157,4 +157,4 @@
 // errorReader is a reader that always returns err.
 type errorReader struct{ err error }
 
-func (f errorReader) Read([]byte) (int, error) { return 0, f.err }
+func (r errorReader) Read([]byte) (int, error) { return 0, r.err }
--- a/internal/route/poison/doc.go
+++ b/internal/route/poison/doc.go
@@ -4,11 +4,11 @@
 //	var tracker poison.Tracker
 //	tracker.Add(poison.Crash{
 //		Incarnation: "desk-4/1774870592702",
-//		Fingerprint: print,
+//		Fingerprint: fp,
 //		At:          now,
 //		Consecutive: 1,
 //	})
-//	if v := tracker.Judge(print, now); v.Quarantined() {
+//	if v := tracker.Judge(fp, now); v.Quarantined() {
 //		return problem.Quarantined.Withf("%s", v).WithRetryAfter(v.RetryAfter)
 //	}
 //
--- a/internal/route/poison/poison_test.go
+++ b/internal/route/poison/poison_test.go
@@ -23,10 +23,10 @@
 func incarnationOf(n int) crash.Incarnation { return crash.IncarnationOf("u", uint64(n)) }
 
 // newCrash returns the crash of an upstream incarnation during a request.
-func newCrash(incarnation, print, consecutive int, at timer.Instant) Crash {
+func newCrash(incarnation, request, consecutive int, at timer.Instant) Crash {
 	return Crash{
 		Incarnation: incarnationOf(incarnation),
-		Fingerprint: fingerprintOf(print),
+		Fingerprint: fingerprintOf(request),
 		At:          at,
 		Consecutive: consecutive,
 	}
@@ -34,9 +34,9 @@
 
 // addPoisonRequest adds enough crashes to make a request a poison request, one second apart,
 // the last one at the given time.
-func addPoisonRequest(tracker *Tracker, print, firstIncarnation int, at timer.Instant) {
+func addPoisonRequest(tracker *Tracker, request, firstIncarnation int, at timer.Instant) {
 	for i := range poisonMinCrashes {
-		tracker.Add(newCrash(firstIncarnation+i, print, 1+i, at.Add(-time.Duration(poisonMinCrashes-1-i)*time.Second)))
+		tracker.Add(newCrash(firstIncarnation+i, request, 1+i, at.Add(-time.Duration(poisonMinCrashes-1-i)*time.Second)))
 	}
 }
 
--- a/internal/route/policy/policy_test.go
+++ b/internal/route/policy/policy_test.go
@@ -20,7 +20,7 @@
 	"github.com/egretbend/egretbend/internal/standin/property"
 )
 
-// newSet returns a newSet of n upstreams in four failure domains with 8 slots each.
+// newSet returns a set of n upstreams in four failure domains with 8 slots each.
 func newSet(n int, now timer.Instant) *upstream.Set {
 	var table upstream.Table
 	var list []roster.Instance
--- a/internal/route/ticket/property_test.go
+++ b/internal/route/ticket/property_test.go
@@ -36,91 +36,91 @@
 }
 
 func newFleet(t *rapid.T, faults faultConfig) *fleet {
-	w := &fleet{
+	f := &fleet{
 		t:      t,
 		faults: faults,
 		clock:  &timer.Manual{},
 		runs:   make(map[ticket.Ticket]int),
 	}
 	for i := range instances {
-		w.issuers = append(w.issuers, w.newIssuer(i, 1))
+		f.issuers = append(f.issuers, f.newIssuer(i, 1))
 	}
-	return w
+	return f
 }
 
-func (w *fleet) newIssuer(i int, incarnation uint64) *ticket.Issuer {
+func (f *fleet) newIssuer(i int, incarnation uint64) *ticket.Issuer {
 	return &ticket.Issuer{
 		Address:     fmt.Sprintf("127.0.0.1:%d", 7000+i),
 		Incarnation: incarnation,
-		Timer:       w.clock,
+		Timer:       f.clock,
 	}
 }
 
 // send sends a ticket's request to an instance, which forwards it to the
 // instance at the issuer's address.
-func (w *fleet) send(t ticket.Ticket, at int) {
+func (f *fleet) send(t ticket.Ticket, at int) {
 	key := t
-	target := w.issuers[at]
-	for _, b := range w.issuers {
-		if b.Address == t.Address && !w.faults.anyInstance {
-			target = b
+	target := f.issuers[at]
+	for _, issuer := range f.issuers {
+		if issuer.Address == t.Address && !f.faults.anyInstance {
+			target = issuer
 		}
 	}
-	if w.faults.anyInstance {
+	if f.faults.anyInstance {
 		t.Address = target.Address
 		t.Incarnation = target.Incarnation
 		target.Issue(int(t.Number))
 	}
-	if w.faults.alteredExpiry {
-		t.Expires = w.clock.Now().Add(time.Hour)
+	if f.faults.alteredExpiry {
+		t.Expires = f.clock.Now().Add(time.Hour)
 	}
 	run, _, err := target.Use(t, 1)
 	if run != nil {
-		w.runs[key]++
-		if w.runs[key] > 1 {
-			w.t.Fatalf("request of ticket %v ran twice", key)
+		f.runs[key]++
+		if f.runs[key] > 1 {
+			f.t.Fatalf("request of ticket %v ran twice", key)
 		}
-		w.open = append(w.open, run)
+		f.open = append(f.open, run)
 		return
 	}
-	if err != nil && problem.From(err).Kind.Outcome == problem.NotRun && w.runs[key] > 0 {
-		w.t.Fatalf("ticket %v ran but was reported as not run: %v", key, err)
+	if err != nil && problem.From(err).Kind.Outcome == problem.NotRun && f.runs[key] > 0 {
+		f.t.Fatalf("ticket %v ran but was reported as not run: %v", key, err)
 	}
 }
 
-func (w *fleet) finish(pick int) {
-	if len(w.open) == 0 {
+func (f *fleet) finish(pick int) {
+	if len(f.open) == 0 {
 		return
 	}
-	i := pick % len(w.open)
-	w.open[i].Finish(&relay.Answer{
+	i := pick % len(f.open)
+	f.open[i].Finish(&relay.Answer{
 		Status: 200,
 	}, nil)
-	w.open = append(w.open[:i], w.open[i+1:]...)
+	f.open = append(f.open[:i], f.open[i+1:]...)
 }
 
 // randomOperations issues tickets, sends and repeats requests, replaces instances and lets time
 // pass, in random order.
 func randomOperations(faults faultConfig) func(*rapid.T) {
 	return func(t *rapid.T) {
-		w := newFleet(t, faults)
+		f := newFleet(t, faults)
 		pick := rapid.IntRange(0, 1000)
 		t.Repeat(map[string]func(*rapid.T){
 			"issue": func(t *rapid.T) {
-				w.issued = append(w.issued, w.issuers[pick.Draw(t, "issuer")%instances].Issue(1)...)
+				f.issued = append(f.issued, f.issuers[pick.Draw(t, "issuer")%instances].Issue(1)...)
 			},
 			"ask": func(t *rapid.T) {
-				if len(w.issued) > 0 {
-					w.send(w.issued[pick.Draw(t, "ticket")%len(w.issued)], pick.Draw(t, "instance")%instances)
+				if len(f.issued) > 0 {
+					f.send(f.issued[pick.Draw(t, "ticket")%len(f.issued)], pick.Draw(t, "instance")%instances)
 				}
 			},
-			"finish": func(t *rapid.T) { w.finish(pick.Draw(t, "run")) },
+			"finish": func(t *rapid.T) { f.finish(pick.Draw(t, "run")) },
 			"replace": func(t *rapid.T) {
 				i := pick.Draw(t, "instance") % instances
-				w.issuers[i] = w.newIssuer(i, w.issuers[i].Incarnation+1)
+				f.issuers[i] = f.newIssuer(i, f.issuers[i].Incarnation+1)
 			},
 			"wait": func(t *rapid.T) {
-				w.clock.Advance(time.Duration(rapid.IntRange(1, 30).Draw(t, "minutes")) * time.Minute)
+				f.clock.Advance(time.Duration(rapid.IntRange(1, 30).Draw(t, "minutes")) * time.Minute)
 			},
 		})
 	}
