--- a/internal/batch/runner/read.go
+++ b/internal/batch/runner/read.go
@@ -61,9 +61,9 @@
 	}
 	var done <-chan timer.Instant
 	if wait > 0 {
-		sub := r.Timer.Once(wait)
-		defer sub.Close()
-		done = sub.C
+		timeout := r.Timer.Once(wait)
+		defer timeout.Close()
+		done = timeout.C
 	}
 	w := &waiter{}
 	defer b.removeWaiter(w)
@@ -89,9 +89,9 @@
 				// without them, the next read would find them at once, and the
 				// trainer would pause after that one.
 				extended = true
-				sub := r.Timer.Once(writeGrace)
-				defer sub.Close()
-				done = sub.C
+				grace := r.Timer.Once(writeGrace)
+				defer grace.Close()
+				done = grace.C
 				continue
 			}
 			wait = 0
--- a/internal/batch/runner/watch.go
+++ b/internal/batch/runner/watch.go
@@ -18,16 +18,16 @@
 		case <-r.tomb.Dying():
 			return nil
 		}
-		sub := r.Timer.Every(checkInterval)
+		ticks := r.Timer.Every(checkInterval)
 		for r.checkBatches() {
 			select {
-			case <-sub.C:
+			case <-ticks.C:
 			case <-r.tomb.Dying():
-				sub.Close()
+				ticks.Close()
 				return nil
 			}
 		}
-		sub.Close()
+		ticks.Close()
 	}
 }
 
