--- a/internal/route/poison/tracker.go
+++ b/internal/route/poison/tracker.go
@@ -196,7 +196,7 @@
 		return
 	}
 	t.stale = false
-	var d blameSolver
+	var solver blameSolver
 	t.blame = make(map[fingerprint.Fingerprint]blame)
 	index := make(map[fingerprint.Fingerprint]int)
 	for _, x := range t.crashes {
@@ -204,24 +204,24 @@
 		for i, c := range x.requests {
 			p := c.Fingerprint
 			if _, ok := index[p]; !ok {
-				index[p] = len(d.shares)
-				d.shares = append(d.shares, 0)
+				index[p] = len(solver.shares)
+				solver.shares = append(solver.shares, 0)
 			}
 			members[i] = index[p]
-			d.shares[index[p]]++
+			solver.shares[index[p]]++
 			b := t.blame[p]
 			b.total++
 			b.consecutive = max(b.consecutive, c.Consecutive)
 			b.lastCrash = max(b.lastCrash, c.At)
 			t.blame[p] = b
 		}
-		d.crashes = append(d.crashes, members)
+		solver.crashes = append(solver.crashes, members)
 	}
 	for range blameIterations {
-		d.redistribute()
+		solver.redistribute()
 	}
 	for p, b := range t.blame {
-		b.share = d.shares[index[p]]
+		b.share = solver.shares[index[p]]
 		t.blame[p] = b
 	}
 }
@@ -235,16 +235,16 @@
 }
 
 // redistribute distributes the blame for each crash in proportion to the current shares.
-func (d *blameSolver) redistribute() {
-	next := make([]float64, len(d.shares))
-	for _, members := range d.crashes {
+func (s *blameSolver) redistribute() {
+	next := make([]float64, len(s.shares))
+	for _, members := range s.crashes {
 		sum := 0.0
 		for _, i := range members {
-			sum += d.shares[i]
+			sum += s.shares[i]
 		}
 		for _, i := range members {
-			next[i] += d.shares[i] / sum
+			next[i] += s.shares[i] / sum
 		}
 	}
-	d.shares = next
+	s.shares = next
 }
