--- a/internal/batch/ledger/append.go
+++ b/internal/batch/ledger/append.go
@@ -42,10 +42,10 @@
 	if len(progress) == 0 {
 		return tx, nil
 	}
-	partial, err := json.Marshal(progress)
+	data, err := json.Marshal(progress)
 	tx.Writes = append(tx.Writes, keyvalue.Write{
 		Key:   progressKey(c.Batch),
-		Value: partial,
+		Value: data,
 	})
 	return tx, err
 }
--- a/internal/batch/ledger/ledger.go
+++ b/internal/batch/ledger/ledger.go
@@ -319,11 +319,11 @@
 	}
 	items := listing.Items
 	sort.Slice(items, func(i, j int) bool { return items[i].Key < items[j].Key })
-	var spec []byte
+	var encoded []byte
 	rec := &Record{}
 	for _, item := range items {
 		if strings.HasPrefix(item.Key, batchPrefix+id+"/part/") {
-			spec = append(spec, item.Value...)
+			encoded = append(encoded, item.Value...)
 			continue
 		}
 		if item.Key == endKey(id) {
@@ -343,10 +343,10 @@
 		rec.Results = append(rec.Results, results...)
 		rec.Chunks++
 	}
-	if spec == nil {
+	if encoded == nil {
 		return nil, ErrUnknown
 	}
-	rec.Submission, err = submission.Decode(spec)
+	rec.Submission, err = submission.Decode(encoded)
 	return rec, err
 }
 
--- a/internal/batch/runner/read.go
+++ b/internal/batch/runner/read.go
@@ -193,7 +193,7 @@
 	b.waitingReads[w] = now
 }
 
-// removeWaiter removes a read that is answered from the waiting ones.
+// removeWaiter removes a read from the waiting ones when the read ends.
 func (b *Batch) removeWaiter(w *waiter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/batch/steptime/cause.go
+++ b/internal/batch/steptime/cause.go
@@ -12,7 +12,8 @@
 	Owners
 	// Waiting is the time that the critical item spent without an engine.
 	Waiting
-	// Generating is the lower bound of the critical item: its events at the typical pace.
+	// Generating is the lower bound of the critical item: its events at the pace of a lightly
+	// loaded engine.
 	Generating
 	// Slowness is the run time of the critical item beyond Generating, without Stalled and
 	// Regenerating.
--- a/internal/batch/submission/submission.go
+++ b/internal/batch/submission/submission.go
@@ -75,11 +75,11 @@
 
 // EstimatedTokens returns the number of tokens that the batch is expected to generate.
 func (s *Submission) EstimatedTokens() int64 {
-	work := int64(0)
+	tokens := int64(0)
 	for _, i := range s.Items {
-		work += int64(i.Estimate())
+		tokens += int64(i.Estimate())
 	}
-	return work
+	return tokens
 }
 
 // Encode returns the stored form of s.
