--- a/internal/route/router/poison.go
+++ b/internal/route/router/poison.go
@@ -16,11 +16,11 @@
 
 // PoisonDetector tracks which requests crash the upstreams that run them.
 type PoisonDetector interface {
-	// Judge returns the verdict on a request. It calls sum only if any crash is known.
-	Judge(sum func() fingerprint.Digest) poison.Verdict
+	// Judge returns the verdict on a request. It calls digest only if any crash is known.
+	Judge(digest func() fingerprint.Digest) poison.Verdict
 	// RecordAnswer records that a request ran to completion, which clears it of
-	// suspicion. It calls sum only if any crash is known.
-	RecordAnswer(sum func() fingerprint.Digest)
+	// suspicion. It calls digest only if any crash is known.
+	RecordAnswer(digest func() fingerprint.Digest)
 }
 
 // checkQuarantine returns the verdict on a request, or problem.Quarantined if no
