--- a/internal/kernel/certificate/pair.go
+++ b/internal/kernel/certificate/pair.go
@@ -22,20 +22,20 @@
 // Get returns the current certificate. When changed files can't be loaded, for
 // example because only one of them has been written yet, the old certificate stays
 // in use.
-func (c *Pair) Get() (*tls.Certificate, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	info, err := os.Stat(c.Certificate)
-	if err == nil && c.current != nil && info.ModTime().Equal(c.modified) {
-		return c.current, nil
+func (p *Pair) Get() (*tls.Certificate, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	info, err := os.Stat(p.Certificate)
+	if err == nil && p.current != nil && info.ModTime().Equal(p.modified) {
+		return p.current, nil
 	}
-	cert, loadErr := tls.LoadX509KeyPair(c.Certificate, c.PrivateKey)
+	cert, loadErr := tls.LoadX509KeyPair(p.Certificate, p.PrivateKey)
 	if loadErr == nil && err == nil {
-		c.current = &cert
-		c.modified = info.ModTime()
+		p.current = &cert
+		p.modified = info.ModTime()
 	}
-	if c.current == nil {
-		return nil, fmt.Errorf("load certificate %s: %w; check security.certificate and private_key", c.Certificate, loadErr)
+	if p.current == nil {
+		return nil, fmt.Errorf("load certificate %s: %w; check security.certificate and private_key", p.Certificate, loadErr)
 	}
-	return c.current, nil
+	return p.current, nil
 }
--- a/internal/kernel/certificate/pair_test.go
+++ b/internal/kernel/certificate/pair_test.go
@@ -51,23 +51,23 @@
 func TestCertificateIsReloaded(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
-	c := &Pair{
+	pair := &Pair{
 		Certificate: filepath.Join(folder, "cert.pem"),
 		PrivateKey:  filepath.Join(folder, "key.pem"),
 	}
-	_, err := c.Get()
+	_, err := pair.Get()
 	is.True(err != nil) // no files yet
 	serial := func() int64 {
-		cert, err := c.Get()
+		cert, err := pair.Get()
 		is.NoErr(err)
 		return cert.Leaf.SerialNumber.Int64()
 	}
 	issued := time.Now().Add(-time.Hour)
-	writeCertificate(t, c.Certificate, c.PrivateKey, 1, issued)
+	writeCertificate(t, pair.Certificate, pair.PrivateKey, 1, issued)
 	is.Equal(serial(), int64(1))
-	is.NoErr(os.WriteFile(c.PrivateKey, []byte("half"), 0o600))
-	is.NoErr(os.Chtimes(c.Certificate, issued.Add(time.Minute), issued.Add(time.Minute)))
+	is.NoErr(os.WriteFile(pair.PrivateKey, []byte("half"), 0o600))
+	is.NoErr(os.Chtimes(pair.Certificate, issued.Add(time.Minute), issued.Add(time.Minute)))
 	is.Equal(serial(), int64(1)) // the old certificate stays in use
-	writeCertificate(t, c.Certificate, c.PrivateKey, 2, issued.Add(2*time.Minute))
+	writeCertificate(t, pair.Certificate, pair.PrivateKey, 2, issued.Add(2*time.Minute))
 	is.Equal(serial(), int64(2))
 }
--- a/internal/kernel/journal/history.go
+++ b/internal/kernel/journal/history.go
@@ -36,20 +36,20 @@
 	fields log.Fields
 }
 
-func (m *history) add(kind string, fields log.Fields) {
-	e := decision{
+func (h *history) add(kind string, fields log.Fields) {
+	d := decision{
 		at:     time.Now(),
 		kind:   kind,
 		fields: fields,
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if len(m.ring) < historyLength {
-		m.ring = append(m.ring, e)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.ring) < historyLength {
+		h.ring = append(h.ring, d)
 		return
 	}
-	m.ring[m.next] = e
-	m.next = (m.next + 1) % historyLength
+	h.ring[h.next] = d
+	h.next = (h.next + 1) % historyLength
 }
 
 // idFields are the log fields that identify the request or sample of a decision.
@@ -63,9 +63,9 @@
 	j.history.mu.Lock()
 	defer j.history.mu.Unlock()
 	var list []Record
-	for _, e := range j.history.ring {
-		if e.isAbout(id) {
-			list = append(list, e.toRecord(j.instance))
+	for _, d := range j.history.ring {
+		if d.isAbout(id) {
+			list = append(list, d.toRecord(j.instance))
 		}
 	}
 	return list
@@ -73,9 +73,9 @@
 
 // isAbout reports whether one of the decision's ID fields equals id, or contains it
 // between dots, as the request ID of a sample contains the sample's ID.
-func (e decision) isAbout(id string) bool {
+func (d decision) isAbout(id string) bool {
 	for _, name := range idFields {
-		v, _ := e.fields[name].(string)
+		v, _ := d.fields[name].(string)
 		if v == id || (v != "" && strings.Contains(v, "."+id+".")) {
 			return true
 		}
@@ -84,14 +84,14 @@
 }
 
 // toRecord returns the decision with its fields formatted as text.
-func (e decision) toRecord(instance string) Record {
+func (d decision) toRecord(instance string) Record {
 	r := Record{
-		At:       e.at,
+		At:       d.at,
 		Instance: instance,
-		Decision: e.kind,
-		Fields:   make(map[string]string, len(e.fields)),
+		Decision: d.kind,
+		Fields:   make(map[string]string, len(d.fields)),
 	}
-	for name, v := range e.fields {
+	for name, v := range d.fields {
 		r.Fields[name] = fmt.Sprint(v)
 	}
 	return r
--- a/internal/kernel/journal/journal_test.go
+++ b/internal/kernel/journal/journal_test.go
@@ -20,9 +20,9 @@
 }
 
 // Write implements io.Writer.
-func (s *blockedWriter) Write(p []byte) (int, error) {
-	<-s.release
-	return s.Buffer.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.release
+	return w.Buffer.Write(p)
 }
 
 // Guards against requests that block on logging when the reader of the log stops
@@ -59,8 +59,8 @@
 type recordedWrites [][]byte
 
 // Write implements io.Writer.
-func (p *recordedWrites) Write(data []byte) (int, error) {
-	*p = append(*p, bytes.Clone(data))
+func (w *recordedWrites) Write(data []byte) (int, error) {
+	*w = append(*w, bytes.Clone(data))
 	return len(data), nil
 }
 
--- a/internal/kernel/setting/decode.go
+++ b/internal/kernel/setting/decode.go
@@ -224,8 +224,8 @@
 // runValidators calls every Validator in rv and in its struct fields and list items.
 func runValidators(rv reflect.Value, path string, errs *FieldErrors) {
 	if rv.CanAddr() {
-		if c, ok := rv.Addr().Interface().(Validator); ok {
-			*errs = append(*errs, c.Validate(path)...)
+		if validator, ok := rv.Addr().Interface().(Validator); ok {
+			*errs = append(*errs, validator.Validate(path)...)
 		}
 	}
 	switch rv.Kind() {
--- a/internal/outside/keyvalue/http.go
+++ b/internal/outside/keyvalue/http.go
@@ -121,8 +121,8 @@
 	return err
 }
 
-func (h *HTTP) call(ctx context.Context, path string, c Request) (Item, error) {
-	body, err := json.Marshal(c)
+func (h *HTTP) call(ctx context.Context, path string, request Request) (Item, error) {
+	body, err := json.Marshal(request)
 	if err != nil {
 		return Item{}, err
 	}
@@ -142,14 +142,14 @@
 	if res.StatusCode != http.StatusOK {
 		return Item{}, fmt.Errorf("%w: status %d", ErrUnavailable, res.StatusCode)
 	}
-	var a Response
-	if err := json.Unmarshal(data, &a); err != nil {
+	var response Response
+	if err := json.Unmarshal(data, &response); err != nil {
 		return Item{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	if a.Error != CodeNone {
-		return a.Item, errorsByCode[a.Error]
+	if response.Error != CodeNone {
+		return response.Item, errorsByCode[response.Error]
 	}
-	return a.Item, nil
+	return response.Item, nil
 }
 
 // classifyError returns ErrUnavailable for a call that was never sent, and
--- a/internal/outside/roster/doc.go
+++ b/internal/outside/roster/doc.go
@@ -5,7 +5,7 @@
 // listed upstream may not be up yet. Callers must treat it as a hint.
 //
 //	list, err := source.List(ctx)
-//	for _, in := range list {
-//		if in.Leaving { ... }
+//	for _, instance := range list {
+//		if instance.Leaving { ... }
 //	}
 package roster
