--- a/internal/entry/caller/addresses.go
+++ b/internal/entry/caller/addresses.go
@@ -46,25 +46,25 @@
 		domain = s.Members.Self().FailureDomain
 	}
 	cfg := s.addressSettings()
-	answer := AddressesResponse{
+	response := AddressesResponse{
 		TTLMS: addressTTL(cfg).Milliseconds(),
 	}
 	key := query.Get("caller") + "/" + clientHost(r)
 	for _, m := range selectInstances(s.Members.View(), s.Members.Load, key, domain, cfg.Count) {
-		answer.Addresses = append(answer.Addresses, Address{
+		response.Addresses = append(response.Addresses, Address{
 			Instance:      m.ID,
 			Address:       m.Address,
 			FailureDomain: m.FailureDomain,
 		})
 	}
-	if len(answer.Addresses) == 0 {
+	if len(response.Addresses) == 0 {
 		problem.Write(w, problem.NoUpstream.Withf("no instance is usable").WithRetryAfter(time.Second))
 		return
 	}
 	if !s.Mux.Leaving() {
-		answer.Tickets = s.issueTickets(tickets)
+		response.Tickets = s.issueTickets(tickets)
 	}
-	problem.WriteJSON(w, http.StatusOK, answer)
+	problem.WriteJSON(w, http.StatusOK, response)
 }
 
 // addressSettings returns the configured address settings, or defaults while no
@@ -108,8 +108,8 @@
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].score > list[j].score })
 	local := -1
-	for i, c := range list {
-		if c.m.FailureDomain == domain {
+	for i, s := range list {
+		if s.m.FailureDomain == domain {
 			local = i
 			break
 		}
--- a/internal/entry/caller/completions.go
+++ b/internal/entry/caller/completions.go
@@ -65,7 +65,7 @@
 	task := stream.Task{
 		RequestID:  meta.requestID,
 		Caller:     meta.caller,
-		Priority:   meta.class,
+		Priority:   meta.priority,
 		Weight:     meta.weight,
 		Deployment: deployment,
 		Prompt:     body.Prompt,
--- a/internal/entry/caller/server.go
+++ b/internal/entry/caller/server.go
@@ -51,7 +51,7 @@
 	requestID  string
 	identity   requestIdentity
 	caller     string
-	class      limit.Priority
+	priority   limit.Priority
 	weight     float64
 	deadline   time.Duration
 	idempotent bool
@@ -103,13 +103,13 @@
 	if err != nil {
 		return problem.BadRequest.With(err)
 	}
-	m.class = highest
+	m.priority = highest
 	if name := r.Header.Get(relay.HeaderPriority); name != "" {
 		asked, err := limit.ParsePriority(name)
 		if err != nil {
 			return problem.BadRequest.Withf("%s: %w", relay.HeaderPriority, err)
 		}
-		m.class = max(asked, highest)
+		m.priority = max(asked, highest)
 	}
 	m.deadline = time.Duration(m.deployment.TimeoutMS) * time.Millisecond
 	if text := r.Header.Get(relay.HeaderDeadline); text != "" {
--- a/internal/entry/caller/services.go
+++ b/internal/entry/caller/services.go
@@ -41,7 +41,7 @@
 	call := relay.Call{
 		RequestID:  meta.requestID,
 		Caller:     meta.caller,
-		Priority:   meta.class,
+		Priority:   meta.priority,
 		Weight:     meta.weight,
 		Deployment: deployment,
 		Method:     r.Method,
--- a/internal/entry/command/config.go
+++ b/internal/entry/command/config.go
@@ -102,18 +102,18 @@
 	}
 	ctx, cancel := context.WithTimeout(parent, callTimeout)
 	defer cancel()
-	var answer operator.Configuration
-	err := a.client().Do(ctx, http.MethodPut, pathConfiguration, body, &answer)
+	var response operator.Configuration
+	err := a.client().Do(ctx, http.MethodPut, pathConfiguration, body, &response)
 	if err != nil && outcomeUnknown(err) {
-		answer, err = a.resolveOutcome(parent, body, err)
+		response, err = a.resolveOutcome(parent, body, err)
 	}
 	if err != nil {
 		return fmt.Errorf("change %s: %w", body.ID, err)
 	}
 	if a.json {
-		return a.printJSON(answer)
+		return a.printJSON(response)
 	}
-	fmt.Fprintf(a.out, "accepted: change %s is revision %d\n", body.ID, answer.Revision)
+	fmt.Fprintf(a.out, "accepted: change %s is revision %d\n", body.ID, response.Revision)
 	return nil
 }
 
@@ -129,11 +129,11 @@
 	path := fmt.Sprintf("%s/changes/%s?revision=%d", pathConfiguration, url.PathEscape(body.ID), body.Revision)
 	for range outcomeAttempts {
 		ctx, cancel := context.WithTimeout(parent, callTimeout)
-		var answer operator.Configuration
-		err := a.client().Do(ctx, http.MethodGet, path, nil, &answer)
+		var response operator.Configuration
+		err := a.client().Do(ctx, http.MethodGet, path, nil, &response)
 		cancel()
 		if err == nil || !outcomeUnknown(err) {
-			return answer, err
+			return response, err
 		}
 		last = err
 		timer.Wait(timer.Real{}, outcomeRetryDelay, parent.Done())
--- a/internal/entry/command/fleet.go
+++ b/internal/entry/command/fleet.go
@@ -21,17 +21,17 @@
 		Short:   "Print the addresses that a caller should use",
 		Example: "  egretbend addresses --caller saddlers",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var answer caller.AddressesResponse
-			if err := a.getJSON(cmd.Context(), "/v1/addresses?caller="+url.QueryEscape(name), &answer); err != nil {
+			var response caller.AddressesResponse
+			if err := a.getJSON(cmd.Context(), "/v1/addresses?caller="+url.QueryEscape(name), &response); err != nil {
 				return err
 			}
 			if a.json {
-				return a.printJSON(answer)
+				return a.printJSON(response)
 			}
-			for _, addr := range answer.Addresses {
+			for _, addr := range response.Addresses {
 				fmt.Fprintf(a.out, "%-22s %s (%s)\n", addr.Address, addr.Instance, addr.FailureDomain)
 			}
-			fmt.Fprintf(a.out, "keep for %d ms\n", answer.TTLMS)
+			fmt.Fprintf(a.out, "keep for %d ms\n", response.TTLMS)
 			return nil
 		},
 	}
--- a/internal/entry/command/generate.go
+++ b/internal/entry/command/generate.go
@@ -55,13 +55,13 @@
 		}
 		return questionnaire.Parse(data)
 	}
-	v := &questionnaire.Interview{
+	interview := &questionnaire.Interview{
 		In:  cmd.InOrStdin(),
 		Out: a.errOut,
 	}
-	given, err := v.Run()
+	given, err := interview.Run()
 	if save != "" {
-		data, jsonErr := v.AnswersJSON()
+		data, jsonErr := interview.AnswersJSON()
 		err = errors.Join(err, jsonErr, os.WriteFile(save, append(data, '\n'), fileMode))
 	}
 	return given, err
--- a/internal/entry/httpserver/doc.go
+++ b/internal/entry/httpserver/doc.go
@@ -4,7 +4,7 @@
 // Other parts add the handlers of their paths to the Mux:
 //
 //	mux := part.MustGet[*httpserver.Mux](h)
-//	mux.HandleFunc(pat.Post("/v1/tickets"), s.tickets)
+//	mux.HandleFunc(pat.Post("/v1/tickets"), s.handleTickets)
 //
 // Server is an HTTP server whose connection limits follow the operators'
 // configuration.
--- a/internal/entry/identity/property_test.go
+++ b/internal/entry/identity/property_test.go
@@ -70,23 +70,23 @@
 func (i *instance) Once(d time.Duration) *timer.Subscription { return i.fleet.clock.Once(d) }
 
 func newTestFleet(t *rapid.T, disabled disabledMechanisms) *testFleet {
-	w := &testFleet{
+	f := &testFleet{
 		t:         t,
 		disabled:  disabled,
 		removedAt: make(map[int]timer.Instant),
 	}
-	w.clock.Advance(time.Hour)
-	w.addRevision(func(m map[int]bool) { m[0], m[1] = true, true })
+	f.clock.Advance(time.Hour)
+	f.addRevision(func(m map[int]bool) { m[0], m[1] = true, true })
 	for range instanceCount {
-		w.instances = append(w.instances, w.startInstance())
+		f.instances = append(f.instances, f.startInstance())
 	}
-	return w
+	return f
 }
 
 // startInstance starts an instance without a configuration.
-func (w *testFleet) startInstance() *instance {
+func (f *testFleet) startInstance() *instance {
 	i := &instance{
-		fleet: w,
+		fleet: f,
 	}
 	i.confirmer = confirmation.Confirmer{
 		Record:       &i.record,
@@ -102,20 +102,20 @@
 		Bound:  bound,
 		Timer:  i,
 	}
-	if w.disabled.bound {
+	if f.disabled.bound {
 		i.authenticator.Bound = 0
 	}
 	return i
 }
 
 // addRevision adds a revision of the configuration with changed keys.
-func (w *testFleet) addRevision(change func(map[int]bool)) {
+func (f *testFleet) addRevision(change func(map[int]bool)) {
 	next := make(map[int]bool)
-	if len(w.keysByRevision) > 0 {
-		next = maps.Clone(w.keysByRevision[len(w.keysByRevision)-1])
+	if len(f.keysByRevision) > 0 {
+		next = maps.Clone(f.keysByRevision[len(f.keysByRevision)-1])
 	}
 	change(next)
-	w.keysByRevision = append(w.keysByRevision, next)
+	f.keysByRevision = append(f.keysByRevision, next)
 }
 
 // applyRevision puts a revision of the configuration in force, which may be an old one.
@@ -162,50 +162,50 @@
 }
 
 // removeKey removes a key. A removed key is never added again.
-func (w *testFleet) removeKey(k int) {
-	if w.keysByRevision[len(w.keysByRevision)-1][k] {
-		w.addRevision(func(m map[int]bool) { delete(m, k) })
-		w.removedAt[k] = w.clock.Now()
+func (f *testFleet) removeKey(k int) {
+	if f.keysByRevision[len(f.keysByRevision)-1][k] {
+		f.addRevision(func(m map[int]bool) { delete(m, k) })
+		f.removedAt[k] = f.clock.Now()
 	}
 }
 
 // sendRequest sends a request with a key to an instance and checks the verdict: a key
 // must be refused once it was removed for bound, and an initial key that was not
 // removed must not be called unknown.
-func (w *testFleet) sendRequest(i *instance, k int) {
+func (f *testFleet) sendRequest(i *instance, k int) {
 	_, err := i.authenticator.Identify(context.Background(), identity.Call{
 		Header: http.Header{"Authorization": {fmt.Sprint("Bearer key-", k)}},
 	})
-	at, gone := w.removedAt[k]
-	if err == nil && gone && w.clock.Now().Sub(at) >= bound {
-		w.t.Fatalf("key %d was accepted %s after it was removed", k, w.clock.Now().Sub(at))
+	at, gone := f.removedAt[k]
+	if err == nil && gone && f.clock.Now().Sub(at) >= bound {
+		f.t.Fatalf("key %d was accepted %s after it was removed", k, f.clock.Now().Sub(at))
 	}
-	if problem.Is(err, problem.Unauthorized) && !gone && w.isInitialKey(k) {
-		w.t.Fatalf("key %d was refused as unknown although it is valid", k)
+	if problem.Is(err, problem.Unauthorized) && !gone && f.isInitialKey(k) {
+		f.t.Fatalf("key %d was refused as unknown although it is valid", k)
 	}
 }
 
 // isInitialKey reports whether a key is in the first revision, so that it was in force
 // for longer than a new key needs to reach all instances.
-func (w *testFleet) isInitialKey(k int) bool { return k < 2 }
+func (f *testFleet) isInitialKey(k int) bool { return k < 2 }
 
 // relayConfirmation passes the last confirmation of one instance to another one.
-func (w *testFleet) relayConfirmation(from, to *instance) {
+func (f *testFleet) relayConfirmation(from, to *instance) {
 	age, ok := from.record.Age(from.Now())
 	if !ok {
 		return
 	}
 	revision := from.revision
-	if w.disabled.revisionCheck {
+	if f.disabled.revisionCheck {
 		revision = 0
 	}
 	to.confirmer.AcceptRemote(to.Now().Add(-age), revision)
 }
 
 // suspend suspends an instance for the duration d.
-func (w *testFleet) suspend(i *instance, d time.Duration) {
-	w.clock.Advance(d)
-	if w.disabled.suspensionClock {
+func (f *testFleet) suspend(i *instance, d time.Duration) {
+	f.clock.Advance(d)
+	if f.disabled.suspensionClock {
 		i.suspendedFor += d
 	}
 }
@@ -213,26 +213,26 @@
 // randomHistory returns a property that runs a random history of a fleet.
 func randomHistory(disabled disabledMechanisms) func(*rapid.T) {
 	return func(t *rapid.T) {
-		w := newTestFleet(t, disabled)
-		some := func(label string) *instance { return w.instances[rapid.IntRange(0, instanceCount-1).Draw(t, label)] }
+		f := newTestFleet(t, disabled)
+		some := func(label string) *instance { return f.instances[rapid.IntRange(0, instanceCount-1).Draw(t, label)] }
 		number := func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }
 		t.Repeat(map[string]func(*rapid.T){
 			"add": func(*rapid.T) {
-				if k := 2 + number("key", 2); w.removedAt[k] == 0 {
-					w.addRevision(func(m map[int]bool) { m[k] = true })
+				if k := 2 + number("key", 2); f.removedAt[k] == 0 {
+					f.addRevision(func(m map[int]bool) { m[k] = true })
 				}
 			},
-			"take away": func(*rapid.T) { w.removeKey(number("key", keyCount)) },
+			"take away": func(*rapid.T) { f.removeKey(number("key", keyCount)) },
 			"confirm":   func(*rapid.T) { _ = some("instance").confirmer.Confirm(context.Background()) },
 			"read old": func(*rapid.T) {
-				some("instance").applyRevision(uint64(1 + number("revision", len(w.keysByRevision))))
+				some("instance").applyRevision(uint64(1 + number("revision", len(f.keysByRevision))))
 			},
-			"tell":    func(*rapid.T) { w.relayConfirmation(some("from"), some("to")) },
+			"tell":    func(*rapid.T) { f.relayConfirmation(some("from"), some("to")) },
 			"cut":     func(*rapid.T) { i := some("instance"); i.disconnected = !i.disconnected },
-			"sleep":   func(*rapid.T) { w.suspend(some("instance"), time.Duration(number("seconds", 9))*time.Second) },
-			"restart": func(*rapid.T) { w.instances[number("instance", instanceCount)] = w.startInstance() },
-			"wait":    func(*rapid.T) { w.clock.Advance(time.Duration(number("ms", 4000)) * time.Millisecond) },
-			"ask":     func(*rapid.T) { w.sendRequest(some("instance"), number("key", keyCount)) },
+			"sleep":   func(*rapid.T) { f.suspend(some("instance"), time.Duration(number("seconds", 9))*time.Second) },
+			"restart": func(*rapid.T) { f.instances[number("instance", instanceCount)] = f.startInstance() },
+			"wait":    func(*rapid.T) { f.clock.Advance(time.Duration(number("ms", 4000)) * time.Millisecond) },
+			"ask":     func(*rapid.T) { f.sendRequest(some("instance"), number("key", keyCount)) },
 		})
 	}
 }
