--- a/cmd/egretload/main.go
+++ b/cmd/egretload/main.go
@@ -66,7 +66,7 @@
 	if err := setting.ReadFile(filepath.Join(filepath.Dir(path), s.Configuration), &cfg); err != nil {
 		return fmt.Errorf("%s:\n%w", s.Configuration, err)
 	}
-	x := &experiment.Runner{
+	runner := &experiment.Runner{
 		Scenario:      s,
 		Configuration: cfg,
 		BinaryDir:     binaries,
@@ -81,7 +81,7 @@
 	}
 	var violations []string
 	for _, v := range variants {
-		report, err := x.Run(ctx, v)
+		report, err := runner.Run(ctx, v)
 		if err != nil {
 			return err
 		}
--- a/internal/load/experiment/report.go
+++ b/internal/load/experiment/report.go
@@ -95,7 +95,7 @@
 
 // addOrders adds the result of one request stream, and how it compares with the
 // runs that the services recorded.
-func (r *Report) addOrders(o loadgen.Result, c loadgen.Discrepancies) {
+func (r *Report) addOrders(o loadgen.Result, d loadgen.Discrepancies) {
 	r.Orders = append(r.Orders, o)
 	r.OrdersSent += o.Sent
 	r.Answered += o.Answered
@@ -103,9 +103,9 @@
 	r.Unknown += o.Unknown
 	r.WrongAnswers += o.WrongAnswers
 	r.NoAnswer += o.Unreached
-	r.OrdersRunTwice += c.RunTwice
-	r.RefusedRan += c.RefusedRan
-	r.AnsweredNotRun += c.AnsweredNotRun
+	r.OrdersRunTwice += d.RunTwice
+	r.RefusedRan += d.RefusedRan
+	r.AnsweredNotRun += d.AnsweredNotRun
 }
 
 // addKeyValue sets the rates of key-value calls from the counters before and
@@ -122,8 +122,8 @@
 	for _, o := range r.Orders {
 		fmt.Fprintf(w, "  %-24s sent %d answered %d refused %d unknown %d  p50 %.1f ms p99 %.1f ms p99.9 %.1f ms\n",
 			o.Caller, o.Sent, o.Answered, o.Refused, o.Unknown, o.P50MS, o.P99MS, o.P999MS)
-		for _, f := range o.Errors {
-			fmt.Fprintf(w, "    %s\n", f)
+		for _, e := range o.Errors {
+			fmt.Fprintf(w, "    %s\n", e)
 		}
 	}
 	for _, t := range r.Trainers {
--- a/internal/load/experiment/scenario_test.go
+++ b/internal/load/experiment/scenario_test.go
@@ -141,14 +141,14 @@
 	fleetSlots <- struct{}{}
 	defer func() { <-fleetSlots }()
 	is := is.New(t)
-	x := &experiment.Runner{
+	runner := &experiment.Runner{
 		Scenario:      s,
 		Configuration: testConfiguration(t),
 		BinaryDir:     binaries,
 		WorkDir:       filepath.Join(t.TempDir(), "run"),
 		Timer:         timer.Real{},
 	}
-	report, err := x.Run(context.Background(), scenario.Variant{
+	report, err := runner.Run(context.Background(), scenario.Variant{
 		Name: "main",
 	})
 	is.NoErr(err)
--- a/internal/load/experiment/usage.go
+++ b/internal/load/experiment/usage.go
@@ -50,8 +50,8 @@
 func readAllMetrics(f *localfleet.Fleet) map[string]instanceMetrics {
 	all := make(map[string]instanceMetrics)
 	for _, p := range f.Instances {
-		if r, err := readMetrics(p.Address); err == nil {
-			all[p.Name] = r
+		if m, err := readMetrics(p.Address); err == nil {
+			all[p.Name] = m
 		}
 	}
 	return all
@@ -107,12 +107,12 @@
 		heap = append(heap, a.heap/megabyte)
 		bytes = append(bytes, (a.bytes-b.bytes)/seconds)
 	}
-	var c ResourceUsage
-	c.CPUShare, c.CPUShareMax = medianAndMax(cpu)
-	c.ResidentMB, c.ResidentMaxMB = medianAndMax(resident)
-	c.HeapMB, _ = medianAndMax(heap)
-	c.PeerBytesPerSecond, c.PeerBytesPerSecondMax = medianAndMax(bytes)
-	return c
+	var usage ResourceUsage
+	usage.CPUShare, usage.CPUShareMax = medianAndMax(cpu)
+	usage.ResidentMB, usage.ResidentMaxMB = medianAndMax(resident)
+	usage.HeapMB, _ = medianAndMax(heap)
+	usage.PeerBytesPerSecond, usage.PeerBytesPerSecondMax = medianAndMax(bytes)
+	return usage
 }
 
 // medianAndMax returns the median and the highest of values, or zeros if there
--- a/internal/load/loadgen/generator.go
+++ b/internal/load/loadgen/generator.go
@@ -292,21 +292,21 @@
 // CompareRuns compares the outcomes with runs, the number of runs by order ID over
 // all services. It checks nothing for a stream of completions.
 func (g *Generator) CompareRuns(runs map[string]int) Discrepancies {
-	var c Discrepancies
+	var found Discrepancies
 	if g.Settings.Kind == "model" {
-		return c
+		return found
 	}
 	for id, reported := range g.recorder.outcomes {
 		n := runs[id]
 		if n > 1 && !g.Settings.Idempotent {
-			c.RunTwice++
+			found.RunTwice++
 		}
 		if reported == outcomeRefused && n > 0 {
-			c.RefusedRan++
+			found.RefusedRan++
 		}
 		if reported == outcomeAnswered && n == 0 {
-			c.AnsweredNotRun++
+			found.AnsweredNotRun++
 		}
 	}
-	return c
+	return found
 }
--- a/internal/load/port/port.go
+++ b/internal/load/port/port.go
@@ -32,15 +32,15 @@
 
 // Next returns a loopback address whose port is free now and was not returned
 // before. The first call reserves a block.
-func (p *Block) Next() (string, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.reservation == nil && !p.reserve() {
+func (b *Block) Next() (string, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.reservation == nil && !b.reserve() {
 		return "", errNoPort
 	}
-	for p.next < p.end {
-		address := loopbackAddress(p.next)
-		p.next++
+	for b.next < b.end {
+		address := loopbackAddress(b.next)
+		b.next++
 		ln, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
@@ -53,27 +53,27 @@
 
 // reserve reserves a random block that no other run uses, and reports whether it
 // found one.
-func (p *Block) reserve() bool {
+func (b *Block) reserve() bool {
 	for _, n := range rand.Perm(blockCount) {
 		first := firstPort + n*blockSize
 		ln, err := net.Listen("tcp", loopbackAddress(first))
 		if err != nil {
 			continue
 		}
-		p.reservation = ln
-		p.next, p.end = first+1, first+blockSize
+		b.reservation = ln
+		b.next, b.end = first+1, first+blockSize
 		return true
 	}
 	return false
 }
 
 // Release ends the reservation of the block.
-func (p *Block) Release() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.reservation != nil {
-		_ = p.reservation.Close()
-		p.reservation = nil
+func (b *Block) Release() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.reservation != nil {
+		_ = b.reservation.Close()
+		b.reservation = nil
 	}
 }
 
--- a/internal/load/scenario/scenario.go
+++ b/internal/load/scenario/scenario.go
@@ -121,7 +121,7 @@
 	return cfg
 }
 
-// applyTo overwrites the fields of d that c sets.
+// applyTo overwrites the fields of d that o sets.
 func (o DeploymentOverride) applyTo(d *configuration.Deployment) {
 	if o.Policy != "" {
 		d.Policy = o.Policy
--- a/internal/standin/keyvalue/server.go
+++ b/internal/standin/keyvalue/server.go
@@ -82,7 +82,7 @@
 }
 
 // operation executes one call to the service.
-type operation func(r *http.Request, c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode)
+type operation func(r *http.Request, req keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode)
 
 // withFaults returns the handler of f: it counts the call, applies the faults and
 // encodes the answer.
@@ -96,12 +96,12 @@
 		if faults.SlowMS > 0 && !timer.Wait(s.Timer, time.Duration(faults.SlowMS)*time.Millisecond, r.Context().Done()) {
 			return
 		}
-		var c keyvalue.Request
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 2*maxValueBytes)).Decode(&c); err != nil {
+		var req keyvalue.Request
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 2*maxValueBytes)).Decode(&req); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		item, code := f(r, c)
+		item, code := f(r, req)
 		if r.URL.Path == keyvalue.PathPut {
 			s.writes.Add(1)
 			if s.answersToLose.Add(-1) >= 0 {
@@ -126,50 +126,50 @@
 	return s.store.mu.Unlock
 }
 
-func (s *Server) get(_ *http.Request, c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
+func (s *Server) get(_ *http.Request, req keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
 	defer s.lock()()
-	return s.store.get(c.Key, s.Faults.Get().Stale)
+	return s.store.get(req.Key, s.Faults.Get().Stale)
 }
 
-func (s *Server) put(_ *http.Request, c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
+func (s *Server) put(_ *http.Request, req keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
 	defer s.lock()()
-	return s.store.put(c)
+	return s.store.put(req)
 }
 
-func (s *Server) grant(_ *http.Request, c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
+func (s *Server) grant(_ *http.Request, req keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
 	defer s.lock()()
 	s.writes.Add(1)
 	return keyvalue.Item{
-		Lease: s.store.grant(time.Duration(c.TTLMS)*time.Millisecond, s.Timer.Now()),
+		Lease: s.store.grant(time.Duration(req.TTLMS)*time.Millisecond, s.Timer.Now()),
 	}, keyvalue.CodeNone
 }
 
-func (s *Server) keepAlive(_ *http.Request, c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
+func (s *Server) keepAlive(_ *http.Request, req keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
 	defer s.lock()()
 	s.writes.Add(1)
-	return keyvalue.Item{}, s.store.keepAlive(c.Lease, s.Timer.Now())
+	return keyvalue.Item{}, s.store.keepAlive(req.Lease, s.Timer.Now())
 }
 
-func (s *Server) revoke(_ *http.Request, c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
+func (s *Server) revoke(_ *http.Request, req keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
 	defer s.lock()()
 	s.writes.Add(1)
-	s.store.endLease(c.Lease)
+	s.store.endLease(req.Lease)
 	return keyvalue.Item{}, keyvalue.CodeNone
 }
 
-// watch waits until the key has a revision above c.Expect, for up to
+// watch waits until the key has a revision above req.Expect, for up to
 // maxWatchTime.
-func (s *Server) watch(r *http.Request, c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
+func (s *Server) watch(r *http.Request, req keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
 	s.waiting.Add(1)
 	defer s.waiting.Add(-1)
 	end := s.Timer.Once(maxWatchTime)
 	defer end.Close()
 	for {
 		unlock := s.lock()
-		item, code := s.store.get(c.Key, s.Faults.Get().Stale)
+		item, code := s.store.get(req.Key, s.Faults.Get().Stale)
 		changed := s.store.changed
 		unlock()
-		if code == keyvalue.CodeNone && item.Revision > c.Expect {
+		if code == keyvalue.CodeNone && item.Revision > req.Expect {
 			return item, code
 		}
 		select {
--- a/internal/standin/keyvalue/store.go
+++ b/internal/standin/keyvalue/store.go
@@ -76,27 +76,27 @@
 	return item, keyvalue.CodeNone
 }
 
-// put writes an item if its present revision is c.Expect and its lease exists.
+// put writes an item if its present revision is req.Expect and its lease exists.
 // A value above maxValueBytes is refused as a conflict.
-func (s *store) put(c keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
-	old := s.items[c.Key]
-	if old.Revision != c.Expect || len(c.Value) > maxValueBytes {
+func (s *store) put(req keyvalue.Request) (keyvalue.Item, keyvalue.ErrorCode) {
+	old := s.items[req.Key]
+	if old.Revision != req.Expect || len(req.Value) > maxValueBytes {
 		return old, keyvalue.CodeConflict
 	}
-	if _, ok := s.leases[c.Lease]; c.Lease != 0 && !ok {
+	if _, ok := s.leases[req.Lease]; req.Lease != 0 && !ok {
 		return old, keyvalue.CodeLeaseGone
 	}
 	s.revision++
 	item := keyvalue.Item{
-		Key:      c.Key,
-		Value:    c.Value,
+		Key:      req.Key,
+		Value:    req.Value,
 		Revision: s.revision,
-		Lease:    c.Lease,
+		Lease:    req.Lease,
 	}
 	if old.Revision != 0 {
-		s.previous[c.Key] = old
+		s.previous[req.Key] = old
 	}
-	s.items[c.Key] = item
+	s.items[req.Key] = item
 	close(s.changed)
 	s.changed = make(chan struct{})
 	return item, keyvalue.CodeNone
--- a/internal/standin/memorystore/store.go
+++ b/internal/standin/memorystore/store.go
@@ -56,7 +56,7 @@
 	Timer timer.Service
 	// Fault selects the fault of a call; nil means no faults. It is called with
 	// the lock of the Store held, so it must not call the Store.
-	Fault func(c Operation) Fault
+	Fault func(op Operation) Fault
 
 	mu       sync.Mutex
 	revision uint64
@@ -75,14 +75,14 @@
 
 // beginCall counts a call, ends expired leases and returns the fault of the call.
 // mu must be held.
-func (s *Store) beginCall(c Operation) Fault {
+func (s *Store) beginCall(op Operation) Fault {
 	if s.items == nil {
 		s.items = make(map[string]keyvalue.Item)
 		s.leases = make(map[uint64]*lease)
 		s.calls = make(map[Operation]int)
 		s.revision = 1
 	}
-	s.calls[c]++
+	s.calls[op]++
 	now := s.Timer.Now()
 	for id, l := range s.leases {
 		if now >= l.expires {
@@ -92,15 +92,15 @@
 	if s.Fault == nil {
 		return None
 	}
-	return s.Fault(c)
+	return s.Fault(op)
 }
 
 // CallCount returns the number of calls of an operation. A watch counts again each
 // time that it is woken.
-func (s *Store) CallCount(c Operation) int {
+func (s *Store) CallCount(op Operation) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls[c]
+	return s.calls[op]
 }
 
 // Compact discards the history; a watch from an earlier revision fails with
--- a/internal/standin/property/property.go
+++ b/internal/standin/property/property.go
@@ -58,19 +58,19 @@
 	t.Helper()
 	setRunSize(10 * defaultChecks)
 	setFlag("rapid.seed", strconv.Itoa(fixedSeed))
-	p := &recordingTB{
+	tb := &recordingTB{
 		name: t.Name(),
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		rapid.Check(p, prop)
+		rapid.Check(tb, prop)
 	}()
 	<-done
-	if !p.failed {
+	if !tb.failed {
 		t.Fatal("the property holds although its mechanism is switched off")
 	}
-	t.Logf("failed as expected: %s", p.firstError)
+	t.Logf("failed as expected: %s", tb.firstError)
 }
 
 // setRunSize sets rapid to n histories, without files of failures and with at
@@ -97,59 +97,59 @@
 }
 
 // Helper implements rapid.TB.
-func (p *recordingTB) Helper() {}
+func (r *recordingTB) Helper() {}
 
 // Name implements rapid.TB.
-func (p *recordingTB) Name() string { return p.name }
+func (r *recordingTB) Name() string { return r.name }
 
 // Logf implements rapid.TB.
-func (p *recordingTB) Logf(string, ...any) {}
+func (r *recordingTB) Logf(string, ...any) {}
 
 // Log implements rapid.TB.
-func (p *recordingTB) Log(...any) {}
+func (r *recordingTB) Log(...any) {}
 
 // Skipf implements rapid.TB.
-func (p *recordingTB) Skipf(string, ...any) { p.SkipNow() }
+func (r *recordingTB) Skipf(string, ...any) { r.SkipNow() }
 
 // Skip implements rapid.TB.
-func (p *recordingTB) Skip(...any) { p.SkipNow() }
+func (r *recordingTB) Skip(...any) { r.SkipNow() }
 
 // SkipNow implements rapid.TB.
-func (p *recordingTB) SkipNow() { runtime.Goexit() }
+func (r *recordingTB) SkipNow() { runtime.Goexit() }
 
 // Errorf implements rapid.TB.
-func (p *recordingTB) Errorf(format string, args ...any) { p.recordError(fmt.Sprintf(format, args...)) }
+func (r *recordingTB) Errorf(format string, args ...any) { r.recordError(fmt.Sprintf(format, args...)) }
 
 // Error implements rapid.TB.
-func (p *recordingTB) Error(args ...any) { p.recordError(fmt.Sprint(args...)) }
+func (r *recordingTB) Error(args ...any) { r.recordError(fmt.Sprint(args...)) }
 
 // Fatalf implements rapid.TB.
-func (p *recordingTB) Fatalf(format string, args ...any) {
-	p.Errorf(format, args...)
-	p.FailNow()
+func (r *recordingTB) Fatalf(format string, args ...any) {
+	r.Errorf(format, args...)
+	r.FailNow()
 }
 
 // Fatal implements rapid.TB.
-func (p *recordingTB) Fatal(args ...any) {
-	p.Error(args...)
-	p.FailNow()
+func (r *recordingTB) Fatal(args ...any) {
+	r.Error(args...)
+	r.FailNow()
 }
 
 // FailNow implements rapid.TB.
-func (p *recordingTB) FailNow() {
-	p.failed = true
+func (r *recordingTB) FailNow() {
+	r.failed = true
 	runtime.Goexit()
 }
 
 // Fail implements rapid.TB.
-func (p *recordingTB) Fail() { p.failed = true }
+func (r *recordingTB) Fail() { r.failed = true }
 
 // Failed implements rapid.TB.
-func (p *recordingTB) Failed() bool { return p.failed }
+func (r *recordingTB) Failed() bool { return r.failed }
 
-func (p *recordingTB) recordError(what string) {
-	p.failed = true
-	if p.firstError == "" {
-		p.firstError = what
+func (r *recordingTB) recordError(what string) {
+	r.failed = true
+	if r.firstError == "" {
+		r.firstError = what
 	}
 }
--- a/internal/standin/roster/announcer.go
+++ b/internal/standin/roster/announcer.go
@@ -31,8 +31,8 @@
 	tick := a.Timer.Every(announcePeriod)
 	defer tick.Close()
 	for {
-		if in, up := a.Current(); up {
-			a.announce(t.Context(context.Background()), in)
+		if instance, up := a.Current(); up {
+			a.announce(t.Context(context.Background()), instance)
 		}
 		select {
 		case <-tick.C:
@@ -44,8 +44,8 @@
 
 // announce sends one announcement. Errors are ignored; the next one follows
 // after announcePeriod.
-func (a *Announcer) announce(ctx context.Context, in roster.Instance) {
-	body, err := json.Marshal(in)
+func (a *Announcer) announce(ctx context.Context, instance roster.Instance) {
+	body, err := json.Marshal(instance)
 	if err != nil {
 		return
 	}
--- a/internal/standin/roster/server.go
+++ b/internal/standin/roster/server.go
@@ -67,24 +67,24 @@
 }
 
 func (s *Server) announce(w http.ResponseWriter, r *http.Request) {
-	var in roster.Instance
-	if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
+	var instance roster.Instance
+	if err := json.NewDecoder(r.Body).Decode(&instance); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.Announce(in)
+	s.Announce(instance)
 	w.WriteHeader(http.StatusNoContent)
 }
 
 // Announce records the state of an upstream.
-func (s *Server) Announce(in roster.Instance) {
+func (s *Server) Announce(instance roster.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.announcements == nil {
 		s.announcements = make(map[string]announcement)
 	}
-	s.announcements[in.ID] = announcement{
-		instance: in,
+	s.announcements[instance.ID] = announcement{
+		instance: instance,
 		at:       s.Timer.Now(),
 	}
 }
@@ -106,9 +106,9 @@
 	defer s.mu.Unlock()
 	s.takeSnapshot(now)
 	best := s.snapshots[0].list
-	for _, p := range s.snapshots {
-		if p.at <= now.Add(-lag) {
-			best = p.list
+	for _, past := range s.snapshots {
+		if past.at <= now.Add(-lag) {
+			best = past.list
 		}
 	}
 	return best
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -228,8 +228,8 @@
 func (s *Server) stopWaiting(ready chan struct{}) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, t := range s.waiting {
-		if t == ready {
+	for i, queued := range s.waiting {
+		if queued == ready {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
 			return false
 		}
--- a/internal/standin/trainer/doc.go
+++ b/internal/standin/trainer/doc.go
@@ -8,7 +8,7 @@
 // already has. It verifies the recorded versions of each sample against the
 // sample's text, and measures the share of time that it waits for samples:
 //
-//	t := &trainer.Trainer{Settings: settings, Addresses: book, Timer: timer.Real{}}
+//	t := &trainer.Trainer{Settings: settings, Addresses: cache, Timer: timer.Real{}}
 //	result := t.Run(ctx)
 //
 // Settings holds the properties of a trainer, Result what it observed.
--- a/internal/standin/trainer/trainer.go
+++ b/internal/standin/trainer/trainer.go
@@ -64,7 +64,7 @@
 }
 
 // complete reports whether the step needs no further samples.
-func (w *pendingStep) complete() bool { return w.dropped || len(w.received) == w.total }
+func (p *pendingStep) complete() bool { return p.dropped || len(p.received) == p.total }
 
 // Run trains until ctx is done or all steps are finished, and returns the result.
 func (t *Trainer) Run(ctx context.Context) Result {
@@ -84,10 +84,10 @@
 		}
 		waited := t.Timer.Now().Sub(started)
 		t.recordStep(n, waited)
-		trained := t.Timer.Now()
+		trainingStarted := t.Timer.Now()
 		timer.Wait(t.Timer, time.Duration(t.Settings.TrainMS)*time.Millisecond, ctx.Done())
 		if n > 1 {
-			t.result.busy += t.Timer.Now().Sub(trained)
+			t.result.busy += t.Timer.Now().Sub(trainingStarted)
 			t.result.idle += waited
 		}
 		t.version.Number++
@@ -191,21 +191,21 @@
 // submit submits step n, unless it was submitted in this session. It names the
 // samples that were received in earlier sessions.
 func (t *Trainer) submit(ctx context.Context, n uint64) error {
-	w, ok := t.steps[n]
+	pending, ok := t.steps[n]
 	if !ok {
 		spec := t.Settings.stepSpec(n)
-		w = &pendingStep{
+		pending = &pendingStep{
 			spec:     spec,
 			received: make(map[sample.Key]bool),
 			total:    t.Settings.Groups * t.Settings.SamplesPerGroup,
 		}
-		t.steps[n] = w
+		t.steps[n] = pending
 	}
-	if w.submittedIn == t.sessionNumber {
+	if pending.submittedIn == t.sessionNumber {
 		return nil
 	}
-	spec := w.spec
-	for key := range w.received {
+	spec := pending.spec
+	for key := range pending.received {
 		spec.Have = append(spec.Have, key)
 	}
 	err := t.call(ctx, t.address, t.path("steps"), trainer.SubmitStepRequest{
@@ -213,7 +213,7 @@
 		Step:    spec,
 	}, nil)
 	if err == nil {
-		w.submittedIn = t.sessionNumber
+		pending.submittedIn = t.sessionNumber
 	}
 	return err
 }
@@ -257,35 +257,35 @@
 		t.result.Foreign++
 		return
 	}
-	w, ok := t.steps[key.Step]
+	pending, ok := t.steps[key.Step]
 	if !ok {
 		t.result.Foreign++
 		t.result.recordFault("received a sample of step %d, which is not open", key.Step)
 		return
 	}
-	k, valid := t.result.checkSample(entry.Sample, w.spec, t.MaxStaleness, t.version)
+	k, valid := t.result.checkSample(entry.Sample, pending.spec, t.MaxStaleness, t.version)
 	if !valid {
 		return
 	}
-	if w.received[k] {
+	if pending.received[k] {
 		t.result.Duplicates++
 		t.result.recordFault("received sample %v twice", k)
 	}
-	w.received[k] = true
+	pending.received[k] = true
 }
 
 // updateSteps marks the steps that were dropped, and adds the counters of step n
 // to the result when it is complete.
 func (t *Trainer) updateSteps(steps []session.Status, n uint64) {
 	for _, st := range steps {
-		w, ok := t.steps[st.Step]
+		pending, ok := t.steps[st.Step]
 		if !ok {
 			continue
 		}
 		if st.State == session.Dropped {
-			w.dropped = true
+			pending.dropped = true
 		}
-		if st.Step == n && w.complete() {
+		if st.Step == n && pending.complete() {
 			t.result.Discarded += st.Discarded
 			t.result.SecondAttempts += st.SecondAttempts
 			t.result.Recovered += st.Recovered
