--- a/internal/kernel/part/doc.go
+++ b/internal/kernel/part/doc.go
@@ -7,7 +7,7 @@
 //	func init() {
 //		part.Register(part.Factory{
 //			Name:  "fleet.member",
-//			Stage: part.StageFleet,
+//			Stage: part.StageMember,
 //			Make:  makePart,
 //		})
 //	}
