--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -138,7 +138,7 @@
 
 // trainerSettings is the settings file of a trainer.
 type trainerSettings struct {
-	// Instances is the addresses of the first instances to ask.
+	// Instances holds the addresses of the first instances to ask.
 	Instances   []string         `json:"instances" need:"true"`
 	MaxVersions uint64           `json:"max_versions" default:"4"`
 	Details     trainer.Settings `json:"details" need:"true"`
--- a/internal/load/experiment/experiment.go
+++ b/internal/load/experiment/experiment.go
@@ -38,29 +38,29 @@
 }
 
 // Run runs one variant of the scenario and stops every process it started.
-func (x *Runner) Run(ctx context.Context, v scenario.Variant) (*Report, error) {
+func (r *Runner) Run(ctx context.Context, v scenario.Variant) (*Report, error) {
 	f := &localfleet.Fleet{
-		BinaryDir:     x.BinaryDir,
-		WorkDir:       filepath.Join(x.WorkDir, x.Scenario.Name, v.Name),
-		Scenario:      x.Scenario,
-		Configuration: scenario.ApplyOverrides(scenario.ApplyOverrides(x.Configuration, x.Scenario.Overrides), v.Overrides),
-		Timer:         x.Timer,
+		BinaryDir:     r.BinaryDir,
+		WorkDir:       filepath.Join(r.WorkDir, r.Scenario.Name, v.Name),
+		Scenario:      r.Scenario,
+		Configuration: scenario.ApplyOverrides(scenario.ApplyOverrides(r.Configuration, r.Scenario.Overrides), v.Overrides),
+		Timer:         r.Timer,
 	}
 	defer f.Stop()
 	if err := f.Start(ctx); err != nil {
 		return nil, err
 	}
 	report := &Report{
-		Scenario: x.Scenario.Name,
+		Scenario: r.Scenario.Name,
 		Variant:  v.Name,
-		Seconds:  x.Scenario.Seconds,
+		Seconds:  r.Scenario.Seconds,
 	}
 	before := readStats[keyvalue.Stats](f.Find("keyvalue"))
-	metrics, started := readAllMetrics(f), x.Timer.Now()
-	x.runLoad(ctx, f, v, report)
-	report.ResourceUsage = computeUsage(metrics, readAllMetrics(f), x.Timer.Now().Sub(started).Seconds())
+	metrics, started := readAllMetrics(f), r.Timer.Now()
+	r.runLoad(ctx, f, v, report)
+	report.ResourceUsage = computeUsage(metrics, readAllMetrics(f), r.Timer.Now().Sub(started).Seconds())
 	report.addKeyValue(before, readStats[keyvalue.Stats](f.Find("keyvalue")))
-	x.addEngines(f, report)
+	r.addEngines(f, report)
 	for _, err := range f.Drain() {
 		report.UncleanStops = append(report.UncleanStops, err.Error())
 	}
@@ -69,8 +69,8 @@
 
 // runLoad runs callers, trainers and events for the duration of the scenario
 // and adds their results to report.
-func (x *Runner) runLoad(ctx context.Context, f *localfleet.Fleet, v scenario.Variant, report *Report) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(x.Scenario.Seconds)*time.Second)
+func (r *Runner) runLoad(ctx context.Context, f *localfleet.Fleet, v scenario.Variant, report *Report) {
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.Scenario.Seconds)*time.Second)
 	defer cancel()
 	var wg sync.WaitGroup
 	wg.Go(func() { f.RunEvents(ctx) })
@@ -78,36 +78,36 @@
 	// idle fleet.
 	wg.Go(func() { <-ctx.Done() })
 	tracker := &swapTracker{
-		timer: x.Timer,
+		timer: r.Timer,
 	}
-	if len(x.Scenario.Trainers) > 0 {
+	if len(r.Scenario.Trainers) > 0 {
 		wg.Go(func() { tracker.pollUntilDone(ctx, f) })
 	}
 	var mu sync.Mutex
-	generators := make([]*loadgen.Generator, len(x.Scenario.Orders))
-	results := make([]loadgen.Result, len(x.Scenario.Orders))
-	for i, s := range x.Scenario.Orders {
+	generators := make([]*loadgen.Generator, len(r.Scenario.Orders))
+	results := make([]loadgen.Result, len(r.Scenario.Orders))
+	for i, s := range r.Scenario.Orders {
 		generators[i] = &loadgen.Generator{
 			Settings:  s,
-			Addresses: x.newAddressCache(f, s.Caller, s.FailureDomain),
-			Timer:     x.Timer,
+			Addresses: r.newAddressCache(f, s.Caller, s.FailureDomain),
+			Timer:     r.Timer,
 			Services:  serviceAddresses(f),
 		}
 		wg.Go(func() { results[i] = generators[i].Run(ctx) })
 	}
-	for _, s := range x.Scenario.Trainers {
-		t := x.newTrainer(f, s, v)
+	for _, s := range r.Scenario.Trainers {
+		t := r.newTrainer(f, s, v)
 		t.OnPublish = tracker.recordPublished
 		wg.Go(func() {
-			r := t.Run(ctx)
+			result := t.Run(ctx)
 			mu.Lock()
 			defer mu.Unlock()
-			report.addTrainer(r)
+			report.addTrainer(result)
 		})
 	}
 	wg.Wait()
 	report.SwapP50, report.SwapMax = tracker.medianAndLongest()
-	runs := x.countRuns(f)
+	runs := r.countRuns(f)
 	for i, g := range generators {
 		report.addOrders(results[i], g.CompareRuns(runs))
 	}
@@ -115,7 +115,7 @@
 
 // newTrainer returns a trainer that checks samples against the staleness bound
 // of its deployment.
-func (x *Runner) newTrainer(f *localfleet.Fleet, s trainer.Settings, v scenario.Variant) *trainer.Trainer {
+func (r *Runner) newTrainer(f *localfleet.Fleet, s trainer.Settings, v scenario.Variant) *trainer.Trainer {
 	if v.RunAhead != nil {
 		s.RunAhead = int(*v.RunAhead)
 	}
@@ -125,18 +125,18 @@
 	}
 	return &trainer.Trainer{
 		Settings:     s,
-		Addresses:    x.newAddressCache(f, s.Name, ""),
-		Timer:        x.Timer,
+		Addresses:    r.newAddressCache(f, s.Name, ""),
+		Timer:        r.Timer,
 		MaxStaleness: bound,
 	}
 }
 
-func (x *Runner) newAddressCache(f *localfleet.Fleet, caller, domain string) *addresses.Cache {
+func (r *Runner) newAddressCache(f *localfleet.Fleet, caller, domain string) *addresses.Cache {
 	return &addresses.Cache{
 		Caller:        caller,
 		FailureDomain: domain,
 		Seeds:         f.Addresses(),
-		Timer:         x.Timer,
+		Timer:         r.Timer,
 	}
 }
 
@@ -153,7 +153,7 @@
 
 // countRuns returns how often each order ran, by order ID. It reads the logs of
 // the services, so it includes the runs of processes that have ended.
-func (x *Runner) countRuns(f *localfleet.Fleet) map[string]int {
+func (r *Runner) countRuns(f *localfleet.Fleet) map[string]int {
 	sum := make(map[string]int)
 	for _, p := range f.Upstreams {
 		data, err := os.ReadFile(p.LogPath())
@@ -170,7 +170,7 @@
 }
 
 // addEngines adds the token and cache counters of all engines to report.
-func (x *Runner) addEngines(f *localfleet.Fleet, report *Report) {
+func (r *Runner) addEngines(f *localfleet.Fleet, report *Report) {
 	var prefills, hits int64
 	for _, p := range f.Upstreams {
 		s := readStats[engine.Stats](p)
--- a/internal/standin/keyvalue/server.go
+++ b/internal/standin/keyvalue/server.go
@@ -17,8 +17,8 @@
 	Down bool `json:"down"`
 	// SlowMS delays every call, in milliseconds.
 	SlowMS int64 `json:"slow_ms"`
-	// LoseAnswers is the number of the next puts whose answers are lost although
-	// they take effect.
+	// LoseAnswers is how many of the next puts lose their answers although they
+	// take effect.
 	LoseAnswers int64 `json:"lose_answers"`
 	// Stale answers reads and watches with the revision before the last one of an
 	// item, if there is one.
