--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -18,7 +18,8 @@
 const (
 	// TTL is the time after which a lease expires unless it is renewed.
 	TTL = 6 * time.Second
-	// renewPeriod is the time between two renewals, of which three may fail.
+	// renewPeriod is the time between two renewals. Two in a row may fail before the
+	// lease counts as ended, TTL less expiryMargin after the last one that succeeded.
 	renewPeriod = 1500 * time.Millisecond
 	// expiryMargin is how long before its expiry a lease is no longer used. It
 	// allows for clocks that run at different rates and for an order that is
